--- a/catkinslip/health/__init__.py
+++ b/catkinslip/health/__init__.py
@@ -1,1 +1,1 @@
-"""Drain signs, reachability, probes and the measuring budget."""
+"""Drain signals, reachability, load reports and probes of backend servers."""
--- a/catkinslip/health/base.py
+++ b/catkinslip/health/base.py
@@ -1,4 +1,4 @@
-"""Who learns of backend servers' load before a choice."""
+"""Interface for refreshing load reports before a backend server is chosen."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Collection
@@ -7,22 +7,22 @@
 
 
 class Sampler(ABC):
-    """Refresh what a router knows before it chooses."""
+    """Base of samplers, which refresh load reports before a router's choice."""
 
     @abstractmethod
     async def refresh(self, router: ServiceRouter, tried: Collection[str]) -> None:
-        """Ask until the choice rests on a fresh report, or the budget is spent."""
+        """Probe until the choice rests on a fresh report or the budget is spent."""
 
     @abstractmethod
     async def look(self, router: ServiceRouter, backend_id: str) -> None:
-        """Ask one server, unless the budget is spent."""
+        """Probe one server, unless the budget is spent."""
 
 
 class NoSampler(Sampler):
-    """Choose from what answers have told."""
+    """A sampler that sends no probes: choices use the reports in answers only."""
 
     async def refresh(self, router: ServiceRouter, tried: Collection[str]) -> None:
-        """Ask nobody."""
+        """Send no probe."""
 
     async def look(self, router: ServiceRouter, backend_id: str) -> None:
-        """Ask nobody."""
+        """Send no probe."""
--- a/catkinslip/health/budget.py
+++ b/catkinslip/health/budget.py
@@ -1,24 +1,25 @@
-"""The measuring budget: a hard bound that needs no agreement between instances.
+"""The probe budget: a hard bound that needs no agreement between instances.
 
-Two limits, each held by every instance alone. Per backend server: an instance lets
-`max_instances / probes_per_second` seconds pass between two probes of one server,
-also before its first one, so the sum over `max_instances` instances is at most
-`probes_per_second`, whatever they believe of each other. Per service: a probe is
-paid for with `calls_per_probe` calls that this instance itself received.
+Every instance enforces two limits by itself. Per backend server, an instance waits
+`max_instances / probes_per_second` seconds between two probes of one server, also
+before its first probe, so `max_instances` instances together send at most
+`probes_per_second`, whichever members each of them sees. Per service, each probe
+uses up `calls_per_probe` calls that this instance itself received.
 """
 
 from collections.abc import Callable
 
 from attrs import Factory, define, frozen
 
-#: Probes that an instance may save up per service.
+#: Number of unused probes that an instance may save up per service.
 MAX_SAVED_PROBES = 5
+#: Seconds for which the last probe of an unregistered server is remembered.
 KEPT_SECONDS = 3600.0
 
 
 @frozen
 class ProbeTerms:
-    """What the configuration allows one service."""
+    """The probes that the configuration allows for one service."""
 
     probes_per_second: float
     calls_per_probe: int
@@ -27,26 +28,27 @@
 
 @define
 class ProbeBudget:
-    """Decide whether a probe may be sent; times are monotonic seconds."""
+    """The probe budget of this instance; times are monotonic seconds."""
 
     started_at: float
-    #: Most members ever known; a share never grows because members seem to be gone.
+    #: Highest number of members seen so far. It never falls, so that this instance's
+    #: share does not grow when members only seem to be removed.
     most_members: int = 1
     ended_at_by_address: dict[str, float] = Factory(dict)
     unspent_calls_by_service: dict[str, int] = Factory(dict)
 
     def count_call(self, service: str, terms: ProbeTerms) -> None:
-        """Count one call of a caller."""
+        """Count one call from a caller, up to the number that may be saved up."""
         calls = self.unspent_calls_by_service.get(service, 0) + 1
         most = MAX_SAVED_PROBES * terms.calls_per_probe
         self.unspent_calls_by_service[service] = min(calls, most)
 
     def see_members(self, count: int) -> None:
-        """Take the number of members known now."""
+        """Record the current number of members."""
         self.most_members = max(self.most_members, count)
 
     def interval(self, terms: ProbeTerms) -> float:
-        """Return the least seconds between two probes of one server from here."""
+        """Return the minimum seconds between this instance's probes of one server."""
         if terms.probes_per_second <= 0:
             return float('inf')
         divisor = max(terms.max_instances, self.most_members)
@@ -55,21 +57,24 @@
     def may_probe(
         self, address: str, service: str, terms: ProbeTerms, now: float
     ) -> bool:
-        """Tell whether a probe of a server is within the budget."""
+        """Return whether a probe of a server is within the budget."""
         has_calls = self.has_calls(service, terms)
         return has_calls and self.allowed_for(address, terms, now) >= 0
 
     def allowed_for(self, address: str, terms: ProbeTerms, now: float) -> float:
-        """Return the seconds since the interval of a server passed; else negative."""
+        """Return for how many seconds a probe has been allowed; negative before."""
         last = self.ended_at_by_address.get(address, self.started_at)
         return now - last - self.interval(terms)
 
     def has_calls(self, service: str, terms: ProbeTerms) -> bool:
-        """Tell whether enough calls came to pay for a probe."""
+        """Return whether enough calls of a service arrived for one more probe."""
         return self.unspent_calls_by_service.get(service, 0) >= terms.calls_per_probe
 
     def spend(self, address: str, service: str, terms: ProbeTerms, now: float) -> bool:
-        """Take a probe from the budget right before its first byte."""
+        """Spend one probe right before its first byte is sent.
+
+        Returns whether the budget allowed the probe.
+        """
         if not self.may_probe(address, service, terms, now):
             return False
         self.unspent_calls_by_service[service] -= terms.calls_per_probe
@@ -77,13 +82,16 @@
         return True
 
     def ended(self, address: str, now: float) -> None:
-        """Count the interval from the end, as a paused process may send late."""
+        """Restart a server's interval when its probe ends.
+
+        A paused process may send the probe long after `spend`.
+        """
         self.ended_at_by_address[address] = now
 
     def forget_old(self, registered: Callable[[], set[str]], now: float) -> None:
-        """Forget servers that left the register long ago.
+        """Forget unregistered servers whose last probe is older than `KEPT_SECONDS`.
 
-        One that is registered may be due once in more than the time kept.
+        A registered server is kept, since its interval may be longer than that.
         """
         old = [
             address
--- a/catkinslip/health/counters.py
+++ b/catkinslip/health/counters.py
@@ -1,11 +1,11 @@
-"""What the health slice counts."""
+"""Event counters of the health checks."""
 
 from attrs import define
 
 
 @define
 class HealthCounters:
-    """Counts since the start of this instance."""
+    """Event counts since the start of this instance."""
 
     calls: int = 0
     probes_sent: int = 0
--- a/catkinslip/health/drain.py
+++ b/catkinslip/health/drain.py
@@ -1,8 +1,9 @@
-"""Which backend servers are leaving: one pure state merged from all signs.
+"""Drain states of backend servers, merged from signals and from peers without I/O.
 
-The state of a backend server is a word: a generation and the signs of leaving seen
-in it. Words merge by the higher generation, then by the union of signs, so leaving
-wins within a generation. A generation ends only by proof of a return.
+The drain state of a backend server is a generation and the signals of leaving seen
+in that generation. The higher generation wins a merge; within one generation the
+signals are united, so leaving wins. Only a proof that the server returned starts a
+new generation without signals.
 """
 
 from enum import Enum, unique
@@ -13,47 +14,57 @@
 from catkinslip.health.listing import ListView
 from catkinslip.models import BackendKey
 
+#: Seconds without a signal before a probe may prove that a server returned.
 RETURN_HOLD_SECONDS = 5.0
+#: The same where closed connections are the only signal.
 CLOSE_HOLD_SECONDS = 30.0
+#: Seconds for which the platform's list has to show a server as live before a
+#: probe may prove its return.
 LIST_HOLD_SECONDS = 10.0
-#: The age of a word misses the time it was under way, at most a peer's timeout.
+#: The age in a peer's message does not include the transit time, which is at most
+#: the timeout of a peer request.
 TRANSIT_SECONDS = 1.0
+#: A server that leaves again this soon after a return is flapping.
 FLAP_WINDOW_SECONDS = 60.0
+#: Each flap in a row doubles the hold, up to this many times.
 MAX_FLAP_DOUBLINGS = 4
-#: A return is remembered this long, to override words of peers cut off meanwhile.
+#: Seconds for which a return is remembered, to override the older states of peers
+#: that were disconnected meanwhile.
 RETURNED_KEPT_SECONDS = 3600.0
-#: Leaving ends by time alone only where probes are turned off.
+#: Seconds without a signal after which a server of a service without probes counts
+#: as returned. Also the longest time for which a removed server's state is kept.
 UNPROVED_SECONDS = 600.0
-#: Entries lapse in outages of the store, those of many servers at once.
+#: Maximum number of removed servers remembered as leaving. In an outage of the
+#: store the entries of many servers expire at once.
 MOST_GONE = 1000
 
 
 @unique
 class DrainSign(Enum):
-    """What said that a backend server is leaving."""
+    """A signal that a backend server is leaving, by its source."""
 
-    #: Its own answer carried the drain header.
+    #: One of the server's own answers carried the drain header.
     OWN = 'own'
-    #: It closes its connections, which it did not do before.
+    #: The server began to close connections that it kept open before.
     CLOSE = 'close'
-    #: The platform's list shows it as leaving.
+    #: The platform's list shows the server as leaving.
     LIST = 'list'
 
 
 @frozen
 class DrainWord:
-    """What is known of one backend server: signs of leaving, or none."""
+    """The drain state of one backend server: a generation and its signals."""
 
     generation: int
     signs: frozenset[DrainSign] = frozenset()
 
     @property
     def leaving(self) -> bool:
-        """Tell whether the server is leaving."""
+        """Return whether the server is leaving."""
         return bool(self.signs)
 
     def merge(self, other: 'DrainWord') -> 'DrainWord':
-        """Return the join of two words."""
+        """Return the join of two drain states."""
         if self.generation != other.generation:
             return max(self, other, key=lambda word: word.generation)
         return DrainWord(self.generation, self.signs | other.signs)
@@ -61,26 +72,30 @@
 
 @define
 class HeldWord:
-    """A word with what this instance saw itself; times are monotonic seconds."""
+    """A drain state and the signals seen by this instance; monotonic seconds."""
 
     word: DrainWord
+    #: Time at which this instance first applied the current generation.
     learned_at: float
+    #: Time at which the state changed, less the age given by the peer or probe.
     changed_at: float
+    #: Time at which this instance itself last saw each signal.
     seen_at_by_sign: dict[DrainSign, float] = Factory(dict)
+    #: Number of times in a row that the server left again soon after a return.
     flaps: int = 0
 
     def hold(self) -> float:
-        """Return the seconds after the last sign before a return may be proved."""
+        """Return the seconds after the last signal before a return may be proved."""
         only_close = self.word.signs == {DrainSign.CLOSE}
         base = CLOSE_HOLD_SECONDS if only_close else RETURN_HOLD_SECONDS
         return base * 2 ** min(self.flaps, MAX_FLAP_DOUBLINGS)
 
     def last_sign_at(self) -> float:
-        """Return when this instance last saw or learned of a sign."""
+        """Return when this instance last saw a signal or applied a new generation."""
         return max([self.learned_at, *self.seen_at_by_sign.values()])
 
     def signs_since(self, at: float) -> frozenset[DrainSign]:
-        """Return the signs that this instance saw itself since a time."""
+        """Return the signals that this instance itself has seen since a given time."""
         return frozenset(
             sign for sign, seen_at in self.seen_at_by_sign.items() if seen_at >= at
         )
@@ -88,7 +103,7 @@
 
 @frozen
 class GoneWord:
-    """The word on a server whose entry is gone, and since when; monotonic seconds."""
+    """The drain state of a removed server and its removal time; monotonic seconds."""
 
     held: HeldWord
     at: float
@@ -96,22 +111,22 @@
 
 @define
 class DrainTable:
-    """Merge the signs of all backend servers."""
+    """The drain states of all backend servers, merged from every source."""
 
     held_by_key: dict[BackendKey, HeldWord] = Factory(dict)
     list_view_by_key: dict[BackendKey, ListView] = Factory(dict)
-    #: Leaving servers whose entries are gone, the oldest first.
+    #: Leaving servers whose entries were removed, the earliest removal first.
     gone_by_key: dict[BackendKey, GoneWord] = Factory(dict)
-    #: Servers whose word changed since they were last taken.
+    #: Servers whose state changed since the last `take_changed`.
     changed: set[BackendKey] = Factory(set)
 
     def is_leaving(self, key: BackendKey) -> bool:
-        """Tell whether a backend server takes no new work."""
+        """Return whether a backend server is leaving and accepts no new work."""
         held = self.held_by_key.get(key)
         return held is not None and held.word.leaving
 
     def leaving(self) -> dict[BackendKey, DrainWord]:
-        """Return the words on all leaving servers."""
+        """Return the drain states of all leaving servers."""
         return {
             key: held.word
             for key, held in self.held_by_key.items()
@@ -119,7 +134,7 @@
         }
 
     def sign(self, key: BackendKey, sign: DrainSign, now: float) -> None:
-        """Take a sign of leaving that this instance saw itself."""
+        """Record a signal of leaving that this instance itself saw."""
         held = self.held_by_key.get(key)
         if held is None:
             word = DrainWord(1, frozenset({sign}))
@@ -130,7 +145,11 @@
         self._hold(key, word, now).seen_at_by_sign[sign] = now
 
     def listed(self, key: BackendKey, leaving: bool, now: float) -> None:
-        """Take one line of the platform's list; live only permits a return."""
+        """Record one server's entry in the platform's list.
+
+        An entry that shows the server as live does not end leaving by itself: a
+        probe still has to prove the return.
+        """
         view = self.list_view_by_key.setdefault(key, ListView())
         view.read(leaving, now)
         if leaving:
@@ -139,7 +158,11 @@
     def merge(
         self, key: BackendKey, word: DrainWord, now: float, age: float = 0.0
     ) -> None:
-        """Take a peer's word; contradict a return by signs seen after its proof."""
+        """Merge a drain state from a peer, which is `age` seconds old.
+
+        If this instance saw signals after the proof of a return, a new generation
+        with these signals overrides the return.
+        """
         held = self.held_by_key.get(key)
         before = held.word if held else DrainWord(0)
         joined = before.merge(word)
@@ -151,12 +174,12 @@
         self._hold(key, joined, now, age)
 
     def proof_wanted_for(self, key: BackendKey, now: float) -> float:
-        """Return the seconds since a return may be proved; negative before."""
+        """Return the seconds since a proof of a return is due; negative before."""
         held = self.held_by_key[key]
         return now - held.last_sign_at() - held.hold()
 
     def wants_proof(self, key: BackendKey, now: float) -> bool:
-        """Tell whether an answered probe would prove that a server returned."""
+        """Return whether an answered probe would prove that a server returned."""
         if not self.is_leaving(key) or self.proof_wanted_for(key, now) < 0:
             return False
         if DrainSign.LIST not in self.held_by_key[key].word.signs:
@@ -165,21 +188,25 @@
         return view is not None and view.clear_for() >= LIST_HOLD_SECONDS
 
     def proved(self, key: BackendKey, sent_at: float, now: float) -> None:
-        """End leaving by a probe answered without a sign, sent at a given time."""
+        """Mark a server as returned after a probe answered without a signal.
+
+        The return has to be provable both when the probe was sent and now.
+        """
         if self.wants_proof(key, sent_at) and self.wants_proof(key, now):
             self._end(key, now, now - sent_at)
 
     def end_unproved(self, key: BackendKey, now: float) -> None:
-        """End leaving by time alone, for a service without probes."""
+        """Mark a server without probes as returned after `UNPROVED_SECONDS`."""
         if not self.wants_proof(key, now):
             return
         if now - self.held_by_key[key].last_sign_at() >= UNPROVED_SECONDS:
             self._end(key, now)
 
     def forget(self, key: BackendKey, now: float) -> None:
-        """Forget a server that left the register, but for a word of its leaving.
+        """Forget a server removed from the register, but keep its state if leaving.
 
-        Entries lapse while the platform's store is away, and are back.
+        Entries expire during an outage of the platform's store and come back after
+        it.
         """
         self.list_view_by_key.pop(key, None)
         held = self.held_by_key.pop(key, None)
@@ -190,21 +217,21 @@
         self.gone_by_key[key] = GoneWord(held, now)
 
     def take_back(self, key: BackendKey, now: float) -> None:
-        """Take a server that is new here; one that was here before may be leaving."""
+        """Restore the drain state of a server that was removed while leaving."""
         gone = self.gone_by_key.pop(key, None)
         if gone is not None and now - gone.at < UNPROVED_SECONDS:
             self.held_by_key[key] = gone.held
             self.changed.add(key)
 
     def forget_old(self, now: float) -> None:
-        """Forget returns of long ago."""
+        """Forget returned servers whose state is older than `RETURNED_KEPT_SECONDS`."""
         for key, held in list(self.held_by_key.items()):
             is_old = now - held.changed_at > RETURNED_KEPT_SECONDS
             if is_old and not held.word.leaving:
                 del self.held_by_key[key]
 
     def digest(self) -> str:
-        """Return a hash of all words that say leaving."""
+        """Return a hash of the drain states of all leaving servers."""
         lines = sorted(
             f'{key.backend_id} {key.address} {word.generation} '
             + ','.join(sorted(sign.value for sign in word.signs))
@@ -213,7 +240,7 @@
         return xxhash.xxh3_64_hexdigest('\n'.join(lines).encode())
 
     def take_changed(self) -> set[BackendKey]:
-        """Return the servers whose word changed since the last call."""
+        """Return and clear the servers whose state changed since the last call."""
         changed, self.changed = self.changed, set()
         return changed
 
@@ -242,7 +269,7 @@
 
 
 def next_flaps(held: HeldWord, word: DrainWord, now: float) -> int:
-    """Return how often in a row a server left again soon after it returned."""
+    """Return the number of flaps of a server once a new state is applied."""
     if not word.leaving or held.word.leaving:
         return held.flaps
     soon = now - held.learned_at < FLAP_WINDOW_SECONDS
--- a/catkinslip/health/lister.py
+++ b/catkinslip/health/lister.py
@@ -1,4 +1,4 @@
-"""Read the platform's list for backend servers that leave."""
+"""Reading of the platform's instance list for leaving backend servers."""
 
 import logging
 from collections.abc import Callable
@@ -10,7 +10,8 @@
 from catkinslip.health.tracker import HealthTracker
 from catkinslip.store.base import ObjectStore
 
-#: Each read is a call to the platform; the readers tell their peers.
+#: Seconds between two reads. Each read is a call to the platform; the readers send
+#: the result to their peers.
 LIST_SECONDS = 1.0
 
 log = logging.getLogger('health')
@@ -18,7 +19,7 @@
 
 @define
 class ListFollower:
-    """Read the list while this instance is one of its few readers."""
+    """Periodic reads of the list while this instance is one of its few readers."""
 
     store: ObjectStore
     tracker: HealthTracker
@@ -26,19 +27,19 @@
     is_failing: bool = False
 
     async def run(self) -> None:
-        """Read until cancelled."""
+        """Read the list every `LIST_SECONDS` until cancelled."""
         while True:
             if self.is_reader():
                 await self.read_once()
             await trio.sleep(LIST_SECONDS)
 
     async def read_once(self) -> None:
-        """Read the list once; say when it begins to fail and when it ends."""
+        """Read the list once; log only the first of several failures in a row."""
         match await self.store.list_instances():
             case Success(listed):
                 self.tracker.learn_list(listed)
                 self.is_failing = False
             case Failure(error):
                 if not self.is_failing:
-                    log.warning('health: the list cannot be read, %s.', error)
+                    log.warning('health: instance list not readable. error=%s', error)
                 self.is_failing = True
--- a/catkinslip/health/prober.py
+++ b/catkinslip/health/prober.py
@@ -1,4 +1,4 @@
-"""Probe backend servers without a recent answer, within the budget."""
+"""Probes of backend servers without a recent answer, within the budget."""
 
 import logging
 
@@ -26,9 +26,11 @@
 from catkinslip.proxy.wire import ConnectionErrors, Wire
 
 PROBE_HEADER = b'catkinslip-probe'
-#: All servers are looked at once in a round, in parts that hold the loop briefly.
+#: Every server is checked once a round, in parts so that no part blocks the loop
+#: for long.
 ROUND_SECONDS = 1.0
 PARTS = 20
+#: Seconds that a probe may take, including the wait for a connection.
 TIMEOUT_SECONDS = 1.0
 MAX_AT_ONCE = 8
 
@@ -37,7 +39,7 @@
 
 @define
 class Prober:
-    """Send the probes that are due and within the budget."""
+    """Sender of the probes that are due and within the budget."""
 
     tracker: HealthTracker
     members: MemberTable
@@ -46,7 +48,7 @@
     limiter: trio.CapacityLimiter = Factory(lambda: trio.CapacityLimiter(MAX_AT_ONCE))
 
     async def run(self) -> None:
-        """Probe until cancelled; look at a part of the servers at a time."""
+        """Send due probes until cancelled, checking a part of the servers at a time."""
         async with trio.open_nursery() as nursery:
             while True:
                 self.tracker.budget.see_members(len(self.members.live()))
@@ -57,7 +59,7 @@
                 self.end_unproved()
 
     def due(self, now: float, part: int = 0, parts: int = PARTS) -> list[ProbeTarget]:
-        """Return what to probe of one part of the servers, the most urgent first."""
+        """Return the due probes of one part of the servers, the most urgent first."""
         member_ids = [each.member_id for each in self.members.live()]
         keys = list(self.tracker.key_by_id.values())[part::parts]
         targets = [self.target(key, now, member_ids) for key in keys]
@@ -66,7 +68,7 @@
     def target(
         self, key: BackendKey, now: float, member_ids: list[str]
     ) -> ProbeTarget | None:
-        """Return one server as a target if a probe of it is due and affordable."""
+        """Return a probe target for a server if a probe is due and in the budget."""
         tracker = self.tracker
         proves_return = tracker.drain.is_leaving(key)
         if proves_return:
@@ -77,8 +79,8 @@
             return None
         service = tracker.document.register.backends[key.backend_id].service
         terms = tracker.terms_by_service[service]
-        # Those before this instance get their time to probe and tell, even when the
-        # budget allows it to all of them at the same moment.
+        # Instances with a better rank get their time to probe and to send the result,
+        # even when the budget allows a probe to all of them at the same moment.
         waited = min(waited, tracker.budget.allowed_for(key.address, terms, now))
         waited -= RANK_SECONDS * rank(key, self.members.own.member_id, member_ids)
         if waited < 0:
@@ -86,7 +88,7 @@
         return ProbeTarget(key, service, proves_return, waited)
 
     def is_allowed(self, key: BackendKey, now: float, proves_return: bool) -> bool:
-        """Tell whether a silent server may be probed; count what the budget holds."""
+        """Return whether a server may be probed now; count probes over the budget."""
         tracker = self.tracker
         backend = tracker.document.register.backends[key.backend_id]
         if backend.draining or tracker.reachability.is_avoided(key, now):
@@ -100,7 +102,7 @@
         return False
 
     async def probe(self, target: ProbeTarget) -> None:
-        """Send one probe and take over what its answer says."""
+        """Send one probe and apply its answer; log a broken connection."""
         key = target.key
         address = Address.parse(key.address)
         with trio.move_on_after(TIMEOUT_SECONDS):
@@ -113,13 +115,17 @@
                 try:
                     await self.exchange(wire, target)
                 except (*ConnectionErrors, h11.ProtocolError) as error:
-                    log.info('health: probe of %s failed, %r.', key.backend_id, error)
+                    log.info(
+                        'health: probe failed. backend=%s error=%r',
+                        key.backend_id,
+                        error,
+                    )
                 finally:
                     with trio.CancelScope(shield=True):
                         await self.pool.release(address, wire)
 
     async def exchange(self, wire: Wire, target: ProbeTarget) -> None:
-        """Spend from the budget, send the probe, and read its answer."""
+        """Spend a probe from the budget, send the request and read the answer."""
         tracker, key = self.tracker, target.key
         terms = tracker.terms_by_service.get(target.service)
         router = tracker.router(key)
@@ -130,7 +136,7 @@
         ):
             return
         tracker.counters.probes_sent += 1
-        log.info('health: probes %s, due for %.1f s.', key.backend_id, target.overdue)
+        log.info('health: probe. backend=%s due_s=%.1f', key.backend_id, target.overdue)
         try:
             await wire.send(self.request(target), h11.EndOfMessage())
             response = await receive_response(wire)
@@ -140,7 +146,7 @@
         self.take(response, key, sent_at, picks_before)
 
     def request(self, target: ProbeTarget) -> h11.Request:
-        """Return the head of a probe."""
+        """Return the request head of a probe."""
         service = self.tracker.document.register.services[target.service]
         headers = [
             (b'host', target.service.encode()),
@@ -151,7 +157,7 @@
     def take(
         self, response: h11.Response, key: BackendKey, sent_at: float, picks_before: int
     ) -> None:
-        """Take over the answer of a probe."""
+        """Apply the answer of a probe, including a proof that the server returned."""
         tracker = self.tracker
         now = self.clock.monotonic()
         tracker.counters.probes_answered += 1
@@ -165,7 +171,7 @@
             tracker.settle()
 
     def end_unproved(self) -> None:
-        """Let servers of services without probes return by time alone."""
+        """Mark leaving servers of services without probes as returned after a time."""
         now = self.clock.monotonic()
         backends = self.tracker.document.register.backends
         for key in self.tracker.drain.leaving():
--- a/catkinslip/health/reachability.py
+++ b/catkinslip/health/reachability.py
@@ -1,4 +1,4 @@
-"""Which backend servers do not accept connections, and when to try them again."""
+"""Backend servers that refuse connections, and when to try them again."""
 
 from random import Random
 
@@ -6,14 +6,16 @@
 
 from catkinslip.models import BackendKey
 
+#: Pause after the first refused connection; each further one in a row doubles it.
 FIRST_PAUSE_SECONDS = 0.5
 LONGEST_PAUSE_SECONDS = 10.0
+#: Largest share by which a pause is shortened at random.
 JITTER = 0.5
 
 
 @define
 class Pause:
-    """Failures in a row and when the next trial may start; monotonic seconds."""
+    """Failures in a row and the earliest time of the next trial; monotonic seconds."""
 
     failures: int
     until: float
@@ -21,13 +23,13 @@
 
 @define
 class Reachability:
-    """Keep requests from servers that refuse connections, but for one trial."""
+    """Servers to avoid because they refuse connections, except for one trial."""
 
     random: Random
     pause_by_key: dict[BackendKey, Pause] = Factory(dict)
 
     def failed(self, key: BackendKey, now: float) -> float:
-        """Count a refused connection; return the seconds until the next trial."""
+        """Record a refused connection; return the seconds until the next trial."""
         pause = self.pause_by_key.get(key)
         failures = pause.failures + 1 if pause else 1
         longest = min(FIRST_PAUSE_SECONDS * 2 ** (failures - 1), LONGEST_PAUSE_SECONDS)
@@ -36,11 +38,11 @@
         return seconds
 
     def reached(self, key: BackendKey) -> bool:
-        """Take an accepted connection; tell whether the server had failed before."""
+        """Record an accepted connection; return whether the last one was refused."""
         return self.pause_by_key.pop(key, None) is not None
 
     def is_avoided(self, key: BackendKey, now: float) -> bool:
-        """Tell whether a server must not be tried yet."""
+        """Return whether a server must not be tried yet."""
         pause = self.pause_by_key.get(key)
         return pause is not None and now < pause.until
 
@@ -53,11 +55,11 @@
         ]
 
     def tried(self, key: BackendKey, now: float) -> None:
-        """Let no second trial start while one runs."""
+        """Extend the pause so that no second trial starts while one runs."""
         pause = self.pause_by_key.get(key)
         if pause is not None:
             pause.until = max(pause.until, now + FIRST_PAUSE_SECONDS)
 
     def forget(self, key: BackendKey) -> None:
-        """Forget a server that left the register."""
+        """Forget a server removed from the register."""
         self.pause_by_key.pop(key, None)
--- a/catkinslip/health/reports.py
+++ b/catkinslip/health/reports.py
@@ -1,4 +1,4 @@
-"""The newest load report on each backend server, from any source."""
+"""The newest load report of each backend server, from any source."""
 
 import heapq
 
@@ -7,9 +7,10 @@
 from catkinslip.models import BackendKey
 from catkinslip.routing.base import LoadReport
 
-#: Older reports say nothing more; they are told to no peer.
+#: Reports older than this are no longer useful and are not sent to peers.
 MAX_AGE_SECONDS = 5.0
-#: Some 85 bytes each, in every exchange of a node with a few KB a second for all.
+#: Each takes about 85 bytes in every exchange, on a node with a few KB a second for
+#: all exchanges.
 MAX_REPORTS_PER_MESSAGE = 8
 
 
@@ -23,15 +24,15 @@
 
 @define
 class ReportTable:
-    """Keep the youngest report on each server."""
+    """The newest report and the time of the last answer of each server."""
 
     known_by_key: dict[BackendKey, KnownReport] = Factory(dict)
     answered_at_by_key: dict[BackendKey, float] = Factory(dict)
-    #: Reports taken over so far.
+    #: Number of reports applied so far.
     version: int = 0
 
     def learn(self, key: BackendKey, known: KnownReport) -> bool:
-        """Take a report over if it is younger; tell whether it was."""
+        """Apply a report if it is newer; return whether it was."""
         self.answered(key, known.observed_at)
         held = self.known_by_key.get(key)
         if held is not None and held.observed_at >= known.observed_at:
@@ -41,15 +42,15 @@
         return True
 
     def answered(self, key: BackendKey, at: float) -> None:
-        """Take the time of an answer, with or without a report."""
+        """Record the time of an answer, with or without a report."""
         self.answered_at_by_key[key] = max(at, self.answered_at_by_key.get(key, at))
 
     def silent_for(self, key: BackendKey, now: float) -> float:
-        """Return the seconds since the last known answer."""
+        """Return the seconds since the last known answer; 0 for an unknown server."""
         return now - self.answered_at_by_key.get(key, now)
 
     def youngest(self, now: float) -> list[tuple[BackendKey, KnownReport]]:
-        """Return the youngest reports that are worth telling."""
+        """Return the newest reports to send to peers, at most one message full."""
         fresh = [
             (key, known)
             for key, known in self.known_by_key.items()
@@ -60,10 +61,10 @@
         )
 
     def expect(self, key: BackendKey, now: float) -> None:
-        """Wait for answers of a new server."""
+        """Start to count the silence of a new server from now."""
         self.answered_at_by_key.setdefault(key, now)
 
     def forget(self, key: BackendKey) -> None:
-        """Forget a server that left the register."""
+        """Forget a server removed from the register."""
         self.answered_at_by_key.pop(key, None)
         self.known_by_key.pop(key, None)
--- a/catkinslip/health/sampler.py
+++ b/catkinslip/health/sampler.py
@@ -1,8 +1,8 @@
-"""Ask backend servers for their load right before a choice.
+"""Load probes of backend servers right before a choice.
 
-The servers that look best and have no fresh report are asked, the choice is made
-again, and so on for a few rounds: a report of a millisecond ago shows a server that
-slowed down, filled up or fell silent since its last answer.
+The best-ranked servers without a fresh report are probed and the choice is made
+again, for a few rounds: a report that is a millisecond old shows a server that slowed
+down, filled up or fell silent since its last answer.
 """
 
 import logging
@@ -25,25 +25,28 @@
 from catkinslip.store.budget import TokenBucket
 from catkinslip.throttling.signs import AnswerKind
 
-#: Reports younger than this are not asked for again.
+#: Servers with a report younger than this are not probed.
 FRESH_SECONDS = 0.01
-#: Servers asked at once, and how often the choice is made again.
+#: Servers probed at once before a choice.
 ASKED_AT_ONCE = 3
+#: Number of times that the choice may be made again.
 ROUNDS = 3
-#: Servers that may have become cold are asked so many a call: a zone of a hundred is
-#: known within some tens of calls, and none of these is held up by it.
+#: Possibly restarted, hence cold, servers that are probed on each call: a zone of a
+#: hundred is covered within some tens of calls, and no call waits for these probes.
 DOUBTED_AT_ONCE = 4
-#: Servers that name a rate are asked so many a call.
+#: Servers with an advertised rate that are probed on each call.
 THROTTLED_AT_ONCE = 2
-#: A choice waits so long for answers; most take a round trip of few milliseconds.
+#: Seconds that a choice waits for answers; most take a few milliseconds.
 ANSWER_SECONDS = 0.03
-#: A late answer still tells that the server lives and how loaded it is.
+#: Seconds after which a probe is given up. A late answer still shows that the server
+#: is alive and how loaded it is.
 LATE_ANSWER_SECONDS = 1.0
-#: Between two questions to a server that gave no answer.
+#: Seconds between two probes of a silent server.
 SILENT_SECONDS = 0.5
-#: A share of the budget stays unused, since instances may know of each other late.
+#: Share of the budget that is used; the rest is for instances that others have not
+#: yet discovered.
 BUDGET_SHARE = 0.8
-#: Seconds of a server's budget that may be saved up for a rush.
+#: Seconds of a server's budget that may be saved up for a burst.
 SAVED_SECONDS = 1.0
 
 log = logging.getLogger('health')
@@ -51,7 +54,7 @@
 
 @define
 class Probe:
-    """One question to a server, under way or ended."""
+    """A load probe of one server, running or ended."""
 
     load: BackendLoad
     ended: trio.Event = Factory(trio.Event)
@@ -60,16 +63,17 @@
 
 @define
 class LoadSampler(Sampler):
-    """Refresh the reports that the next choice would rest on."""
+    """Load probes that refresh the reports on which the next choice would rest."""
 
     health: HealthTracker
     pool: BackendPool
     clock: Clock
     dialect: Dialect
-    #: Probes of one server per second from all instances, and how many there are.
+    #: Probes per second that one server may get from all instances together.
     probes_per_second: float
+    #: Returns the number of instances that share this budget.
     count_instances: Callable[[], float]
-    #: Seconds that an answer may take.
+    #: Seconds that a choice waits for an answer.
     answer_seconds: float = ANSWER_SECONDS
     bucket_by_id: dict[str, TokenBucket] = Factory(dict)
     asking: set[str] = Factory(set)
@@ -78,13 +82,13 @@
     _nursery: trio.Nursery | None = field(default=None, init=False)
 
     async def run(self) -> None:
-        """Ask silent servers now and then, and take late answers, until cancelled."""
+        """Probe silent servers periodically and run all probes, until cancelled."""
         async with trio.open_nursery() as self._nursery:
             try:
                 await self._ask_always()
             finally:
-                # A call that was woken before all was cancelled may still want a probe,
-                # and the nursery closes as soon as nothing runs in it any more.
+                # A call that was woken before the cancellation may still start a probe,
+                # and the nursery closes as soon as no task runs in it any more.
                 self._nursery = None
 
     async def _ask_always(self) -> None:
@@ -94,20 +98,20 @@
                 self._ask_silent(router)
 
     def _ask_silent(self, router: ServiceRouter) -> None:
-        """Ask servers that gave no answer before; no call waits for them."""
+        """Probe all silent servers in the background."""
         silent = [each for each in router.loads if each.is_silent and not each.draining]
         self._ask_beside(router, silent, len(silent))
 
     def _ask_doubted(self, router: ServiceRouter) -> None:
-        """Ask some of the servers that may have become cold; no call waits for them."""
+        """Probe some possibly restarted servers in the background."""
         doubted = map(router.load_by_id.get, list(router.cold.doubted_at_by_id))
         usable = [each for each in doubted if router.takes_requests(each)]
         self._ask_beside(router, usable, DOUBTED_AT_ONCE)
 
     def _ask_throttled(self, router: ServiceRouter) -> None:
-        """Ask some of the servers that nobody has heard from since they named a rate.
+        """Probe some servers with a stale advertised rate in the background.
 
-        No call waits for them.
+        No instance has had an answer from them since they advertised the rate.
         """
         unheard = router.throttle.unheard(self.clock.monotonic())
         usable = [each for each in unheard if router.takes_requests(each)]
@@ -116,7 +120,7 @@
     def _ask_beside(
         self, router: ServiceRouter, loads: list[BackendLoad], most: int
     ) -> None:
-        """Ask so many of some servers, where the budget allows, and do not wait."""
+        """Probe up to `most` servers within the budget, without waiting for answers."""
         if self._nursery is None or not loads:
             return
         now = self.clock.monotonic()
@@ -132,9 +136,9 @@
                 asked += 1
 
     def _may_ask(self, router: ServiceRouter, load: BackendLoad) -> bool:
-        """Tell whether a server may be probed, and a probe would be under way at once.
+        """Return whether a server may be probed and the probe would be sent at once.
 
-        One that waits here for a connection would make its server look silent.
+        A probe that waits for a connection would make the server look silent.
         """
         address = self.health.directory.address_by_backend.get(load.backend_id)
         if address is None or load.backend_id in self.asking:
@@ -144,7 +148,7 @@
         return not self.pool.is_full(address)
 
     async def refresh(self, router: ServiceRouter, tried: Collection[str]) -> None:
-        """Ask until the choice rests on a fresh report, or the budget is spent."""
+        """Probe until the choice rests on a fresh report or the budget is spent."""
         self._ask_doubted(router)
         self._ask_throttled(router)
         for _ in range(ROUNDS):
@@ -154,7 +158,7 @@
             await self._ask_all(router, leaders)
 
     async def look(self, router: ServiceRouter, backend_id: str) -> None:
-        """Ask one server, unless the budget is spent."""
+        """Probe one server, unless the budget is spent."""
         load = router.load_by_id.get(backend_id)
         if load is None or not self._may_ask(router, load):
             return
@@ -162,7 +166,7 @@
             await self._ask_all(router, [load])
 
     async def _ask_all(self, router: ServiceRouter, loads: list[BackendLoad]) -> None:
-        """Ask servers and wait a moment; later answers still count when they come."""
+        """Probe servers and wait `answer_seconds`; later answers are still applied."""
         if self._nursery is None:
             return
         asked = [self._start(router, load) for load in loads]
@@ -172,7 +176,8 @@
         for probe in asked:
             if not probe.ended.is_set():
                 self._unanswered(router, probe)
-        # Where no server answers, the fault may lie here.
+        # Where no server answers, the fault may be in this instance: silence is sent to
+        # the other instances only if another server answered.
         if any(probe.is_answered for probe in asked):
             for probe in asked:
                 router.tell_silence(probe.load.backend_id)
@@ -189,16 +194,16 @@
         if not router.is_known(probe.load):
             return
         if not probe.load.is_silent:
-            log.info('health: no answer to a probe. backend=%s', backend_id)
+            log.info('health: probe unanswered. backend=%s', backend_id)
         router.unanswered(backend_id)
 
     def _rate(self) -> float:
-        """Return the probes of one server per second that are this instance's own."""
+        """Return this instance's share of the probes of one server per second."""
         instances = max(1, self.count_instances())
         return self.probes_per_second * BUDGET_SHARE / instances
 
     def forget_removed(self) -> None:
-        """Drop the buckets of servers that left the register."""
+        """Drop the buckets of servers removed from the register."""
         known = self.health.key_by_id
         for backend_id in list(self.bucket_by_id):
             if backend_id not in known:
@@ -207,7 +212,7 @@
     def _stale_leaders(
         self, router: ServiceRouter, tried: Collection[str]
     ) -> list[BackendLoad]:
-        """Return the best servers to ask; none if the best one is known and good."""
+        """Return servers to probe; none if the best one has a fresh, good report."""
         now = self.clock.monotonic()
         ranked = self.health.rank(router, tried)
         if not ranked:
@@ -229,7 +234,7 @@
         return leaders
 
     def _take_probe(self, backend_id: str, rate: float, now: float) -> bool:
-        """Take one probe of a server from the budget; tell whether there was one."""
+        """Spend one probe of a server; return whether the budget allowed the probe."""
         if rate <= 0:
             return False
         bucket = self.bucket_by_id.get(backend_id)
@@ -249,8 +254,8 @@
             with trio.move_on_after(LATE_ANSWER_SECONDS):
                 probe.is_answered = await self._exchange(router, load)
         except Exception:
-            # One probe must not stop the others.
-            log.exception('health: a probe failed. backend=%s', load.backend_id)
+            # A failed probe must not cancel the others.
+            log.exception('health: probe failed. backend=%s', load.backend_id)
         finally:
             self.asking.discard(load.backend_id)
         if not probe.is_answered and not load.is_silent:
@@ -271,7 +276,7 @@
         try:
             is_done = await self._probe(router, load, wire)
         except (*ConnectionErrors, h11.ProtocolError) as error:
-            log.info('health: a probe broke. backend=%s error=%r', backend_id, error)
+            log.info('health: probe failed. backend=%s error=%r', backend_id, error)
         finally:
             wire.is_spoiled = wire.is_spoiled or not is_done
             await self.pool.release(address, wire)
@@ -288,7 +293,7 @@
         picks_before = load.picks_since_report
         sent_at = self.clock.monotonic()
         if not router.may_probe(load, sent_at):
-            # It asked for rest while this waited for a connection.
+            # A rest period began while the probe waited for a connection.
             return True
         await wire.send(request, h11.EndOfMessage())
         response = await receive_response(wire)
@@ -297,7 +302,7 @@
         if answer is None or answer.backend_id not in (None, load.backend_id):
             return False
         if not router.is_known(load):
-            # The server started again while it was asked.
+            # The server restarted while the probe was running.
             return True
         now = self.clock.monotonic()
         answered_at = (sent_at + now) / 2
@@ -307,9 +312,10 @@
         if answer.words.is_leaving:
             self.health.leaves(load.backend_id)
         if answer.cold_seconds is None:
-            log.info('health: unreadable cold time. backend=%s', load.backend_id)
+            log.info('health: cold time not readable. backend=%s', load.backend_id)
         else:
-            # The answer may have been long on its way: the bound holds until the end.
+            # The way back of the answer may have been long, so it is added: the server
+            # is treated as cold for at least as long as the answer states.
             way_back = now - answered_at if answer.cold_seconds > 0 else 0.0
             cold_seconds = answer.cold_seconds + way_back
             router.told_cold(load.backend_id, cold_seconds, answered_at)
--- a/catkinslip/health/schedule.py
+++ b/catkinslip/health/schedule.py
@@ -1,4 +1,4 @@
-"""Choose which backend servers to probe now; pure, and silent about the budget."""
+"""Order of the backend servers to probe; pure functions that ignore the budget."""
 
 from collections.abc import Iterable, Sequence
 
@@ -7,15 +7,16 @@
 
 from catkinslip.models import BackendKey
 
+#: Seconds without an answer after which a server is due for a probe.
 STALE_SECONDS = 2.0
-#: Each place behind the first in the order of a server waits this much longer, so
-#: the next ones step in only if the first ones do not probe or tell.
+#: Extra seconds that each instance waits per rank behind the first in the order of a
+#: server, so that it probes only if those before it send no probe or no result.
 RANK_SECONDS = 2.0
 
 
 @frozen
 class ProbeTarget:
-    """A server to probe, whether to prove its return, and for how long it is due."""
+    """A server to probe: whether for a proof of its return, and seconds overdue."""
 
     key: BackendKey
     service: str
@@ -24,7 +25,7 @@
 
 
 def rank(key: BackendKey, own_id: str, member_ids: Iterable[str]) -> int:
-    """Return the place of an instance in the rendezvous order of a server."""
+    """Return the rank of an instance in the rendezvous order of a server, from 0."""
     own_weight = weight(key, own_id)
     return sum(weight(key, each) > own_weight for each in member_ids if each != own_id)
 
@@ -35,5 +36,5 @@
 
 
 def in_order(targets: Sequence[ProbeTarget]) -> list[ProbeTarget]:
-    """Return targets that prove a return first, then those due for longest."""
+    """Return targets that prove a return first, then the longest overdue."""
     return sorted(targets, key=lambda each: (not each.proves_return, -each.overdue))
--- a/catkinslip/health/sharing.py
+++ b/catkinslip/health/sharing.py
@@ -1,7 +1,8 @@
-"""Tell the other instances of the zone what servers report, as it comes in.
+"""Sharing of load reports between the instances of a zone as they arrive.
 
-A report goes to every instance of the zone in a datagram within a few milliseconds,
-so that they all choose from what any of them learned. A lost datagram does no harm.
+Each report goes to every instance of the zone in a datagram within a few
+milliseconds, so that all choose from the reports that any of them received. A lost
+datagram does no harm.
 """
 
 import logging
@@ -17,16 +18,17 @@
 from catkinslip.routing.base import BackendLoad, LoadReport
 from catkinslip.routing.directory import Directory
 
-#: Reports of this time go out together.
+#: Seconds for which reports are gathered into one datagram.
 FLUSH_SECONDS = 0.008
-#: Datagrams of this time are taken together.
+#: Seconds between two reads of the socket; datagrams that arrive meanwhile are
+#: applied together.
 TAKE_SECONDS = 0.001
-#: Some 40 bytes each; a datagram stays below one packet of 1,500 bytes.
+#: Each takes about 40 bytes; a datagram stays below one packet of 1,500 bytes.
 MAX_REPORTS = 30
 MAX_DATAGRAM_BYTES = 1472
-#: An older report says little of a server whose speed changes many times a second.
+#: Older reports are not sent, as a server's speed changes many times a second.
 OLDEST_SECONDS = 0.05
-#: A request sent this much before a report is in it.
+#: A request sent at least this long before a report is counted in the report.
 ON_THE_WAY_SECONDS = 0.002
 READ_ERRORS = (orjson.JSONDecodeError, AttributeError, KeyError, TypeError, ValueError)
 
@@ -35,28 +37,36 @@
 
 @define
 class ReportSharer:
-    """Send new reports to the instances of the zone, and take theirs."""
+    """Exchange of new reports with the other instances of the zone."""
 
     own: Address
+    #: Returns the addresses of the other instances of the zone.
     targets: Callable[[], list[Address]]
     directory: Directory
     clock: Clock
+    #: Servers with a change to send, by backend ID.
     load_by_id: dict[str, BackendLoad] = Factory(dict)
     has_news: trio.Event = Factory(trio.Event)
-    #: Takes a datagram that tells of something else, by what it tells.
+    #: Handlers of datagrams without reports, by the key of their topic.
     take_by_topic: dict[str, Callable[[dict], None]] = Factory(dict)
+    #: Number of datagrams sent.
     sent: int = 0
+    #: Number of received reports of known servers.
     taken: int = 0
+    #: Number of datagrams that could not be read.
     malformed: int = 0
     _socket: socket.socket | None = field(default=None, init=False)
 
     def note(self, load: BackendLoad) -> None:
-        """Take note of a server whose load or own requests changed."""
+        """Queue a server whose load or local requests changed for the next datagram."""
         self.load_by_id[load.backend_id] = load
         self.has_news.set()
 
     async def run(self) -> None:
-        """Send and receive until cancelled."""
+        """Send and receive datagrams until cancelled.
+
+        Raises OSError if the UDP address cannot be bound.
+        """
         with socket.socket(type=socket.SOCK_DGRAM) as sock:
             sock.setblocking(False)
             sock.bind((self.own.host, self.own.port))
@@ -75,17 +85,17 @@
                 self.post(data, self.targets())
 
     def post(self, data: bytes, addresses: list[Address]) -> None:
-        """Send a datagram to several instances."""
+        """Send a datagram to several instances; a failure is only logged."""
         for address in addresses:
             try:
                 self._socket.sendto(data, (address.host, address.port))
                 self.sent += 1
             except OSError as error:
-                # The next report is on its way within milliseconds.
-                log.debug('health: no datagram sent. to=%s error=%r', address, error)
+                # The next report follows within milliseconds.
+                log.debug('health: datagram not sent. to=%s error=%r', address, error)
 
     def encode(self) -> bytes | None:
-        """Return the fresh reports as a datagram; None if there are none."""
+        """Return the queued changes as a datagram; None if there is nothing to send."""
         now = self.clock.monotonic()
         loads = list(self.load_by_id.values())[:MAX_REPORTS]
         self.load_by_id.clear()
@@ -113,19 +123,19 @@
             await trio.sleep(TAKE_SECONDS)
 
     def _take_all(self, sock: socket.socket) -> None:
-        """Take over every datagram that has come."""
+        """Apply every datagram that has arrived."""
         while True:
             try:
                 data = sock.recv(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             except OSError as error:
-                log.debug('health: no report received. error=%r', error)
+                log.debug('health: datagram not received. error=%r', error)
                 return
             self.take(data)
 
     def take(self, data: bytes) -> None:
-        """Take over the reports of a datagram that are newer than the own ones."""
+        """Apply the reports of a datagram that are newer than the local ones."""
         now = self.clock.monotonic()
         try:
             told = orjson.loads(data)
@@ -133,7 +143,7 @@
                 self._take_other(told)
                 return
             for each in told['reports']:
-                # An earlier program tells nothing of cold servers.
+                # Earlier versions send no remaining cold time.
                 backend_id, start, in_flight, speed, age_ms, *more = each
                 report = LoadReport(float(in_flight), float(speed))
                 at = now - max(0.0, age_ms) / 1e3
@@ -143,14 +153,14 @@
                 self._learn_silence(str(backend_id), start, now)
         except READ_ERRORS as error:
             self.malformed += 1
-            log.warning('health: a datagram cannot be read. error=%r', error)
+            log.warning('health: datagram not readable. error=%r', error)
 
     def _take_other(self, told: dict) -> None:
         for topic, take in self.take_by_topic.items():
             if topic in told:
                 take(told)
                 return
-        raise ValueError(f'a datagram tells of {sorted(told)}')
+        raise ValueError(f'datagram has no known topic, its keys are {sorted(told)}')
 
     def _learn_silence(self, backend_id: str, start: int, now: float) -> None:
         router = self.directory.find_started(backend_id, start)
@@ -173,5 +183,5 @@
         picks_before = load.picks_since_report if in_report else 0
         router.heard(backend_id, report, at, picks_before)
         now = self.clock.monotonic()
-        router.cold.begin(load, cold_seconds, now, 'another instance tells')
+        router.cold.begin(load, cold_seconds, now, 'reported by another instance')
         self.taken += 1
--- a/catkinslip/health/signs.py
+++ b/catkinslip/health/signs.py
@@ -1,4 +1,4 @@
-"""Read what a backend server's answer says of its leaving."""
+"""Signals of leaving in the answers of a backend server."""
 
 from collections.abc import Iterable
 
@@ -9,30 +9,30 @@
 
 DRAIN_HEADER = b'catkinslip-drain'
 DRAIN_VALUE = b'true'
-#: Answers in a row that close their connection before it counts as a sign.
+#: Number of answers in a row that close their connection before this is a signal.
 CLOSES_IN_A_ROW = 3
 
 
 def says_drain(headers: Iterable[tuple[bytes, bytes]]) -> bool:
-    """Tell whether an answer carries the drain header."""
+    """Return whether an answer carries the drain header with the value `true`."""
     value = find(headers, DRAIN_HEADER)
     return value is not None and value.strip().lower() == DRAIN_VALUE
 
 
 def says_close(headers: Iterable[tuple[bytes, bytes]]) -> bool:
-    """Tell whether an answer closes its connection."""
+    """Return whether an answer closes its connection."""
     value = find(headers, b'connection')
     return value is not None and b'close' in value.lower()
 
 
 @define
 class CloseCounter:
-    """Find servers that begin to close connections which they kept before."""
+    """Detector of servers that begin to close connections that they kept before."""
 
     closes_by_key: dict[BackendKey, int] = Factory(dict)
 
     def answered(self, key: BackendKey, closes: bool) -> bool:
-        """Count an answer; tell whether the closes in a row are a sign."""
+        """Count an answer; return whether the closes in a row are a signal."""
         if not closes:
             self.closes_by_key[key] = 0
             return False
@@ -42,5 +42,5 @@
         return self.closes_by_key[key] >= CLOSES_IN_A_ROW
 
     def forget(self, key: BackendKey) -> None:
-        """Expect connections to be kept again before closes count."""
+        """Forget a server: it has to keep a connection before closes count again."""
         self.closes_by_key.pop(key, None)
--- a/catkinslip/health/spreader.py
+++ b/catkinslip/health/spreader.py
@@ -1,7 +1,8 @@
-"""Tell peers at once when a backend server begins or ceases to leave.
+"""Gossip of drain state changes of backend servers.
 
-Each instance that learns something new tells a few random peers in turn, so the news
-reaches all of them within some round trips; the regular exchange repairs the rest.
+Each instance with a new change sends it to a few random peers, which do the same, so
+that it reaches all of them within some round trips; the regular exchange reaches the
+rest.
 """
 
 from random import Random
@@ -12,21 +13,22 @@
 from catkinslip.health.tracker import HealthTracker
 from catkinslip.membership.exchange import PeerExchange
 
+#: Number of peers to which each change is sent.
 FANOUT = 6
-#: Several changes at once, as when a rack leaves, are told together.
+#: Seconds for which changes are gathered, as when a whole rack leaves.
 GATHER_SECONDS = 0.05
 
 
 @define
 class DrainSpreader:
-    """Tell a few random peers of each change at once."""
+    """Sender of drain state changes to a few random peers at once."""
 
     tracker: HealthTracker
     peers: PeerExchange
     random: Random
 
     async def run(self) -> None:
-        """Spread changes until cancelled."""
+        """Send changes until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 await self.tracker.drain_changed.wait()
--- a/catkinslip/health/topics.py
+++ b/catkinslip/health/topics.py
@@ -1,4 +1,4 @@
-"""Carry drain words and load reports between peers."""
+"""Peer topics for drain states and load reports."""
 
 from collections.abc import Callable
 from typing import Any, TypeVar
@@ -20,14 +20,15 @@
 #: Not below zero, not infinite and not NaN.
 IS_AMOUNT = and_(ge(0), lt(float('inf')))
 
+#: Digits after the point of an age in seconds on the wire.
 AGE_DIGITS = 3
-#: A peer whose digest is not known is told what changed this lately.
+#: A peer whose digest is unknown gets the states that changed in this time.
 RECENT_SECONDS = 10.0
 
 
 @frozen
 class DrainMessage:
-    """A drain word on the wire; `age` is in seconds."""
+    """A drain state on the wire; `age` is in seconds."""
 
     backend_id: str
     address: str
@@ -49,7 +50,7 @@
 
 @define
 class DrainTopic(PeerTopic):
-    """Tell peers which backend servers are leaving or have returned."""
+    """The drain states of backend servers, for peers."""
 
     table: DrainTable
     is_registered: Callable[[BackendKey], bool]
@@ -59,11 +60,15 @@
     name = 'drain'
 
     def digest(self) -> Any:
-        """Return a hash of the words that say leaving."""
+        """Return a hash of the drain states of all leaving servers."""
         return self.table.digest()
 
     def news_for(self, digest: Any | None) -> Any | None:
-        """Return all words for a peer that differs, else those of moments ago."""
+        """Return all drain states for a peer whose digest differs.
+
+        Returns only recent changes if the digest is None, and None if the digests are
+        equal or there is nothing to send.
+        """
         if digest == self.table.digest():
             return None
         now = self.monotonic()
@@ -82,7 +87,10 @@
         return cattrs.unstructure(messages) if messages else None
 
     def receive(self, news: Any) -> None:
-        """Merge a peer's words on servers of the register."""
+        """Merge a peer's drain states of registered servers.
+
+        Raises ValueError if a message is malformed; then nothing is merged.
+        """
         now = self.monotonic()
         messages = structure(news, DrainMessage)
         self.counters.drain_words_received += len(messages)
@@ -96,7 +104,7 @@
 
 @define
 class ReportTopic(PeerTopic):
-    """Tell peers the newest load reports in batches, each with its age."""
+    """The newest load reports, each with its age, in batches for peers."""
 
     reports: ReportTable
     learn: Callable[[BackendKey, KnownReport], None]
@@ -105,11 +113,11 @@
     name = 'load'
 
     def digest(self) -> Any:
-        """Return a number that differs from peers', as each knows other reports."""
+        """Return the version of the local reports, which differs from every peer's."""
         return self.reports.version
 
     def news_for(self, digest: Any | None) -> Any | None:
-        """Return a batch of the youngest reports."""
+        """Return a batch of the newest reports; None if there are none."""
         now = self.monotonic()
         messages = [
             ReportMessage(
@@ -125,7 +133,10 @@
         return cattrs.unstructure(messages) if messages else None
 
     def receive(self, news: Any) -> None:
-        """Take over reports that are younger than the known ones."""
+        """Apply reports that are newer than the known ones.
+
+        Raises ValueError if a message is malformed; then nothing is applied.
+        """
         now = self.monotonic()
         messages = structure(news, ReportMessage)
         self.counters.reports_received += len(messages)
@@ -137,20 +148,20 @@
 
 
 def age_since(at: float, now: float) -> float:
-    """Return an age in seconds, short on the wire."""
+    """Return an age in seconds, rounded for the wire."""
     return round(max(0.0, now - at), AGE_DIGITS)
 
 
 def structure(news: Any, kind: type[Message]) -> list[Message]:
-    """Return a peer's messages; raise ValueError when one is malformed."""
+    """Return a peer's messages; raise ValueError if one is malformed."""
     try:
         return cattrs.structure(news, list[kind])
     except MALFORMED as error:
-        raise ValueError(f'malformed news of health: {error!r}') from None
+        raise ValueError(f'malformed health update from a peer: {error!r}') from None
 
 
 def health_topics(tracker: HealthTracker) -> tuple[PeerTopic, ...]:
-    """Return the topics of a tracker."""
+    """Return the peer topics that serve a tracker's drain states and reports."""
     monotonic, counters = tracker.clock.monotonic, tracker.counters
     return (
         DrainTopic(
--- a/catkinslip/health/tracker.py
+++ b/catkinslip/health/tracker.py
@@ -1,4 +1,4 @@
-"""Keep the health of all backend servers and tell the routers."""
+"""Health of all backend servers, as applied to the routers."""
 
 import logging
 from collections.abc import Collection, Iterable
@@ -28,7 +28,7 @@
 
 
 def make_terms(document: Document, max_instances: int) -> dict[str, ProbeTerms]:
-    """Return what a configuration and the settings allow each service."""
+    """Return the probes allowed for each service, by the name of the service."""
     return {
         name: ProbeTerms(
             service.probes_per_second,
@@ -41,14 +41,18 @@
 
 @define
 class HealthTracker:
-    """Take signs and answers from every source and keep the routers in step."""
+    """The health of all backend servers, from every source, kept in the routers.
+
+    Servers that are not in the register are ignored.
+    """
 
     directory: Directory
     clock: Clock
     budget: ProbeBudget
     reachability: Reachability
     max_instances: int
-    #: Whether closes in a row are a sign; only probes that prove a return end it.
+    #: Whether closed connections in a row are a signal. Only a probe that proves the
+    #: return ends a leaving that such a signal began.
     counts_closes: bool = True
     drain: DrainTable = Factory(DrainTable)
     reports: ReportTable = Factory(ReportTable)
@@ -58,11 +62,11 @@
     key_by_id: dict[str, BackendKey] = Factory(dict)
     terms_by_service: dict[str, ProbeTerms] = Factory(dict)
     leaving_keys: set[BackendKey] = Factory(set)
-    #: Set when a server began or ceased to leave, until a peer has been told.
+    #: Set when a server starts or stops leaving, replaced when peers are notified.
     drain_changed: trio.Event = Factory(trio.Event)
 
     def update(self, config: AcceptedConfig) -> None:
-        """Take over a new configuration, after the directory did."""
+        """Apply a new configuration, after the directory has applied it."""
         difference = compare(self.document, config.document)
         self.document = config.document
         if difference.redefined:
@@ -79,7 +83,11 @@
         return {key.address for key in self.key_by_id.values()}
 
     def _replace_key(self, backend_id: str, now: float) -> None:
-        """Forget a server that is not the one it was, and expect the one that is."""
+        """Replace the key of a server whose address or incarnation changed.
+
+        Drops the state of the old server and starts that of the new one; either may
+        be missing.
+        """
         backend = self.document.register.backends.get(backend_id)
         new = None if backend is None else make_key(backend_id, backend)
         old = self.key_by_id.get(backend_id)
@@ -97,7 +105,7 @@
             self.reports.expect(new, now)
 
     def count_call(self, service: str) -> None:
-        """Count one call of a caller, which pays for probes."""
+        """Count one call from a caller, which adds to the probe budget."""
         self.counters.calls += 1
         terms = self.terms_by_service.get(service)
         if terms is not None:
@@ -106,14 +114,14 @@
     def answered(
         self, backend_id: str, headers: Headers, report: LoadReport | None
     ) -> None:
-        """Take what the head of an answer says of its backend server."""
+        """Apply the head of a backend server's answer and its load report, if any."""
         key = self.key_by_id.get(backend_id)
         if key is None:
             return
         now = self.clock.monotonic()
         self.reports.answered(key, now)
         if self.reachability.reached(key):
-            log.info('health: %s answers again.', backend_id)
+            log.info('health: server answers again. backend=%s', backend_id)
             self._doubt(key, now)
         if report is not None:
             self.reports.learn(key, KnownReport(report, now))
@@ -129,14 +137,14 @@
         return self.closes.answered(key, says_close(headers))
 
     def leaves(self, backend_id: str) -> None:
-        """Take that a server said in an answer that it leaves."""
+        """Mark a server as leaving after a signal in one of its answers."""
         key = self.key_by_id.get(backend_id)
         if key is not None:
             self.drain.sign(key, DrainSign.OWN, self.clock.monotonic())
             self.settle()
 
     def refused(self, backend_id: str) -> None:
-        """Take a refused connection."""
+        """Record a refused connection and avoid the server for a time."""
         key = self.key_by_id.get(backend_id)
         if key is None:
             return
@@ -144,7 +152,9 @@
         now = self.clock.monotonic()
         pause = self.reachability.failed(key, now)
         self._doubt(key, now)
-        log.info('health: %s refuses connections, next in %.1f s.', backend_id, pause)
+        log.info(
+            'health: connection refused. backend=%s next_s=%.1f', backend_id, pause
+        )
 
     def _doubt(self, key: BackendKey, now: float) -> None:
         router = self.router(key)
@@ -152,7 +162,7 @@
             router.doubt(key.backend_id, now)
 
     def choose(self, router: ServiceRouter, tried: Collection[str]) -> Choice | None:
-        """Choose a server; one that refuses connections only as a last resort."""
+        """Return a choice; a server that refuses connections is the last resort."""
         now = self.clock.monotonic()
         avoided = self.reachability.avoided(now)
         choice = router.choose(now, [*tried, *avoided]) if avoided else None
@@ -162,12 +172,12 @@
         return choice
 
     def rank(self, router: ServiceRouter, tried: Collection[str]) -> list[Estimate]:
-        """Return what is expected at servers, best first, but for refusing ones."""
+        """Return the estimates of servers that accept connections, best first."""
         now = self.clock.monotonic()
         return router.rank(now, [*tried, *self.reachability.avoided(now)])
 
     def learn_list(self, listed: Iterable[ListedInstance]) -> None:
-        """Take one read of the platform's list."""
+        """Apply one read of the platform's instance list."""
         leaving_by_name = {each.name: each.leaving for each in listed}
         now = self.clock.monotonic()
         leaving = {key.backend_id for key in self.drain.leaving()}
@@ -179,7 +189,7 @@
     def learn_report(
         self, key: BackendKey, known: KnownReport, picks_before: int = 0
     ) -> None:
-        """Give a router a report that a peer or a probe observed."""
+        """Apply a report from a peer or a probe to its router, if it is newer."""
         router = self.router(key)
         if router is not None and self.reports.learn(key, known):
             router.learned(
@@ -187,14 +197,14 @@
             )
 
     def router(self, key: BackendKey) -> ServiceRouter | None:
-        """Return the router that knows a registered server."""
+        """Return the router of a registered server; None if there is none."""
         if not self.is_registered(key):
             return None
         service = self.document.register.backends[key.backend_id].service
         return self.directory.router_by_service.get(service)
 
     def settle(self) -> None:
-        """Tell the routers and the spreader what changed."""
+        """Apply changed drain states to the routers and wake the gossip."""
         changed = self.drain.take_changed()
         if not changed:
             return
@@ -204,17 +214,17 @@
         self.drain_changed.set()
 
     def leaving_ids(self) -> list[str]:
-        """Return the servers that take no new work, by any sign or the register."""
+        """Return the IDs of servers that are leaving or that the register drains."""
         backends = self.document.register.backends
         marked = {name for name, each in backends.items() if each.draining}
         return sorted(marked | {key.backend_id for key in self.drain.leaving()})
 
     def is_backend(self, name: str) -> bool:
-        """Tell whether a name of the platform's list is a backend server's."""
+        """Return whether a name in the platform's list is a registered backend ID."""
         return name in self.key_by_id
 
     def is_registered(self, key: BackendKey) -> bool:
-        """Tell whether the register holds a server at its address."""
+        """Return whether the register has a server under this very key."""
         return self.key_by_id.get(key.backend_id) == key
 
     def _tell_router(self, backend_id: str) -> None:
@@ -232,16 +242,20 @@
             self.leaving_keys.add(key)
             self.counters.servers_left += 1
             signs = ', '.join(sorted(sign.value for sign in word.signs))
-            log.info('health: %s is leaving, signs: %s.', key.backend_id, signs)
+            log.info(
+                'health: server is leaving. backend=%s signals=%s',
+                key.backend_id,
+                signs,
+            )
         elif not word.leaving and key in self.leaving_keys:
             self.leaving_keys.discard(key)
             self.closes.forget(key)
             self.counters.servers_returned += 1
-            log.info('health: %s has returned.', key.backend_id)
+            log.info('health: server returned. backend=%s', key.backend_id)
 
 
 def make_key(backend_id: str, backend: Backend) -> BackendKey:
-    """Return what tells a server from others under its ID."""
+    """Return the key of a server: its ID, address and incarnation."""
     address = f'{backend.host}:{backend.port}'
     return BackendKey(backend_id, address, backend.incarnation)
 
@@ -254,7 +268,7 @@
     *,
     counts_closes: bool = True,
 ) -> HealthTracker:
-    """Return a tracker whose budget starts empty now."""
+    """Return a tracker whose probe budget starts empty now."""
     return HealthTracker(
         directory,
         clock,
