--- a/tests/test_health_budget.py
+++ b/tests/test_health_budget.py
@@ -1,4 +1,4 @@
-"""The measuring budget, counted at the backend servers on a virtual clock."""
+"""The probe budget, counted at the backend servers on a virtual clock."""
 
 import unittest
 from random import Random
@@ -18,7 +18,7 @@
 
 @define
 class Fleet:
-    """Instances that each believe what a test makes them believe."""
+    """Instances that each see the members that a test gives them."""
 
     size: int
     terms: ProbeTerms = TERMS
@@ -34,7 +34,7 @@
         return [f'entry-{n}' for n in range(self.size)]
 
     def tick(self, now: float, view_by_name: dict[str, list[str]], paused=()) -> None:
-        """Let every instance probe whatever its rank and budget allow."""
+        """Send every probe that the rank and budget of each instance allow."""
         for name, budget in self.budget_by_name.items():
             if name in paused:
                 continue
@@ -55,10 +55,10 @@
 
 
 class BudgetTest(unittest.TestCase):
-    """Never over, whatever instances believe and however often they restart."""
+    """The budget is never exceeded, whichever members instances see."""
 
     def assert_within(self, fleet: Fleet, seconds: float) -> None:
-        """Check every window of time at each server, and the share of calls."""
+        """Check the probe rate at each server and the probes per call."""
         rate = fleet.terms.probes_per_second
         size = max(fleet.terms.max_instances, fleet.size)
         self.assertGreater(fleet.probes(), 0)
--- a/tests/test_health_drain.py
+++ b/tests/test_health_drain.py
@@ -1,4 +1,4 @@
-"""The merged state of leaving backend servers."""
+"""Drain states of backend servers: merging, proofs of a return and expiry."""
 
 import itertools
 import unittest
@@ -36,7 +36,7 @@
 
 
 class MergeTest(unittest.TestCase):
-    """Words merge in any order, any number of times; leaving wins."""
+    """States merge in any order and any number of times; leaving wins."""
 
     @SETTINGS
     @given(WORDS, WORDS, WORDS)
@@ -87,7 +87,7 @@
 
 
 class ReturnTest(unittest.TestCase):
-    """Leaving ends by proof of a return, neither too early nor never."""
+    """Leaving ends by a proof of a return, neither too early nor never."""
 
     def test_a_probe_sent_within_the_hold_proves_nothing(self):
         table = leaving_table(DrainSign.OWN)
--- a/tests/test_health_processes.py
+++ b/tests/test_health_processes.py
@@ -1,4 +1,4 @@
-"""Drain and the measuring budget, as separate processes."""
+"""Draining and the probe budget, with instances and servers as processes."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 
 
 class DrainProcessesTest(unittest.TestCase):
-    """Three instances, one backend server leaving by each path, under load."""
+    """Three instances under load, with one server leaving by each kind of signal."""
 
     def setUp(self):
         self.group = new_process_group(self)
--- a/tests/test_health_sampler.py
+++ b/tests/test_health_sampler.py
@@ -1,4 +1,4 @@
-"""What the answer to a probe is taken to say of a cold server."""
+"""Cold times in the answers to load probes, and probes during shutdown."""
 
 import unittest
 from random import Random
@@ -22,14 +22,14 @@
 ROUND_TRIP_SECONDS = 0.01
 START_SECONDS = 3.0
 BOUND = 10.0
-#: The loop draws the order of its tasks: so many runs see both.
+#: The event loop runs its tasks in random order: this many runs cover both orders.
 ORDERS = 40
 SERVICE = Service()
 BACKEND = Backend('limits', zone='zone-a', host='10.0.0.1', port=80, cold_seconds=0.0)
 
 
 class ColdAnswerTest(unittest.TestCase):
-    """A server is cold for as long as it says, or for as long as was known before."""
+    """A server is cold for as long as it reports, or else as long as before."""
 
     def setUp(self):
         self.now = NOW
@@ -41,13 +41,13 @@
         self.on_the_way = lambda: None
 
     async def receive(self, wire) -> h11.Response:
-        """Answer after a round trip, and let something happen meanwhile."""
+        """Answer after a round trip, calling `on_the_way` meanwhile."""
         self.now += ROUND_TRIP_SECONDS
         self.on_the_way()
         return h11.Response(status_code=200, headers=self.headers)
 
     def probe(self, *cold: bytes) -> None:
-        """Ask the server, which tells that it is cold in as many headers."""
+        """Probe the server, whose answer has one `cold-ms` header for each value."""
         self.headers += [(b'cold-ms', each) for each in cold]
         register = SimpleNamespace(
             backends={'i-1': BACKEND}, services={'limits': SERVICE}
@@ -98,11 +98,12 @@
 
 
 class EndTest(unittest.TestCase):
-    """What is asked while everything ends.
+    """No probe starts after the sampler has ended.
 
-    A call that was woken in the step of the loop in which all was cancelled may want
-    one more probe after the sampler's tasks have ended. It raised `RuntimeError:
-    Nursery is closed to new arrivals`, which ends an instance with a trace.
+    A call that is woken in the same step of the event loop as the cancellation may
+    start one more probe after the sampler's tasks have ended. Such a probe raised
+    `RuntimeError: Nursery is closed to new arrivals`, which ends an instance with a
+    traceback.
     """
 
     def asker(self, router: ServiceRouter, pool: object) -> LoadSampler:
@@ -126,8 +127,8 @@
         )
 
     def test_call_that_is_woken_as_the_last_probe_ends_asks_nobody(self):
-        # The nursery is closed by then, and its task ends only in the next step: in one
-        # of two orders in which the loop may go on.
+        # In one of the two orders in which the loop may run the tasks, the nursery is
+        # already closed and its task ends only in the next step.
         async def run():
             router = ServiceRouter(LeastInFlight(Random(1)))
             router.change(SERVICE, {'i-1': BACKEND}, NOW)
--- a/tests/test_health_sharing.py
+++ b/tests/test_health_sharing.py
@@ -1,4 +1,4 @@
-"""Instances of a zone tell each other what servers report, and which are silent."""
+"""Sharing of load reports and silent servers between the instances of a zone."""
 
 import unittest
 from random import Random
@@ -21,7 +21,7 @@
 
 
 class Side:
-    """One of two instances."""
+    """One of two instances that share reports."""
 
     def __init__(self, own: int, other: int):
         self.clock = SystemClock()
@@ -63,7 +63,7 @@
 
 
 class ShareTest(unittest.TestCase):
-    """What one learns, the other knows."""
+    """Reports that one instance receives reach the other."""
 
     def test_reports_of_all_servers_arrive(self):
         async def check(first, second):
--- a/tests/test_health_tracker.py
+++ b/tests/test_health_tracker.py
@@ -1,4 +1,4 @@
-"""Reachability, peers' words and reports in one instance."""
+"""Reachability, drain states and reports of peers in one instance."""
 
 import unittest
 from random import Random
@@ -31,7 +31,7 @@
 
 @define
 class ManualClock(Clock):
-    """A clock that a test moves."""
+    """A clock that a test advances."""
 
     now: float = 1000.0
 
@@ -58,7 +58,7 @@
 
 
 class ProbeBudgetTest(unittest.TestCase):
-    """Probes of long ago, where a server may be probed once in hours."""
+    """Old probes, where a server may be probed only once in hours."""
 
     def test_last_probe_of_a_registered_server_is_kept_until_the_next_may_follow(self):
         clock = ManualClock()
@@ -112,14 +112,14 @@
 
 
 class TrackerTest(unittest.TestCase):
-    """What one instance learns decides its choice and reaches its peers."""
+    """Signals and reports of one instance affect its choice and reach its peers."""
 
     def setUp(self):
         self.clock = ManualClock()
         self.first, self.second = tracker(self.clock), tracker(self.clock)
 
     def tell(self, teller: HealthTracker, hearer: HealthTracker) -> None:
-        """Let one instance tell another what its digest shows it lacks."""
+        """Send the updates that one instance has for another one's digest."""
         topics = zip(health_topics(teller), health_topics(hearer), strict=True)
         for source, target in topics:
             news = source.news_for(target.digest())
