--- a/catkinslip/health/drain.py
+++ b/catkinslip/health/drain.py
@@ -36,7 +36,7 @@
 UNPROVED_SECONDS = 600.0
 #: Maximum number of removed servers remembered as leaving. In an outage of the
 #: store the entries of many servers expire at once.
-MOST_GONE = 1000
+MAX_REMOVED = 1000
 
 
 @unique
@@ -52,7 +52,7 @@
 
 
 @frozen
-class DrainWord:
+class DrainState:
     """The drain state of one backend server: a generation and its signals."""
 
     generation: int
@@ -63,18 +63,18 @@
         """Return whether the server is leaving."""
         return bool(self.signs)
 
-    def merge(self, other: 'DrainWord') -> 'DrainWord':
+    def merge(self, other: 'DrainState') -> 'DrainState':
         """Return the join of two drain states."""
         if self.generation != other.generation:
-            return max(self, other, key=lambda word: word.generation)
-        return DrainWord(self.generation, self.signs | other.signs)
+            return max(self, other, key=lambda state: state.generation)
+        return DrainState(self.generation, self.signs | other.signs)
 
 
 @define
-class HeldWord:
+class HeldState:
     """A drain state and the signals seen by this instance; monotonic seconds."""
 
-    word: DrainWord
+    state: DrainState
     #: Time at which this instance first applied the current generation.
     learned_at: float
     #: Time at which the state changed, less the age given by the peer or probe.
@@ -86,7 +86,7 @@
 
     def hold(self) -> float:
         """Return the seconds after the last signal before a return may be proved."""
-        only_close = self.word.signs == {DrainSign.CLOSE}
+        only_close = self.state.signs == {DrainSign.CLOSE}
         base = CLOSE_HOLD_SECONDS if only_close else RETURN_HOLD_SECONDS
         return base * 2 ** min(self.flaps, MAX_FLAP_DOUBLINGS)
 
@@ -102,10 +102,10 @@
 
 
 @frozen
-class GoneWord:
+class RemovedState:
     """The drain state of a removed server and its removal time; monotonic seconds."""
 
-    held: HeldWord
+    held: HeldState
     at: float
 
 
@@ -113,36 +113,36 @@
 class DrainTable:
     """The drain states of all backend servers, merged from every source."""
 
-    held_by_key: dict[BackendKey, HeldWord] = Factory(dict)
+    held_by_key: dict[BackendKey, HeldState] = Factory(dict)
     list_view_by_key: dict[BackendKey, ListView] = Factory(dict)
     #: Leaving servers whose entries were removed, the earliest removal first.
-    gone_by_key: dict[BackendKey, GoneWord] = Factory(dict)
+    removed_by_key: dict[BackendKey, RemovedState] = Factory(dict)
     #: Servers whose state changed since the last `take_changed`.
     changed: set[BackendKey] = Factory(set)
 
     def is_leaving(self, key: BackendKey) -> bool:
         """Return whether a backend server is leaving and accepts no new work."""
         held = self.held_by_key.get(key)
-        return held is not None and held.word.leaving
+        return held is not None and held.state.leaving
 
-    def leaving(self) -> dict[BackendKey, DrainWord]:
+    def leaving(self) -> dict[BackendKey, DrainState]:
         """Return the drain states of all leaving servers."""
         return {
-            key: held.word
+            key: held.state
             for key, held in self.held_by_key.items()
-            if held.word.leaving
+            if held.state.leaving
         }
 
     def sign(self, key: BackendKey, sign: DrainSign, now: float) -> None:
         """Record a signal of leaving that this instance itself saw."""
         held = self.held_by_key.get(key)
         if held is None:
-            word = DrainWord(1, frozenset({sign}))
-        elif held.word.leaving:
-            word = evolve(held.word, signs=held.word.signs | {sign})
+            state = DrainState(1, frozenset({sign}))
+        elif held.state.leaving:
+            state = evolve(held.state, signs=held.state.signs | {sign})
         else:
-            word = DrainWord(held.word.generation + 1, frozenset({sign}))
-        self._hold(key, word, now).seen_at_by_sign[sign] = now
+            state = DrainState(held.state.generation + 1, frozenset({sign}))
+        self._hold(key, state, now).seen_at_by_sign[sign] = now
 
     def listed(self, key: BackendKey, leaving: bool, now: float) -> None:
         """Record one server's entry in the platform's list.
@@ -156,7 +156,7 @@
             self.sign(key, DrainSign.LIST, now)
 
     def merge(
-        self, key: BackendKey, word: DrainWord, now: float, age: float = 0.0
+        self, key: BackendKey, state: DrainState, now: float, age: float = 0.0
     ) -> None:
         """Merge a drain state from a peer, which is `age` seconds old.
 
@@ -164,13 +164,13 @@
         with these signals overrides the return.
         """
         held = self.held_by_key.get(key)
-        before = held.word if held else DrainWord(0)
-        joined = before.merge(word)
+        before = held.state if held else DrainState(0)
+        joined = before.merge(state)
         if joined == before:
             return
         newer = held.signs_since(now - age - TRANSIT_SECONDS) if held else frozenset()
         if newer and not joined.leaving:
-            joined, age = DrainWord(joined.generation + 1, newer), 0.0
+            joined, age = DrainState(joined.generation + 1, newer), 0.0
         self._hold(key, joined, now, age)
 
     def proof_wanted_for(self, key: BackendKey, now: float) -> float:
@@ -182,7 +182,7 @@
         """Return whether an answered probe would prove that a server returned."""
         if not self.is_leaving(key) or self.proof_wanted_for(key, now) < 0:
             return False
-        if DrainSign.LIST not in self.held_by_key[key].word.signs:
+        if DrainSign.LIST not in self.held_by_key[key].state.signs:
             return True
         view = self.list_view_by_key.get(key)
         return view is not None and view.clear_for() >= LIST_HOLD_SECONDS
@@ -210,32 +210,32 @@
         """
         self.list_view_by_key.pop(key, None)
         held = self.held_by_key.pop(key, None)
-        if held is None or not held.word.leaving:
+        if held is None or not held.state.leaving:
             return
-        if len(self.gone_by_key) >= MOST_GONE:
-            del self.gone_by_key[next(iter(self.gone_by_key))]
-        self.gone_by_key[key] = GoneWord(held, now)
+        if len(self.removed_by_key) >= MAX_REMOVED:
+            del self.removed_by_key[next(iter(self.removed_by_key))]
+        self.removed_by_key[key] = RemovedState(held, now)
 
     def take_back(self, key: BackendKey, now: float) -> None:
         """Restore the drain state of a server that was removed while leaving."""
-        gone = self.gone_by_key.pop(key, None)
-        if gone is not None and now - gone.at < UNPROVED_SECONDS:
-            self.held_by_key[key] = gone.held
+        removed = self.removed_by_key.pop(key, None)
+        if removed is not None and now - removed.at < UNPROVED_SECONDS:
+            self.held_by_key[key] = removed.held
             self.changed.add(key)
 
     def forget_old(self, now: float) -> None:
         """Forget returned servers whose state is older than `RETURNED_KEPT_SECONDS`."""
         for key, held in list(self.held_by_key.items()):
             is_old = now - held.changed_at > RETURNED_KEPT_SECONDS
-            if is_old and not held.word.leaving:
+            if is_old and not held.state.leaving:
                 del self.held_by_key[key]
 
     def digest(self) -> str:
         """Return a hash of the drain states of all leaving servers."""
         lines = sorted(
-            f'{key.backend_id} {key.address} {word.generation} '
-            + ','.join(sorted(sign.value for sign in word.signs))
-            for key, word in self.leaving().items()
+            f'{key.backend_id} {key.address} {state.generation} '
+            + ','.join(sorted(sign.value for sign in state.signs))
+            for key, state in self.leaving().items()
         )
         return xxhash.xxh3_64_hexdigest('\n'.join(lines).encode())
 
@@ -246,31 +246,31 @@
 
     def _end(self, key: BackendKey, now: float, age: float = 0.0) -> None:
         held = self.held_by_key[key]
-        self._hold(key, DrainWord(held.word.generation + 1), now, age)
+        self._hold(key, DrainState(held.state.generation + 1), now, age)
 
     def _hold(
-        self, key: BackendKey, word: DrainWord, now: float, age: float = 0.0
-    ) -> HeldWord:
+        self, key: BackendKey, state: DrainState, now: float, age: float = 0.0
+    ) -> HeldState:
         held = self.held_by_key.get(key)
         if held is None:
-            held = HeldWord(DrainWord(0), now, now)
+            held = HeldState(DrainState(0), now, now)
             self.held_by_key[key] = held
-        if word == held.word:
+        if state == held.state:
             return held
-        if word.generation != held.word.generation:
-            held.flaps = next_flaps(held, word, now)
+        if state.generation != held.state.generation:
+            held.flaps = next_flaps(held, state, now)
             held.learned_at = now
-        if not word.leaving:
+        if not state.leaving:
             held.seen_at_by_sign.clear()
-        held.word = word
+        held.state = state
         held.changed_at = now - age
         self.changed.add(key)
         return held
 
 
-def next_flaps(held: HeldWord, word: DrainWord, now: float) -> int:
+def next_flaps(held: HeldState, state: DrainState, now: float) -> int:
     """Return the number of flaps of a server once a new state is applied."""
-    if not word.leaving or held.word.leaving:
+    if not state.leaving or held.state.leaving:
         return held.flaps
     soon = now - held.learned_at < FLAP_WINDOW_SECONDS
-    return held.flaps + 1 if soon and held.word.generation else 0
+    return held.flaps + 1 if soon and held.state.generation else 0
--- a/catkinslip/health/topics.py
+++ b/catkinslip/health/topics.py
@@ -8,7 +8,7 @@
 from attrs.validators import and_, ge, lt, optional
 
 from catkinslip.health.counters import HealthCounters
-from catkinslip.health.drain import DrainSign, DrainTable, DrainWord
+from catkinslip.health.drain import DrainSign, DrainState, DrainTable
 from catkinslip.health.reports import KnownReport, ReportTable
 from catkinslip.health.tracker import HealthTracker
 from catkinslip.membership.topics import PeerTopic
@@ -76,8 +76,8 @@
             DrainMessage(
                 key.backend_id,
                 key.address,
-                held.word.generation,
-                tuple(sorted(held.word.signs, key=lambda sign: sign.value)),
+                held.state.generation,
+                tuple(sorted(held.state.signs, key=lambda sign: sign.value)),
                 age_since(held.changed_at, now),
             )
             for key, held in self.table.held_by_key.items()
@@ -97,8 +97,8 @@
         for message in messages:
             key = BackendKey(message.backend_id, message.address)
             if self.is_registered(key):
-                word = DrainWord(message.generation, frozenset(message.signs))
-                self.table.merge(key, word, now, message.age)
+                state = DrainState(message.generation, frozenset(message.signs))
+                self.table.merge(key, state, now, message.age)
         self.learned()
 
 
--- a/catkinslip/health/tracker.py
+++ b/catkinslip/health/tracker.py
@@ -237,17 +237,17 @@
         )
 
     def _count_change(self, key: BackendKey) -> None:
-        word = self.drain.held_by_key[key].word
-        if word.leaving and key not in self.leaving_keys:
+        state = self.drain.held_by_key[key].state
+        if state.leaving and key not in self.leaving_keys:
             self.leaving_keys.add(key)
             self.counters.servers_left += 1
-            signs = ', '.join(sorted(sign.value for sign in word.signs))
+            signs = ', '.join(sorted(sign.value for sign in state.signs))
             log.info(
                 'health: server is leaving. backend=%s signals=%s',
                 key.backend_id,
                 signs,
             )
-        elif not word.leaving and key in self.leaving_keys:
+        elif not state.leaving and key in self.leaving_keys:
             self.leaving_keys.discard(key)
             self.closes.forget(key)
             self.counters.servers_returned += 1
--- a/tests/test_health_drain.py
+++ b/tests/test_health_drain.py
@@ -12,15 +12,15 @@
     RETURN_HOLD_SECONDS,
     UNPROVED_SECONDS,
     DrainSign,
+    DrainState,
     DrainTable,
-    DrainWord,
 )
 from catkinslip.health.signs import CLOSES_IN_A_ROW, CloseCounter
 from catkinslip.models import BackendKey
 
 KEY = BackendKey('limits-1', '127.0.0.1:7001')
-WORDS = st.builds(
-    DrainWord, st.integers(0, 4), st.frozensets(st.sampled_from(DrainSign))
+STATES = st.builds(
+    DrainState, st.integers(0, 4), st.frozensets(st.sampled_from(DrainSign))
 )
 SETTINGS = settings(derandomize=True, max_examples=300, deadline=None)
 
@@ -39,7 +39,7 @@
     """States merge in any order and any number of times; leaving wins."""
 
     @SETTINGS
-    @given(WORDS, WORDS, WORDS)
+    @given(STATES, STATES, STATES)
     def test_merge_is_a_join(self, a, b, c):
         self.assertEqual(a.merge(b), b.merge(a))
         self.assertEqual(a.merge(a), a)
@@ -48,14 +48,14 @@
             self.assertEqual(a.merge(b).leaving, a.leaving or b.leaving)
 
     @SETTINGS
-    @given(st.lists(WORDS, max_size=6), st.randoms(use_true_random=False))
-    def test_tables_that_heard_the_same_words_agree(self, words, random):
-        other_order = [*words, *words]
+    @given(st.lists(STATES, max_size=6), st.randoms(use_true_random=False))
+    def test_tables_that_heard_the_same_words_agree(self, states, random):
+        other_order = [*states, *states]
         random.shuffle(other_order)
         tables = [DrainTable(), DrainTable()]
-        for table, heard in zip(tables, (words, other_order), strict=True):
-            for word in heard:
-                table.merge(KEY, word, 0.0)
+        for table, received in zip(tables, (states, other_order), strict=True):
+            for state in received:
+                table.merge(KEY, state, 0.0)
         self.assertEqual(tables[0].leaving(), tables[1].leaving())
         self.assertEqual(tables[0].digest(), tables[1].digest())
 
@@ -81,7 +81,7 @@
                     proved_at = now
             else:
                 for key, held in other.held_by_key.items():
-                    mine.merge(key, held.word, now, now - held.changed_at)
+                    mine.merge(key, held.state, now, now - held.changed_at)
             if signed_at[index] >= proved_at and signed_at[index] >= 0:
                 self.assertTrue(mine.is_leaving(KEY))
 
@@ -111,7 +111,7 @@
 
     def test_a_stale_leaving_of_a_peer_does_not_come_back(self):
         table = leaving_table(DrainSign.OWN)
-        stale = table.held_by_key[KEY].word
+        stale = table.held_by_key[KEY].state
         table.proved(KEY, 6.0, 6.1)
         table.merge(KEY, stale, 7.0)
         self.assertFalse(table.is_leaving(KEY))
@@ -119,7 +119,7 @@
     def test_a_return_proved_before_an_own_sign_is_contradicted(self):
         for age, leaving in ((8.0, True), (2.0, False)):
             table = leaving_table(DrainSign.OWN, at=0.0)
-            table.merge(KEY, DrainWord(7), 4.0, age)
+            table.merge(KEY, DrainState(7), 4.0, age)
             self.assertEqual(table.is_leaving(KEY), leaving)
 
     def test_closed_connections_alone_end_without_a_sign_for_a_while(self):
--- a/tests/test_health_tracker.py
+++ b/tests/test_health_tracker.py
@@ -181,9 +181,9 @@
 
     def test_malformed_news_is_a_value_error_and_changes_nothing(self):
         drain, load = health_topics(self.first)
-        word = {'backend_id': 'limits-1', 'address': KEY.address, 'age': 0.0}
-        report = {**word, 'in_flight': 1.0, 'speed': None}
-        signed = {**word, 'generation': 1, 'signs': ['own']}
+        entry = {'backend_id': 'limits-1', 'address': KEY.address, 'age': 0.0}
+        report = {**entry, 'in_flight': 1.0, 'speed': None}
+        signed = {**entry, 'generation': 1, 'signs': ['own']}
         bad = [
             (drain, [{**signed, 'generation': -1}]),
             (drain, [{**signed, 'signs': ['gone']}]),
