--- a/catkinslip/health/drain.py
+++ b/catkinslip/health/drain.py
@@ -40,7 +40,7 @@
 
 
 @unique
-class DrainSign(Enum):
+class DrainSignal(Enum):
     """A signal that a backend server is leaving, by its source."""
 
     #: One of the server's own answers carried the drain header.
@@ -56,18 +56,18 @@
     """The drain state of one backend server: a generation and its signals."""
 
     generation: int
-    signs: frozenset[DrainSign] = frozenset()
+    signals: frozenset[DrainSignal] = frozenset()
 
     @property
     def leaving(self) -> bool:
         """Return whether the server is leaving."""
-        return bool(self.signs)
+        return bool(self.signals)
 
     def merge(self, other: 'DrainState') -> 'DrainState':
         """Return the join of two drain states."""
         if self.generation != other.generation:
             return max(self, other, key=lambda state: state.generation)
-        return DrainState(self.generation, self.signs | other.signs)
+        return DrainState(self.generation, self.signals | other.signals)
 
 
 @define
@@ -80,24 +80,26 @@
     #: Time at which the state changed, less the age given by the peer or probe.
     changed_at: float
     #: Time at which this instance itself last saw each signal.
-    seen_at_by_sign: dict[DrainSign, float] = Factory(dict)
+    seen_at_by_signal: dict[DrainSignal, float] = Factory(dict)
     #: Number of times in a row that the server left again soon after a return.
     flaps: int = 0
 
     def hold(self) -> float:
         """Return the seconds after the last signal before a return may be proved."""
-        only_close = self.state.signs == {DrainSign.CLOSE}
+        only_close = self.state.signals == {DrainSignal.CLOSE}
         base = CLOSE_HOLD_SECONDS if only_close else RETURN_HOLD_SECONDS
         return base * 2 ** min(self.flaps, MAX_FLAP_DOUBLINGS)
 
-    def last_sign_at(self) -> float:
+    def last_signal_at(self) -> float:
         """Return when this instance last saw a signal or applied a new generation."""
-        return max([self.learned_at, *self.seen_at_by_sign.values()])
+        return max([self.learned_at, *self.seen_at_by_signal.values()])
 
-    def signs_since(self, at: float) -> frozenset[DrainSign]:
+    def signals_since(self, at: float) -> frozenset[DrainSignal]:
         """Return the signals that this instance itself has seen since a given time."""
         return frozenset(
-            sign for sign, seen_at in self.seen_at_by_sign.items() if seen_at >= at
+            signal
+            for signal, seen_at in self.seen_at_by_signal.items()
+            if seen_at >= at
         )
 
 
@@ -133,16 +135,16 @@
             if held.state.leaving
         }
 
-    def sign(self, key: BackendKey, sign: DrainSign, now: float) -> None:
+    def add_signal(self, key: BackendKey, signal: DrainSignal, now: float) -> None:
         """Record a signal of leaving that this instance itself saw."""
         held = self.held_by_key.get(key)
         if held is None:
-            state = DrainState(1, frozenset({sign}))
+            state = DrainState(1, frozenset({signal}))
         elif held.state.leaving:
-            state = evolve(held.state, signs=held.state.signs | {sign})
+            state = evolve(held.state, signals=held.state.signals | {signal})
         else:
-            state = DrainState(held.state.generation + 1, frozenset({sign}))
-        self._hold(key, state, now).seen_at_by_sign[sign] = now
+            state = DrainState(held.state.generation + 1, frozenset({signal}))
+        self._hold(key, state, now).seen_at_by_signal[signal] = now
 
     def listed(self, key: BackendKey, leaving: bool, now: float) -> None:
         """Record one server's entry in the platform's list.
@@ -153,7 +155,7 @@
         view = self.list_view_by_key.setdefault(key, ListView())
         view.read(leaving, now)
         if leaving:
-            self.sign(key, DrainSign.LIST, now)
+            self.add_signal(key, DrainSignal.LIST, now)
 
     def merge(
         self, key: BackendKey, state: DrainState, now: float, age: float = 0.0
@@ -168,7 +170,7 @@
         joined = before.merge(state)
         if joined == before:
             return
-        newer = held.signs_since(now - age - TRANSIT_SECONDS) if held else frozenset()
+        newer = held.signals_since(now - age - TRANSIT_SECONDS) if held else frozenset()
         if newer and not joined.leaving:
             joined, age = DrainState(joined.generation + 1, newer), 0.0
         self._hold(key, joined, now, age)
@@ -176,13 +178,13 @@
     def proof_wanted_for(self, key: BackendKey, now: float) -> float:
         """Return the seconds since a proof of a return is due; negative before."""
         held = self.held_by_key[key]
-        return now - held.last_sign_at() - held.hold()
+        return now - held.last_signal_at() - held.hold()
 
     def wants_proof(self, key: BackendKey, now: float) -> bool:
         """Return whether an answered probe would prove that a server returned."""
         if not self.is_leaving(key) or self.proof_wanted_for(key, now) < 0:
             return False
-        if DrainSign.LIST not in self.held_by_key[key].state.signs:
+        if DrainSignal.LIST not in self.held_by_key[key].state.signals:
             return True
         view = self.list_view_by_key.get(key)
         return view is not None and view.clear_for() >= LIST_HOLD_SECONDS
@@ -199,7 +201,7 @@
         """Mark a server without probes as returned after `UNPROVED_SECONDS`."""
         if not self.wants_proof(key, now):
             return
-        if now - self.held_by_key[key].last_sign_at() >= UNPROVED_SECONDS:
+        if now - self.held_by_key[key].last_signal_at() >= UNPROVED_SECONDS:
             self._end(key, now)
 
     def forget(self, key: BackendKey, now: float) -> None:
@@ -234,7 +236,7 @@
         """Return a hash of the drain states of all leaving servers."""
         lines = sorted(
             f'{key.backend_id} {key.address} {state.generation} '
-            + ','.join(sorted(sign.value for sign in state.signs))
+            + ','.join(sorted(signal.value for signal in state.signals))
             for key, state in self.leaving().items()
         )
         return xxhash.xxh3_64_hexdigest('\n'.join(lines).encode())
@@ -261,7 +263,7 @@
             held.flaps = next_flaps(held, state, now)
             held.learned_at = now
         if not state.leaving:
-            held.seen_at_by_sign.clear()
+            held.seen_at_by_signal.clear()
         held.state = state
         held.changed_at = now - age
         self.changed.add(key)
--- a/catkinslip/health/topics.py
+++ b/catkinslip/health/topics.py
@@ -8,7 +8,7 @@
 from attrs.validators import and_, ge, lt, optional
 
 from catkinslip.health.counters import HealthCounters
-from catkinslip.health.drain import DrainSign, DrainState, DrainTable
+from catkinslip.health.drain import DrainSignal, DrainState, DrainTable
 from catkinslip.health.reports import KnownReport, ReportTable
 from catkinslip.health.tracker import HealthTracker
 from catkinslip.membership.topics import PeerTopic
@@ -33,7 +33,7 @@
     backend_id: str
     address: str
     generation: int = field(validator=ge(0))
-    signs: tuple[DrainSign, ...]
+    signs: tuple[DrainSignal, ...]
     age: float = field(validator=IS_AMOUNT)
 
 
@@ -77,7 +77,7 @@
                 key.backend_id,
                 key.address,
                 held.state.generation,
-                tuple(sorted(held.state.signs, key=lambda sign: sign.value)),
+                tuple(sorted(held.state.signals, key=lambda signal: signal.value)),
                 age_since(held.changed_at, now),
             )
             for key, held in self.table.held_by_key.items()
--- a/catkinslip/health/tracker.py
+++ b/catkinslip/health/tracker.py
@@ -12,7 +12,7 @@
 from catkinslip.config.documents import AcceptedConfig, Backend, Document
 from catkinslip.health.budget import ProbeBudget, ProbeTerms
 from catkinslip.health.counters import HealthCounters
-from catkinslip.health.drain import DrainSign, DrainTable
+from catkinslip.health.drain import DrainSignal, DrainTable
 from catkinslip.health.reachability import Reachability
 from catkinslip.health.reports import KnownReport, ReportTable
 from catkinslip.health.signs import CloseCounter, says_close, says_drain
@@ -126,9 +126,9 @@
         if report is not None:
             self.reports.learn(key, KnownReport(report, now))
         if says_drain(headers):
-            self.drain.sign(key, DrainSign.OWN, now)
+            self.drain.add_signal(key, DrainSignal.OWN, now)
         elif self._begins_to_close(key, headers):
-            self.drain.sign(key, DrainSign.CLOSE, now)
+            self.drain.add_signal(key, DrainSignal.CLOSE, now)
         self.settle()
 
     def _begins_to_close(self, key: BackendKey, headers: Headers) -> bool:
@@ -140,7 +140,7 @@
         """Mark a server as leaving after a signal in one of its answers."""
         key = self.key_by_id.get(backend_id)
         if key is not None:
-            self.drain.sign(key, DrainSign.OWN, self.clock.monotonic())
+            self.drain.add_signal(key, DrainSignal.OWN, self.clock.monotonic())
             self.settle()
 
     def refused(self, backend_id: str) -> None:
@@ -241,11 +241,11 @@
         if state.leaving and key not in self.leaving_keys:
             self.leaving_keys.add(key)
             self.counters.servers_left += 1
-            signs = ', '.join(sorted(sign.value for sign in state.signs))
+            signals = ', '.join(sorted(signal.value for signal in state.signals))
             log.info(
                 'health: server is leaving. backend=%s signals=%s',
                 key.backend_id,
-                signs,
+                signals,
             )
         elif not state.leaving and key in self.leaving_keys:
             self.leaving_keys.discard(key)
--- a/tests/test_health_drain.py
+++ b/tests/test_health_drain.py
@@ -11,7 +11,7 @@
     LIST_HOLD_SECONDS,
     RETURN_HOLD_SECONDS,
     UNPROVED_SECONDS,
-    DrainSign,
+    DrainSignal,
     DrainState,
     DrainTable,
 )
@@ -20,18 +20,18 @@
 
 KEY = BackendKey('limits-1', '127.0.0.1:7001')
 STATES = st.builds(
-    DrainState, st.integers(0, 4), st.frozensets(st.sampled_from(DrainSign))
+    DrainState, st.integers(0, 4), st.frozensets(st.sampled_from(DrainSignal))
 )
 SETTINGS = settings(derandomize=True, max_examples=300, deadline=None)
 
 
-def leaving_table(*signs: DrainSign, at: float = 0.0) -> DrainTable:
+def leaving_table(*signals: DrainSignal, at: float = 0.0) -> DrainTable:
     table = DrainTable()
-    for sign in signs:
-        if sign is DrainSign.LIST:
+    for signal in signals:
+        if signal is DrainSignal.LIST:
             table.listed(KEY, True, at)
         else:
-            table.sign(KEY, sign, at)
+            table.add_signal(KEY, signal, at)
     return table
 
 
@@ -71,7 +71,7 @@
             if step in ('sign', 'list'):
                 signed_at[index] = now
             if step == 'sign':
-                mine.sign(KEY, DrainSign.OWN, now)
+                mine.add_signal(KEY, DrainSignal.OWN, now)
             elif step in ('list', 'live'):
                 mine.listed(KEY, step == 'list', now)
             elif step == 'prove':
@@ -90,14 +90,14 @@
     """Leaving ends by a proof of a return, neither too early nor never."""
 
     def test_a_probe_sent_within_the_hold_proves_nothing(self):
-        table = leaving_table(DrainSign.OWN)
+        table = leaving_table(DrainSignal.OWN)
         table.proved(KEY, RETURN_HOLD_SECONDS - 0.1, RETURN_HOLD_SECONDS + 0.1)
         self.assertTrue(table.is_leaving(KEY))
         table.proved(KEY, RETURN_HOLD_SECONDS, RETURN_HOLD_SECONDS + 0.1)
         self.assertFalse(table.is_leaving(KEY))
 
     def test_a_stale_live_of_the_list_overrides_nothing(self):
-        table = leaving_table(DrainSign.LIST)
+        table = leaving_table(DrainSignal.LIST)
         table.listed(KEY, False, 1.0)
         table.listed(KEY, False, LIST_HOLD_SECONDS)
         self.assertFalse(table.wants_proof(KEY, LIST_HOLD_SECONDS))
@@ -110,7 +110,7 @@
         self.assertFalse(table.is_leaving(KEY))
 
     def test_a_stale_leaving_of_a_peer_does_not_come_back(self):
-        table = leaving_table(DrainSign.OWN)
+        table = leaving_table(DrainSignal.OWN)
         stale = table.held_by_key[KEY].state
         table.proved(KEY, 6.0, 6.1)
         table.merge(KEY, stale, 7.0)
@@ -118,24 +118,24 @@
 
     def test_a_return_proved_before_an_own_sign_is_contradicted(self):
         for age, leaving in ((8.0, True), (2.0, False)):
-            table = leaving_table(DrainSign.OWN, at=0.0)
+            table = leaving_table(DrainSignal.OWN, at=0.0)
             table.merge(KEY, DrainState(7), 4.0, age)
             self.assertEqual(table.is_leaving(KEY), leaving)
 
     def test_closed_connections_alone_end_without_a_sign_for_a_while(self):
-        table = leaving_table(DrainSign.CLOSE)
+        table = leaving_table(DrainSignal.CLOSE)
         self.assertFalse(table.wants_proof(KEY, CLOSE_HOLD_SECONDS - 1))
         self.assertTrue(table.wants_proof(KEY, CLOSE_HOLD_SECONDS))
 
     def test_a_server_that_leaves_again_soon_is_held_longer(self):
-        table = leaving_table(DrainSign.OWN)
+        table = leaving_table(DrainSignal.OWN)
         table.proved(KEY, 6.0, 6.0)
-        table.sign(KEY, DrainSign.OWN, 7.0)
+        table.add_signal(KEY, DrainSignal.OWN, 7.0)
         self.assertFalse(table.wants_proof(KEY, 7.0 + RETURN_HOLD_SECONDS))
         self.assertTrue(table.wants_proof(KEY, 7.0 + 2 * RETURN_HOLD_SECONDS))
 
     def test_without_probes_leaving_ends_by_time(self):
-        table = leaving_table(DrainSign.OWN)
+        table = leaving_table(DrainSignal.OWN)
         table.end_unproved(KEY, UNPROVED_SECONDS - 1)
         self.assertTrue(table.is_leaving(KEY))
         table.end_unproved(KEY, UNPROVED_SECONDS)
--- a/tests/test_routing_restart.py
+++ b/tests/test_routing_restart.py
@@ -15,7 +15,7 @@
     Service,
     to_plain,
 )
-from catkinslip.health.drain import DrainSign
+from catkinslip.health.drain import DrainSignal
 from catkinslip.health.sharing import ReportSharer
 from catkinslip.health.tracker import make_tracker
 from catkinslip.models import Address
@@ -78,7 +78,7 @@
     def test_signs_of_leaving_and_refused_connections_end(self):
         now = self.clock.monotonic()
         key = self.health.key_by_id['limits-1']
-        self.health.drain.sign(key, DrainSign.OWN, now)
+        self.health.drain.add_signal(key, DrainSignal.OWN, now)
         self.health.settle()
         self.health.refused('limits-1')
         self.assertIsNone(self.router.choose(now))
