--- a/catkinslip/health/drain.py
+++ b/catkinslip/health/drain.py
@@ -76,7 +76,7 @@
 
     state: DrainState
     #: Time at which this instance first applied the current generation.
-    learned_at: float
+    applied_at: float
     #: Time at which the state changed, less the age given by the peer or probe.
     changed_at: float
     #: Time at which this instance itself last saw each signal.
@@ -84,7 +84,7 @@
     #: Number of times in a row that the server left again soon after a return.
     flaps: int = 0
 
-    def hold(self) -> float:
+    def hold_seconds(self) -> float:
         """Return the seconds after the last signal before a return may be proved."""
         only_close = self.state.signals == {DrainSignal.CLOSE}
         base = CLOSE_HOLD_SECONDS if only_close else RETURN_HOLD_SECONDS
@@ -92,7 +92,7 @@
 
     def last_signal_at(self) -> float:
         """Return when this instance last saw a signal or applied a new generation."""
-        return max([self.learned_at, *self.seen_at_by_signal.values()])
+        return max([self.applied_at, *self.seen_at_by_signal.values()])
 
     def signals_since(self, at: float) -> frozenset[DrainSignal]:
         """Return the signals that this instance itself has seen since a given time."""
@@ -119,7 +119,7 @@
     list_view_by_key: dict[BackendKey, ListView] = Factory(dict)
     #: Leaving servers whose entries were removed, the earliest removal first.
     removed_by_key: dict[BackendKey, RemovedState] = Factory(dict)
-    #: Servers whose state changed since the last `take_changed`.
+    #: Servers whose state changed since the last `pop_changed`.
     changed: set[BackendKey] = Factory(set)
 
     def is_leaving(self, key: BackendKey) -> bool:
@@ -146,7 +146,7 @@
             state = DrainState(held.state.generation + 1, frozenset({signal}))
         self._hold(key, state, now).seen_at_by_signal[signal] = now
 
-    def listed(self, key: BackendKey, leaving: bool, now: float) -> None:
+    def record_listed(self, key: BackendKey, leaving: bool, now: float) -> None:
         """Record one server's entry in the platform's list.
 
         An entry that shows the server as live does not end leaving by itself: a
@@ -175,31 +175,31 @@
             joined, age = DrainState(joined.generation + 1, newer), 0.0
         self._hold(key, joined, now, age)
 
-    def proof_wanted_for(self, key: BackendKey, now: float) -> float:
+    def proof_due_for(self, key: BackendKey, now: float) -> float:
         """Return the seconds since a proof of a return is due; negative before."""
         held = self.held_by_key[key]
-        return now - held.last_signal_at() - held.hold()
+        return now - held.last_signal_at() - held.hold_seconds()
 
-    def wants_proof(self, key: BackendKey, now: float) -> bool:
+    def accepts_proof(self, key: BackendKey, now: float) -> bool:
         """Return whether an answered probe would prove that a server returned."""
-        if not self.is_leaving(key) or self.proof_wanted_for(key, now) < 0:
+        if not self.is_leaving(key) or self.proof_due_for(key, now) < 0:
             return False
         if DrainSignal.LIST not in self.held_by_key[key].state.signals:
             return True
         view = self.list_view_by_key.get(key)
         return view is not None and view.clear_for() >= LIST_HOLD_SECONDS
 
-    def proved(self, key: BackendKey, sent_at: float, now: float) -> None:
+    def prove_return(self, key: BackendKey, sent_at: float, now: float) -> None:
         """Mark a server as returned after a probe answered without a signal.
 
         The return has to be provable both when the probe was sent and now.
         """
-        if self.wants_proof(key, sent_at) and self.wants_proof(key, now):
+        if self.accepts_proof(key, sent_at) and self.accepts_proof(key, now):
             self._end(key, now, now - sent_at)
 
-    def end_unproved(self, key: BackendKey, now: float) -> None:
+    def expire_unproved(self, key: BackendKey, now: float) -> None:
         """Mark a server without probes as returned after `UNPROVED_SECONDS`."""
-        if not self.wants_proof(key, now):
+        if not self.accepts_proof(key, now):
             return
         if now - self.held_by_key[key].last_signal_at() >= UNPROVED_SECONDS:
             self._end(key, now)
@@ -218,7 +218,7 @@
             del self.removed_by_key[next(iter(self.removed_by_key))]
         self.removed_by_key[key] = RemovedState(held, now)
 
-    def take_back(self, key: BackendKey, now: float) -> None:
+    def restore(self, key: BackendKey, now: float) -> None:
         """Restore the drain state of a server that was removed while leaving."""
         removed = self.removed_by_key.pop(key, None)
         if removed is not None and now - removed.at < UNPROVED_SECONDS:
@@ -241,7 +241,7 @@
         )
         return xxhash.xxh3_64_hexdigest('\n'.join(lines).encode())
 
-    def take_changed(self) -> set[BackendKey]:
+    def pop_changed(self) -> set[BackendKey]:
         """Return and clear the servers whose state changed since the last call."""
         changed, self.changed = self.changed, set()
         return changed
@@ -261,7 +261,7 @@
             return held
         if state.generation != held.state.generation:
             held.flaps = next_flaps(held, state, now)
-            held.learned_at = now
+            held.applied_at = now
         if not state.leaving:
             held.seen_at_by_signal.clear()
         held.state = state
@@ -274,5 +274,5 @@
     """Return the number of flaps of a server once a new state is applied."""
     if not state.leaving or held.state.leaving:
         return held.flaps
-    soon = now - held.learned_at < FLAP_WINDOW_SECONDS
+    soon = now - held.applied_at < FLAP_WINDOW_SECONDS
     return held.flaps + 1 if soon and held.state.generation else 0
--- a/catkinslip/health/prober.py
+++ b/catkinslip/health/prober.py
@@ -56,7 +56,7 @@
                     await trio.sleep(ROUND_SECONDS / PARTS)
                     for target in self.due(self.clock.monotonic(), part):
                         nursery.start_soon(self.probe, target)
-                self.end_unproved()
+                self.expire_unproved()
 
     def due(self, now: float, part: int = 0, parts: int = PARTS) -> list[ProbeTarget]:
         """Return the due probes of one part of the servers, the most urgent first."""
@@ -72,7 +72,7 @@
         tracker = self.tracker
         proves_return = tracker.drain.is_leaving(key)
         if proves_return:
-            waited = tracker.drain.proof_wanted_for(key, now)
+            waited = tracker.drain.proof_due_for(key, now)
         else:
             waited = tracker.reports.silent_for(key, now) - STALE_SECONDS
         if waited < 0 or not self.is_allowed(key, now, proves_return):
@@ -93,7 +93,7 @@
         backend = tracker.document.register.backends[key.backend_id]
         if backend.draining or tracker.reachability.is_avoided(key, now):
             return False
-        if proves_return and not tracker.drain.wants_proof(key, now):
+        if proves_return and not tracker.drain.accepts_proof(key, now):
             return False
         terms = tracker.terms_by_service[backend.service]
         if tracker.budget.may_probe(key.address, backend.service, terms, now):
@@ -167,15 +167,15 @@
         tracker.answered(key.backend_id, response.headers, None)
         is_well = response.status_code < 400 and not says_drain(response.headers)
         if is_well and names.find(response.headers, names.OUTCOME) is None:
-            tracker.drain.proved(key, sent_at, now)
+            tracker.drain.prove_return(key, sent_at, now)
             tracker.settle()
 
-    def end_unproved(self) -> None:
+    def expire_unproved(self) -> None:
         """Mark leaving servers of services without probes as returned after a time."""
         now = self.clock.monotonic()
         backends = self.tracker.document.register.backends
         for key in self.tracker.drain.leaving():
             terms = self.tracker.terms_by_service.get(backends[key.backend_id].service)
             if terms is not None and terms.probes_per_second <= 0:
-                self.tracker.drain.end_unproved(key, now)
+                self.tracker.drain.expire_unproved(key, now)
         self.tracker.settle()
--- a/catkinslip/health/tracker.py
+++ b/catkinslip/health/tracker.py
@@ -101,7 +101,7 @@
                 table.forget(old)
         if new is not None:
             self.key_by_id[backend_id] = new
-            self.drain.take_back(new, now)
+            self.drain.restore(new, now)
             self.reports.expect(new, now)
 
     def count_call(self, service: str) -> None:
@@ -183,7 +183,7 @@
         leaving = {key.backend_id for key in self.drain.leaving()}
         for backend_id in (leaving_by_name.keys() | leaving) & self.key_by_id.keys():
             says_leaving = leaving_by_name.get(backend_id, False)
-            self.drain.listed(self.key_by_id[backend_id], says_leaving, now)
+            self.drain.record_listed(self.key_by_id[backend_id], says_leaving, now)
         self.settle()
 
     def learn_report(
@@ -205,7 +205,7 @@
 
     def settle(self) -> None:
         """Apply changed drain states to the routers and wake the gossip."""
-        changed = self.drain.take_changed()
+        changed = self.drain.pop_changed()
         if not changed:
             return
         for key in changed:
--- a/tests/test_health_drain.py
+++ b/tests/test_health_drain.py
@@ -29,7 +29,7 @@
     table = DrainTable()
     for signal in signals:
         if signal is DrainSignal.LIST:
-            table.listed(KEY, True, at)
+            table.record_listed(KEY, True, at)
         else:
             table.add_signal(KEY, signal, at)
     return table
@@ -73,10 +73,10 @@
             if step == 'sign':
                 mine.add_signal(KEY, DrainSignal.OWN, now)
             elif step in ('list', 'live'):
-                mine.listed(KEY, step == 'list', now)
+                mine.record_listed(KEY, step == 'list', now)
             elif step == 'prove':
                 was_leaving = mine.is_leaving(KEY)
-                mine.proved(KEY, now, now)
+                mine.prove_return(KEY, now, now)
                 if was_leaving and not mine.is_leaving(KEY):
                     proved_at = now
             else:
@@ -91,28 +91,28 @@
 
     def test_a_probe_sent_within_the_hold_proves_nothing(self):
         table = leaving_table(DrainSignal.OWN)
-        table.proved(KEY, RETURN_HOLD_SECONDS - 0.1, RETURN_HOLD_SECONDS + 0.1)
+        table.prove_return(KEY, RETURN_HOLD_SECONDS - 0.1, RETURN_HOLD_SECONDS + 0.1)
         self.assertTrue(table.is_leaving(KEY))
-        table.proved(KEY, RETURN_HOLD_SECONDS, RETURN_HOLD_SECONDS + 0.1)
+        table.prove_return(KEY, RETURN_HOLD_SECONDS, RETURN_HOLD_SECONDS + 0.1)
         self.assertFalse(table.is_leaving(KEY))
 
     def test_a_stale_live_of_the_list_overrides_nothing(self):
         table = leaving_table(DrainSignal.LIST)
-        table.listed(KEY, False, 1.0)
-        table.listed(KEY, False, LIST_HOLD_SECONDS)
-        self.assertFalse(table.wants_proof(KEY, LIST_HOLD_SECONDS))
-        table.listed(KEY, True, LIST_HOLD_SECONDS + 0.5)
-        table.listed(KEY, False, LIST_HOLD_SECONDS + 1)
-        self.assertFalse(table.wants_proof(KEY, 10 * LIST_HOLD_SECONDS))
-        table.listed(KEY, False, 2 * LIST_HOLD_SECONDS + 1)
+        table.record_listed(KEY, False, 1.0)
+        table.record_listed(KEY, False, LIST_HOLD_SECONDS)
+        self.assertFalse(table.accepts_proof(KEY, LIST_HOLD_SECONDS))
+        table.record_listed(KEY, True, LIST_HOLD_SECONDS + 0.5)
+        table.record_listed(KEY, False, LIST_HOLD_SECONDS + 1)
+        self.assertFalse(table.accepts_proof(KEY, 10 * LIST_HOLD_SECONDS))
+        table.record_listed(KEY, False, 2 * LIST_HOLD_SECONDS + 1)
         self.assertTrue(table.is_leaving(KEY))
-        table.proved(KEY, 40.0, 40.1)
+        table.prove_return(KEY, 40.0, 40.1)
         self.assertFalse(table.is_leaving(KEY))
 
     def test_a_stale_leaving_of_a_peer_does_not_come_back(self):
         table = leaving_table(DrainSignal.OWN)
         stale = table.held_by_key[KEY].state
-        table.proved(KEY, 6.0, 6.1)
+        table.prove_return(KEY, 6.0, 6.1)
         table.merge(KEY, stale, 7.0)
         self.assertFalse(table.is_leaving(KEY))
 
@@ -124,21 +124,21 @@
 
     def test_closed_connections_alone_end_without_a_sign_for_a_while(self):
         table = leaving_table(DrainSignal.CLOSE)
-        self.assertFalse(table.wants_proof(KEY, CLOSE_HOLD_SECONDS - 1))
-        self.assertTrue(table.wants_proof(KEY, CLOSE_HOLD_SECONDS))
+        self.assertFalse(table.accepts_proof(KEY, CLOSE_HOLD_SECONDS - 1))
+        self.assertTrue(table.accepts_proof(KEY, CLOSE_HOLD_SECONDS))
 
     def test_a_server_that_leaves_again_soon_is_held_longer(self):
         table = leaving_table(DrainSignal.OWN)
-        table.proved(KEY, 6.0, 6.0)
+        table.prove_return(KEY, 6.0, 6.0)
         table.add_signal(KEY, DrainSignal.OWN, 7.0)
-        self.assertFalse(table.wants_proof(KEY, 7.0 + RETURN_HOLD_SECONDS))
-        self.assertTrue(table.wants_proof(KEY, 7.0 + 2 * RETURN_HOLD_SECONDS))
+        self.assertFalse(table.accepts_proof(KEY, 7.0 + RETURN_HOLD_SECONDS))
+        self.assertTrue(table.accepts_proof(KEY, 7.0 + 2 * RETURN_HOLD_SECONDS))
 
     def test_without_probes_leaving_ends_by_time(self):
         table = leaving_table(DrainSignal.OWN)
-        table.end_unproved(KEY, UNPROVED_SECONDS - 1)
+        table.expire_unproved(KEY, UNPROVED_SECONDS - 1)
         self.assertTrue(table.is_leaving(KEY))
-        table.end_unproved(KEY, UNPROVED_SECONDS)
+        table.expire_unproved(KEY, UNPROVED_SECONDS)
         self.assertFalse(table.is_leaving(KEY))
 
     def test_only_a_server_that_kept_connections_signs_by_closing_them(self):
--- a/tests/test_health_tracker.py
+++ b/tests/test_health_tracker.py
@@ -131,7 +131,7 @@
         self.clock.now += 60
         self.tell(self.first, self.second)
         self.assertEqual(choose(self.second, self.clock.now), 'limits-2')
-        self.first.drain.proved(KEY, self.clock.now, self.clock.now)
+        self.first.drain.prove_return(KEY, self.clock.now, self.clock.now)
         self.first.settle()
         self.tell(self.second, self.first)
         self.assertEqual(self.first.leaving_ids(), [])
@@ -174,7 +174,7 @@
         self.assertEqual(self.first.leaving_ids(), ['limits-1'])
         self.clock.now += CLOSE_HOLD_SECONDS
         self.first.answered('limits-1', close, None)
-        self.first.drain.proved(KEY, self.clock.now, self.clock.now)
+        self.first.drain.prove_return(KEY, self.clock.now, self.clock.now)
         self.first.settle()
         self.first.answered('limits-1', close, None)
         self.assertEqual(self.first.leaving_ids(), [])
