--- a/catkinslip/health/drain.py
+++ b/catkinslip/health/drain.py
@@ -153,7 +153,7 @@
         probe still has to prove the return.
         """
         view = self.list_view_by_key.setdefault(key, ListView())
-        view.read(leaving, now)
+        view.record_read(leaving, now)
         if leaving:
             self.add_signal(key, DrainSignal.LIST, now)
 
@@ -187,7 +187,7 @@
         if DrainSignal.LIST not in self.held_by_key[key].state.signals:
             return True
         view = self.list_view_by_key.get(key)
-        return view is not None and view.clear_for() >= LIST_HOLD_SECONDS
+        return view is not None and view.live_seconds() >= LIST_HOLD_SECONDS
 
     def prove_return(self, key: BackendKey, sent_at: float, now: float) -> None:
         """Mark a server as returned after a probe answered without a signal.
--- a/catkinslip/health/listing.py
+++ b/catkinslip/health/listing.py
@@ -7,20 +7,20 @@
 class ListView:
     """The period in which every read showed a server as live; monotonic seconds."""
 
-    clear_since: float | None = None
-    clear_until: float | None = None
+    live_since: float | None = None
+    live_until: float | None = None
 
-    def read(self, leaving: bool, now: float) -> None:
+    def record_read(self, leaving: bool, now: float) -> None:
         """Record one read of the list; a read that shows leaving clears the period."""
         if leaving:
-            self.clear_since = self.clear_until = None
+            self.live_since = self.live_until = None
             return
-        if self.clear_since is None:
-            self.clear_since = now
-        self.clear_until = now
+        if self.live_since is None:
+            self.live_since = now
+        self.live_until = now
 
-    def clear_for(self) -> float:
+    def live_seconds(self) -> float:
         """Return for how many seconds every read has shown the server as live."""
-        if self.clear_since is None or self.clear_until is None:
+        if self.live_since is None or self.live_until is None:
             return 0.0
-        return self.clear_until - self.clear_since
+        return self.live_until - self.live_since
