--- a/catkinslip/health/budget.py
+++ b/catkinslip/health/budget.py
@@ -18,7 +18,7 @@
 
 
 @frozen
-class ProbeTerms:
+class ProbeLimits:
     """The probes that the configuration allows for one service."""
 
     probes_per_second: float
@@ -37,47 +37,49 @@
     ended_at_by_address: dict[str, float] = Factory(dict)
     unspent_calls_by_service: dict[str, int] = Factory(dict)
 
-    def count_call(self, service: str, terms: ProbeTerms) -> None:
+    def count_call(self, service: str, limits: ProbeLimits) -> None:
         """Count one call from a caller, up to the number that may be saved up."""
         calls = self.unspent_calls_by_service.get(service, 0) + 1
-        most = MAX_SAVED_PROBES * terms.calls_per_probe
+        most = MAX_SAVED_PROBES * limits.calls_per_probe
         self.unspent_calls_by_service[service] = min(calls, most)
 
     def see_members(self, count: int) -> None:
         """Record the current number of members."""
         self.most_members = max(self.most_members, count)
 
-    def interval(self, terms: ProbeTerms) -> float:
+    def interval(self, limits: ProbeLimits) -> float:
         """Return the minimum seconds between this instance's probes of one server."""
-        if terms.probes_per_second <= 0:
+        if limits.probes_per_second <= 0:
             return float('inf')
-        divisor = max(terms.max_instances, self.most_members)
-        return divisor / terms.probes_per_second
+        divisor = max(limits.max_instances, self.most_members)
+        return divisor / limits.probes_per_second
 
     def may_probe(
-        self, address: str, service: str, terms: ProbeTerms, now: float
+        self, address: str, service: str, limits: ProbeLimits, now: float
     ) -> bool:
         """Return whether a probe of a server is within the budget."""
-        has_calls = self.has_calls(service, terms)
-        return has_calls and self.allowed_for(address, terms, now) >= 0
+        has_calls = self.has_calls(service, limits)
+        return has_calls and self.allowed_for(address, limits, now) >= 0
 
-    def allowed_for(self, address: str, terms: ProbeTerms, now: float) -> float:
+    def allowed_for(self, address: str, limits: ProbeLimits, now: float) -> float:
         """Return for how many seconds a probe has been allowed; negative before."""
         last = self.ended_at_by_address.get(address, self.started_at)
-        return now - last - self.interval(terms)
+        return now - last - self.interval(limits)
 
-    def has_calls(self, service: str, terms: ProbeTerms) -> bool:
+    def has_calls(self, service: str, limits: ProbeLimits) -> bool:
         """Return whether enough calls of a service arrived for one more probe."""
-        return self.unspent_calls_by_service.get(service, 0) >= terms.calls_per_probe
+        return self.unspent_calls_by_service.get(service, 0) >= limits.calls_per_probe
 
-    def spend(self, address: str, service: str, terms: ProbeTerms, now: float) -> bool:
+    def spend(
+        self, address: str, service: str, limits: ProbeLimits, now: float
+    ) -> bool:
         """Spend one probe right before its first byte is sent.
 
         Returns whether the budget allowed the probe.
         """
-        if not self.may_probe(address, service, terms, now):
+        if not self.may_probe(address, service, limits, now):
             return False
-        self.unspent_calls_by_service[service] -= terms.calls_per_probe
+        self.unspent_calls_by_service[service] -= limits.calls_per_probe
         self.ended_at_by_address[address] = now
         return True
 
--- a/catkinslip/health/prober.py
+++ b/catkinslip/health/prober.py
@@ -78,10 +78,10 @@
         if waited < 0 or not self.is_allowed(key, now, proves_return):
             return None
         service = tracker.document.register.backends[key.backend_id].service
-        terms = tracker.terms_by_service[service]
+        limits = tracker.probe_limits_by_service[service]
         # Instances with a better rank get their time to probe and to send the result,
         # even when the budget allows a probe to all of them at the same moment.
-        waited = min(waited, tracker.budget.allowed_for(key.address, terms, now))
+        waited = min(waited, tracker.budget.allowed_for(key.address, limits, now))
         waited -= RANK_SECONDS * rank(key, self.members.own.member_id, member_ids)
         if waited < 0:
             return None
@@ -95,8 +95,8 @@
             return False
         if proves_return and not tracker.drain.accepts_proof(key, now):
             return False
-        terms = tracker.terms_by_service[backend.service]
-        if tracker.budget.may_probe(key.address, backend.service, terms, now):
+        limits = tracker.probe_limits_by_service[backend.service]
+        if tracker.budget.may_probe(key.address, backend.service, limits, now):
             return True
         tracker.counters.probes_held_back += 1
         return False
@@ -127,12 +127,12 @@
     async def exchange(self, wire: Wire, target: ProbeTarget) -> None:
         """Spend a probe from the budget, send the request and read the answer."""
         tracker, key = self.tracker, target.key
-        terms = tracker.terms_by_service.get(target.service)
+        limits = tracker.probe_limits_by_service.get(target.service)
         router = tracker.router(key)
         picks_before = router.picks_since_report(key.backend_id) if router else 0
         sent_at = self.clock.monotonic()
-        if terms is None or not tracker.budget.spend(
-            key.address, target.service, terms, sent_at
+        if limits is None or not tracker.budget.spend(
+            key.address, target.service, limits, sent_at
         ):
             return
         tracker.counters.probes_sent += 1
@@ -175,7 +175,9 @@
         now = self.clock.monotonic()
         backends = self.tracker.document.register.backends
         for key in self.tracker.drain.leaving():
-            terms = self.tracker.terms_by_service.get(backends[key.backend_id].service)
-            if terms is not None and terms.probes_per_second <= 0:
+            limits = self.tracker.probe_limits_by_service.get(
+                backends[key.backend_id].service
+            )
+            if limits is not None and limits.probes_per_second <= 0:
                 self.tracker.drain.expire_unproved(key, now)
         self.tracker.settle()
--- a/catkinslip/health/tracker.py
+++ b/catkinslip/health/tracker.py
@@ -10,7 +10,7 @@
 from catkinslip.clock import Clock
 from catkinslip.config.difference import compare
 from catkinslip.config.documents import AcceptedConfig, Backend, Document
-from catkinslip.health.budget import ProbeBudget, ProbeTerms
+from catkinslip.health.budget import ProbeBudget, ProbeLimits
 from catkinslip.health.counters import HealthCounters
 from catkinslip.health.drain import DrainSignal, DrainTable
 from catkinslip.health.reachability import Reachability
@@ -27,10 +27,10 @@
 log = logging.getLogger('health')
 
 
-def make_terms(document: Document, max_instances: int) -> dict[str, ProbeTerms]:
+def make_probe_limits(document: Document, max_instances: int) -> dict[str, ProbeLimits]:
     """Return the probes allowed for each service, by the name of the service."""
     return {
-        name: ProbeTerms(
+        name: ProbeLimits(
             service.probes_per_second,
             service.calls_per_probe,
             max_instances,
@@ -60,7 +60,7 @@
     counters: HealthCounters = Factory(HealthCounters)
     document: Document = Factory(Document)
     key_by_id: dict[str, BackendKey] = Factory(dict)
-    terms_by_service: dict[str, ProbeTerms] = Factory(dict)
+    probe_limits_by_service: dict[str, ProbeLimits] = Factory(dict)
     leaving_keys: set[BackendKey] = Factory(set)
     #: Set when a server starts or stops leaving, replaced when peers are notified.
     drain_changed: trio.Event = Factory(trio.Event)
@@ -70,7 +70,9 @@
         difference = compare(self.document, config.document)
         self.document = config.document
         if difference.redefined:
-            self.terms_by_service = make_terms(config.document, self.max_instances)
+            self.probe_limits_by_service = make_probe_limits(
+                config.document, self.max_instances
+            )
         now = self.clock.monotonic()
         for backend_id in difference.backends:
             self._replace_key(backend_id, now)
@@ -107,9 +109,9 @@
     def count_call(self, service: str) -> None:
         """Count one call from a caller, which adds to the probe budget."""
         self.counters.calls += 1
-        terms = self.terms_by_service.get(service)
-        if terms is not None:
-            self.budget.count_call(service, terms)
+        limits = self.probe_limits_by_service.get(service)
+        if limits is not None:
+            self.budget.count_call(service, limits)
 
     def answered(
         self, backend_id: str, headers: Headers, report: LoadReport | None
--- a/tests/test_config_difference.py
+++ b/tests/test_config_difference.py
@@ -100,7 +100,9 @@
             fresh.directory.update(wanted)
             fresh.update(wanted)
             self.assertEqual(tracker.key_by_id, fresh.key_by_id)
-            self.assertEqual(tracker.terms_by_service, fresh.terms_by_service)
+            self.assertEqual(
+                tracker.probe_limits_by_service, fresh.probe_limits_by_service
+            )
             waited_for = tracker.reports.answered_at_by_key
             self.assertEqual(set(waited_for), set(tracker.key_by_id.values()))
 
--- a/tests/test_health_budget.py
+++ b/tests/test_health_budget.py
@@ -7,13 +7,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from catkinslip.health.budget import ProbeBudget, ProbeTerms
+from catkinslip.health.budget import ProbeBudget, ProbeLimits
 from catkinslip.health.schedule import rank
 from catkinslip.models import BackendKey
 
 KEYS = [BackendKey(f'limits-{n}', f'10.0.0.{n}:80') for n in range(2)]
 TICK_SECONDS = 0.5
-TERMS = ProbeTerms(probes_per_second=1.0, calls_per_probe=10, max_instances=17)
+LIMITS = ProbeLimits(probes_per_second=1.0, calls_per_probe=10, max_instances=17)
 
 
 @define
@@ -21,7 +21,7 @@
     """Instances that each see the members that a test gives them."""
 
     size: int
-    terms: ProbeTerms = TERMS
+    limits: ProbeLimits = LIMITS
     calls_per_tick: int = 20
     calls: int = 0
     budget_by_name: dict[str, ProbeBudget] = Factory(dict)
@@ -41,13 +41,13 @@
             view = view_by_name[name]
             budget.see_members(len(view))
             for _ in range(self.calls_per_tick):
-                budget.count_call('limits', self.terms)
+                budget.count_call('limits', self.limits)
                 self.calls += 1
             for key in KEYS:
-                terms = (key.address, 'limits', self.terms, now)
-                if not budget.may_probe(*terms) or rank(key, name, view) >= 3:
+                limits = (key.address, 'limits', self.limits, now)
+                if not budget.may_probe(*limits) or rank(key, name, view) >= 3:
                     continue
-                if budget.spend(*terms):
+                if budget.spend(*limits):
                     self.times_by_key.setdefault(key, []).append(now)
 
     def probes(self) -> int:
@@ -59,14 +59,14 @@
 
     def assert_within(self, fleet: Fleet, seconds: float) -> None:
         """Check the probe rate at each server and the probes per call."""
-        rate = fleet.terms.probes_per_second
-        size = max(fleet.terms.max_instances, fleet.size)
+        rate = fleet.limits.probes_per_second
+        size = max(fleet.limits.max_instances, fleet.size)
         self.assertGreater(fleet.probes(), 0)
         for times in fleet.times_by_key.values():
             for first, one_too_many in zip(times, times[size:], strict=False):
                 self.assertGreaterEqual(one_too_many - first, size / rate)
             self.assertLessEqual(len(times), rate * seconds)
-        most = fleet.calls / fleet.terms.calls_per_probe
+        most = fleet.calls / fleet.limits.calls_per_probe
         self.assertLessEqual(fleet.probes(), most)
 
     def run_fleet(self, fleet: Fleet, views, seconds: float = 200.0, restart=None):
@@ -103,24 +103,24 @@
     def test_restart_loop(self):
         for size in (1, 3, 17):
             for ticks in (1, 7, 20, 33, 35, 40):
-                terms = ProbeTerms(1.0, 10, max_instances=size)
-                fleet = Fleet(size, terms)
+                limits = ProbeLimits(1.0, 10, max_instances=size)
+                fleet = Fleet(size, limits)
                 self.run_fleet(fleet, lambda name, now, f=fleet: f.names(), 200, ticks)
                 if fleet.probes():
                     self.assert_within(fleet, 200.0)
 
     def test_calls_pay_for_probes(self):
-        fleet = Fleet(3, ProbeTerms(1000.0, 400, 3), calls_per_tick=1)
+        fleet = Fleet(3, ProbeLimits(1000.0, 400, 3), calls_per_tick=1)
         self.run_fleet(fleet, lambda name, now: [name], 1000.0)
         self.assert_within(fleet, 1000.0)
 
     def test_more_instances_than_configured_shrink_their_share(self):
-        fleet = Fleet(6, ProbeTerms(1.0, 10, max_instances=2))
+        fleet = Fleet(6, ProbeLimits(1.0, 10, max_instances=2))
         self.run_fleet(fleet, lambda name, now: fleet.names())
         self.assert_within(fleet, 200.0)
 
     def test_no_probes_when_turned_off(self):
-        fleet = Fleet(3, ProbeTerms(0.0, 1, 3))
+        fleet = Fleet(3, ProbeLimits(0.0, 1, 3))
         self.run_fleet(fleet, lambda name, now: [name])
         self.assertEqual(fleet.probes(), 0)
 
--- a/tests/test_health_tracker.py
+++ b/tests/test_health_tracker.py
@@ -9,7 +9,7 @@
 from catkinslip.clock import Clock
 from catkinslip.config.checks import read_document
 from catkinslip.config.documents import AcceptedConfig, Document, converter
-from catkinslip.health.budget import KEPT_SECONDS, ProbeTerms
+from catkinslip.health.budget import KEPT_SECONDS, ProbeLimits
 from catkinslip.health.drain import CLOSE_HOLD_SECONDS, RETURN_HOLD_SECONDS
 from catkinslip.health.prober import Prober
 from catkinslip.health.reachability import LONGEST_PAUSE_SECONDS, Reachability
@@ -63,13 +63,13 @@
     def test_last_probe_of_a_registered_server_is_kept_until_the_next_may_follow(self):
         clock = ManualClock()
         made = tracker(clock)
-        terms = ProbeTerms(0.0005, calls_per_probe=1, max_instances=4)
-        clock.now += made.budget.interval(terms)
+        limits = ProbeLimits(0.0005, calls_per_probe=1, max_instances=4)
+        clock.now += made.budget.interval(limits)
         made.budget.ended('10.0.0.1:80', clock.now)
         made.budget.ended('10.0.0.9:80', clock.now)
         clock.now += KEPT_SECONDS + 1
         made.update(AcceptedConfig(document=made.document))
-        self.assertLess(made.budget.allowed_for('10.0.0.1:80', terms, clock.now), 0)
+        self.assertLess(made.budget.allowed_for('10.0.0.1:80', limits, clock.now), 0)
         self.assertEqual(list(made.budget.ended_at_by_address), ['10.0.0.1:80'])
 
 
