--- a/catkinslip/health/budget.py
+++ b/catkinslip/health/budget.py
@@ -33,7 +33,7 @@
     started_at: float
     #: Highest number of members seen so far. It never falls, so that this instance's
     #: share does not grow when members only seem to be removed.
-    most_members: int = 1
+    max_members: int = 1
     ended_at_by_address: dict[str, float] = Factory(dict)
     unspent_calls_by_service: dict[str, int] = Factory(dict)
 
@@ -43,25 +43,25 @@
         most = MAX_SAVED_PROBES * limits.calls_per_probe
         self.unspent_calls_by_service[service] = min(calls, most)
 
-    def see_members(self, count: int) -> None:
+    def record_members(self, count: int) -> None:
         """Record the current number of members."""
-        self.most_members = max(self.most_members, count)
+        self.max_members = max(self.max_members, count)
 
     def interval(self, limits: ProbeLimits) -> float:
         """Return the minimum seconds between this instance's probes of one server."""
         if limits.probes_per_second <= 0:
             return float('inf')
-        divisor = max(limits.max_instances, self.most_members)
+        divisor = max(limits.max_instances, self.max_members)
         return divisor / limits.probes_per_second
 
-    def may_probe(
+    def allows_probe(
         self, address: str, service: str, limits: ProbeLimits, now: float
     ) -> bool:
         """Return whether a probe of a server is within the budget."""
         has_calls = self.has_calls(service, limits)
-        return has_calls and self.allowed_for(address, limits, now) >= 0
+        return has_calls and self.allowed_seconds(address, limits, now) >= 0
 
-    def allowed_for(self, address: str, limits: ProbeLimits, now: float) -> float:
+    def allowed_seconds(self, address: str, limits: ProbeLimits, now: float) -> float:
         """Return for how many seconds a probe has been allowed; negative before."""
         last = self.ended_at_by_address.get(address, self.started_at)
         return now - last - self.interval(limits)
@@ -77,13 +77,13 @@
 
         Returns whether the budget allowed the probe.
         """
-        if not self.may_probe(address, service, limits, now):
+        if not self.allows_probe(address, service, limits, now):
             return False
         self.unspent_calls_by_service[service] -= limits.calls_per_probe
         self.ended_at_by_address[address] = now
         return True
 
-    def ended(self, address: str, now: float) -> None:
+    def end_probe(self, address: str, now: float) -> None:
         """Restart a server's interval when its probe ends.
 
         A paused process may send the probe long after `spend`.
--- a/catkinslip/health/prober.py
+++ b/catkinslip/health/prober.py
@@ -51,7 +51,7 @@
         """Send due probes until cancelled, checking a part of the servers at a time."""
         async with trio.open_nursery() as nursery:
             while True:
-                self.tracker.budget.see_members(len(self.members.live()))
+                self.tracker.budget.record_members(len(self.members.live()))
                 for part in range(PARTS):
                     await trio.sleep(ROUND_SECONDS / PARTS)
                     for target in self.due(self.clock.monotonic(), part):
@@ -81,7 +81,7 @@
         limits = tracker.probe_limits_by_service[service]
         # Instances with a better rank get their time to probe and to send the result,
         # even when the budget allows a probe to all of them at the same moment.
-        waited = min(waited, tracker.budget.allowed_for(key.address, limits, now))
+        waited = min(waited, tracker.budget.allowed_seconds(key.address, limits, now))
         waited -= RANK_SECONDS * rank(key, self.members.own.member_id, member_ids)
         if waited < 0:
             return None
@@ -96,7 +96,7 @@
         if proves_return and not tracker.drain.accepts_proof(key, now):
             return False
         limits = tracker.probe_limits_by_service[backend.service]
-        if tracker.budget.may_probe(key.address, backend.service, limits, now):
+        if tracker.budget.allows_probe(key.address, backend.service, limits, now):
             return True
         tracker.counters.probes_held_back += 1
         return False
@@ -142,7 +142,7 @@
             response = await receive_response(wire)
             await drain_body(wire)
         finally:
-            tracker.budget.ended(key.address, self.clock.monotonic())
+            tracker.budget.end_probe(key.address, self.clock.monotonic())
         self.take(response, key, sent_at, picks_before)
 
     def request(self, target: ProbeTarget) -> h11.Request:
--- a/tests/test_health_budget.py
+++ b/tests/test_health_budget.py
@@ -39,13 +39,13 @@
             if name in paused:
                 continue
             view = view_by_name[name]
-            budget.see_members(len(view))
+            budget.record_members(len(view))
             for _ in range(self.calls_per_tick):
                 budget.count_call('limits', self.limits)
                 self.calls += 1
             for key in KEYS:
                 limits = (key.address, 'limits', self.limits, now)
-                if not budget.may_probe(*limits) or rank(key, name, view) >= 3:
+                if not budget.allows_probe(*limits) or rank(key, name, view) >= 3:
                     continue
                 if budget.spend(*limits):
                     self.times_by_key.setdefault(key, []).append(now)
--- a/tests/test_health_tracker.py
+++ b/tests/test_health_tracker.py
@@ -65,11 +65,13 @@
         made = tracker(clock)
         limits = ProbeLimits(0.0005, calls_per_probe=1, max_instances=4)
         clock.now += made.budget.interval(limits)
-        made.budget.ended('10.0.0.1:80', clock.now)
-        made.budget.ended('10.0.0.9:80', clock.now)
+        made.budget.end_probe('10.0.0.1:80', clock.now)
+        made.budget.end_probe('10.0.0.9:80', clock.now)
         clock.now += KEPT_SECONDS + 1
         made.update(AcceptedConfig(document=made.document))
-        self.assertLess(made.budget.allowed_for('10.0.0.1:80', limits, clock.now), 0)
+        self.assertLess(
+            made.budget.allowed_seconds('10.0.0.1:80', limits, clock.now), 0
+        )
         self.assertEqual(list(made.budget.ended_at_by_address), ['10.0.0.1:80'])
 
 
