--- a/catkinslip/health/lister.py
+++ b/catkinslip/health/lister.py
@@ -37,7 +37,7 @@
         """Read the list once; log only the first of several failures in a row."""
         match await self.store.list_instances():
             case Success(listed):
-                self.tracker.learn_list(listed)
+                self.tracker.apply_list(listed)
                 self.is_failing = False
             case Failure(error):
                 if not self.is_failing:
--- a/catkinslip/health/prober.py
+++ b/catkinslip/health/prober.py
@@ -163,7 +163,7 @@
         tracker.counters.probes_answered += 1
         report = read_report(response.headers)
         if report is not None:
-            tracker.learn_report(key, KnownReport(report, sent_at), picks_before)
+            tracker.apply_report(key, KnownReport(report, sent_at), picks_before)
         tracker.answered(key.backend_id, response.headers, None)
         is_well = response.status_code < 400 and not says_drain(response.headers)
         if is_well and names.find(response.headers, names.OUTCOME) is None:
--- a/catkinslip/health/reports.py
+++ b/catkinslip/health/reports.py
@@ -31,9 +31,9 @@
     #: Number of reports applied so far.
     version: int = 0
 
-    def learn(self, key: BackendKey, known: KnownReport) -> bool:
+    def apply(self, key: BackendKey, known: KnownReport) -> bool:
         """Apply a report if it is newer; return whether it was."""
-        self.answered(key, known.observed_at)
+        self.record_answer(key, known.observed_at)
         held = self.known_by_key.get(key)
         if held is not None and held.observed_at >= known.observed_at:
             return False
@@ -41,7 +41,7 @@
         self.version += 1
         return True
 
-    def answered(self, key: BackendKey, at: float) -> None:
+    def record_answer(self, key: BackendKey, at: float) -> None:
         """Record the time of an answer, with or without a report."""
         self.answered_at_by_key[key] = max(at, self.answered_at_by_key.get(key, at))
 
@@ -49,7 +49,7 @@
         """Return the seconds since the last known answer; 0 for an unknown server."""
         return now - self.answered_at_by_key.get(key, now)
 
-    def youngest(self, now: float) -> list[tuple[BackendKey, KnownReport]]:
+    def newest(self, now: float) -> list[tuple[BackendKey, KnownReport]]:
         """Return the newest reports to send to peers, at most one message full."""
         fresh = [
             (key, known)
@@ -60,7 +60,7 @@
             MAX_REPORTS_PER_MESSAGE, fresh, key=lambda pair: pair[1].observed_at
         )
 
-    def expect(self, key: BackendKey, now: float) -> None:
+    def expect_answers(self, key: BackendKey, now: float) -> None:
         """Start to count the silence of a new server from now."""
         self.answered_at_by_key.setdefault(key, now)
 
--- a/catkinslip/health/topics.py
+++ b/catkinslip/health/topics.py
@@ -54,7 +54,7 @@
 
     table: DrainTable
     is_registered: Callable[[BackendKey], bool]
-    learned: Callable[[], None]
+    on_applied: Callable[[], None]
     monotonic: Callable[[], float]
     counters: HealthCounters
     name = 'drain'
@@ -99,7 +99,7 @@
             if self.is_registered(key):
                 state = DrainState(message.generation, frozenset(message.signs))
                 self.table.merge(key, state, now, message.age)
-        self.learned()
+        self.on_applied()
 
 
 @define
@@ -107,7 +107,7 @@
     """The newest load reports, each with its age, in batches for peers."""
 
     reports: ReportTable
-    learn: Callable[[BackendKey, KnownReport], None]
+    apply_report: Callable[[BackendKey, KnownReport], None]
     monotonic: Callable[[], float]
     counters: HealthCounters
     name = 'load'
@@ -127,7 +127,7 @@
                 known.report.speed,
                 age_since(known.observed_at, now),
             )
-            for key, known in self.reports.youngest(now)
+            for key, known in self.reports.newest(now)
         ]
         self.counters.reports_sent += len(messages)
         return cattrs.unstructure(messages) if messages else None
@@ -144,7 +144,7 @@
             key = BackendKey(message.backend_id, message.address)
             report = LoadReport(message.in_flight, message.speed)
             known = KnownReport(report, now - message.age)
-            self.learn(key, known)
+            self.apply_report(key, known)
 
 
 def age_since(at: float, now: float) -> float:
@@ -167,5 +167,5 @@
         DrainTopic(
             tracker.drain, tracker.is_registered, tracker.settle, monotonic, counters
         ),
-        ReportTopic(tracker.reports, tracker.learn_report, monotonic, counters),
+        ReportTopic(tracker.reports, tracker.apply_report, monotonic, counters),
     )
--- a/catkinslip/health/tracker.py
+++ b/catkinslip/health/tracker.py
@@ -104,7 +104,7 @@
         if new is not None:
             self.key_by_id[backend_id] = new
             self.drain.restore(new, now)
-            self.reports.expect(new, now)
+            self.reports.expect_answers(new, now)
 
     def count_call(self, service: str) -> None:
         """Count one call from a caller, which adds to the probe budget."""
@@ -121,12 +121,12 @@
         if key is None:
             return
         now = self.clock.monotonic()
-        self.reports.answered(key, now)
+        self.reports.record_answer(key, now)
         if self.reachability.reached(key):
             log.info('health: server answers again. backend=%s', backend_id)
             self._doubt(key, now)
         if report is not None:
-            self.reports.learn(key, KnownReport(report, now))
+            self.reports.apply(key, KnownReport(report, now))
         if says_drain(headers):
             self.drain.add_signal(key, DrainSignal.OWN, now)
         elif self._begins_to_close(key, headers):
@@ -178,7 +178,7 @@
         now = self.clock.monotonic()
         return router.rank(now, [*tried, *self.reachability.avoided(now)])
 
-    def learn_list(self, listed: Iterable[ListedInstance]) -> None:
+    def apply_list(self, listed: Iterable[ListedInstance]) -> None:
         """Apply one read of the platform's instance list."""
         leaving_by_name = {each.name: each.leaving for each in listed}
         now = self.clock.monotonic()
@@ -188,12 +188,12 @@
             self.drain.record_listed(self.key_by_id[backend_id], says_leaving, now)
         self.settle()
 
-    def learn_report(
+    def apply_report(
         self, key: BackendKey, known: KnownReport, picks_before: int = 0
     ) -> None:
         """Apply a report from a peer or a probe to its router, if it is newer."""
         router = self.router(key)
-        if router is not None and self.reports.learn(key, known):
+        if router is not None and self.reports.apply(key, known):
             router.learned(
                 key.backend_id, known.report, known.observed_at, picks_before
             )
