--- a/catkinslip/health/prober.py
+++ b/catkinslip/health/prober.py
@@ -15,7 +15,7 @@
     in_order,
     rank,
 )
-from catkinslip.health.signs import says_drain
+from catkinslip.health.signs import has_drain_header
 from catkinslip.health.tracker import HealthTracker
 from catkinslip.membership.members import MemberTable
 from catkinslip.models import Address, BackendKey
@@ -165,7 +165,7 @@
         if report is not None:
             tracker.apply_report(key, KnownReport(report, sent_at), picks_before)
         tracker.answered(key.backend_id, response.headers, None)
-        is_well = response.status_code < 400 and not says_drain(response.headers)
+        is_well = response.status_code < 400 and not has_drain_header(response.headers)
         if is_well and names.find(response.headers, names.OUTCOME) is None:
             tracker.drain.prove_return(key, sent_at, now)
             tracker.settle()
--- a/catkinslip/health/signs.py
+++ b/catkinslip/health/signs.py
@@ -13,13 +13,13 @@
 CLOSES_IN_A_ROW = 3
 
 
-def says_drain(headers: Iterable[tuple[bytes, bytes]]) -> bool:
+def has_drain_header(headers: Iterable[tuple[bytes, bytes]]) -> bool:
     """Return whether an answer carries the drain header with the value `true`."""
     value = find(headers, DRAIN_HEADER)
     return value is not None and value.strip().lower() == DRAIN_VALUE
 
 
-def says_close(headers: Iterable[tuple[bytes, bytes]]) -> bool:
+def closes_connection(headers: Iterable[tuple[bytes, bytes]]) -> bool:
     """Return whether an answer closes its connection."""
     value = find(headers, b'connection')
     return value is not None and b'close' in value.lower()
@@ -31,7 +31,7 @@
 
     closes_by_key: dict[BackendKey, int] = Factory(dict)
 
-    def answered(self, key: BackendKey, closes: bool) -> bool:
+    def count_answer(self, key: BackendKey, closes: bool) -> bool:
         """Count an answer; return whether the closes in a row are a signal."""
         if not closes:
             self.closes_by_key[key] = 0
--- a/catkinslip/health/tracker.py
+++ b/catkinslip/health/tracker.py
@@ -15,7 +15,7 @@
 from catkinslip.health.drain import DrainSignal, DrainTable
 from catkinslip.health.reachability import Reachability
 from catkinslip.health.reports import KnownReport, ReportTable
-from catkinslip.health.signs import CloseCounter, says_close, says_drain
+from catkinslip.health.signs import CloseCounter, closes_connection, has_drain_header
 from catkinslip.models import BackendKey
 from catkinslip.routing.base import Choice, Estimate, LoadReport
 from catkinslip.routing.directory import Directory
@@ -127,16 +127,16 @@
             self._doubt(key, now)
         if report is not None:
             self.reports.apply(key, KnownReport(report, now))
-        if says_drain(headers):
+        if has_drain_header(headers):
             self.drain.add_signal(key, DrainSignal.OWN, now)
-        elif self._begins_to_close(key, headers):
+        elif self._starts_closing(key, headers):
             self.drain.add_signal(key, DrainSignal.CLOSE, now)
         self.settle()
 
-    def _begins_to_close(self, key: BackendKey, headers: Headers) -> bool:
+    def _starts_closing(self, key: BackendKey, headers: Headers) -> bool:
         if not self.counts_closes or self.drain.is_leaving(key):
             return False
-        return self.closes.answered(key, says_close(headers))
+        return self.closes.count_answer(key, closes_connection(headers))
 
     def leaves(self, backend_id: str) -> None:
         """Mark a server as leaving after a signal in one of its answers."""
@@ -184,8 +184,8 @@
         now = self.clock.monotonic()
         leaving = {key.backend_id for key in self.drain.leaving()}
         for backend_id in (leaving_by_name.keys() | leaving) & self.key_by_id.keys():
-            says_leaving = leaving_by_name.get(backend_id, False)
-            self.drain.record_listed(self.key_by_id[backend_id], says_leaving, now)
+            is_leaving = leaving_by_name.get(backend_id, False)
+            self.drain.record_listed(self.key_by_id[backend_id], is_leaving, now)
         self.settle()
 
     def apply_report(
--- a/tests/test_health_drain.py
+++ b/tests/test_health_drain.py
@@ -143,8 +143,8 @@
 
     def test_only_a_server_that_kept_connections_signs_by_closing_them(self):
         counter = CloseCounter()
-        always = [counter.answered(KEY, True) for _ in range(9)]
+        always = [counter.count_answer(KEY, True) for _ in range(9)]
         self.assertNotIn(True, always)
-        counter.answered(KEY, False)
-        begins = [counter.answered(KEY, True) for _ in range(CLOSES_IN_A_ROW)]
+        counter.count_answer(KEY, False)
+        begins = [counter.count_answer(KEY, True) for _ in range(CLOSES_IN_A_ROW)]
         self.assertEqual(begins, [*itertools.repeat(False, 2), True])
