--- a/catkinslip/health/prober.py
+++ b/catkinslip/health/prober.py
@@ -110,7 +110,7 @@
                 wire = await self.pool.acquire(address)
                 if isinstance(wire, NotRun):
                     if wire.reason is Reason.CONNECT_FAILED:
-                        self.tracker.refused(key.backend_id)
+                        self.tracker.record_refusal(key.backend_id)
                     return
                 try:
                     await self.exchange(wire, target)
@@ -164,11 +164,11 @@
         report = read_report(response.headers)
         if report is not None:
             tracker.apply_report(key, KnownReport(report, sent_at), picks_before)
-        tracker.answered(key.backend_id, response.headers, None)
+        tracker.record_answer(key.backend_id, response.headers, None)
         is_well = response.status_code < 400 and not has_drain_header(response.headers)
         if is_well and names.find(response.headers, names.OUTCOME) is None:
             tracker.drain.prove_return(key, sent_at, now)
-            tracker.settle()
+            tracker.apply_changes()
 
     def expire_unproved(self) -> None:
         """Mark leaving servers of services without probes as returned after a time."""
@@ -180,4 +180,4 @@
             )
             if limits is not None and limits.probes_per_second <= 0:
                 self.tracker.drain.expire_unproved(key, now)
-        self.tracker.settle()
+        self.tracker.apply_changes()
--- a/catkinslip/health/sampler.py
+++ b/catkinslip/health/sampler.py
@@ -270,7 +270,7 @@
         wire = await self.pool.acquire(address)
         if isinstance(wire, NotRun):
             if wire.reason is Reason.CONNECT_FAILED:
-                self.health.refused(backend_id)
+                self.health.record_refusal(backend_id)
             return False
         is_done = False
         try:
@@ -310,7 +310,7 @@
             router.learned(load.backend_id, answer.report, answered_at, picks_before)
         router.take_words(load, answer.words, AnswerKind.PROBE, sent_at, now)
         if answer.words.is_leaving:
-            self.health.leaves(load.backend_id)
+            self.health.mark_leaving(load.backend_id)
         if answer.cold_seconds is None:
             log.info('health: cold time not readable. backend=%s', load.backend_id)
         else:
--- a/catkinslip/health/topics.py
+++ b/catkinslip/health/topics.py
@@ -165,7 +165,11 @@
     monotonic, counters = tracker.clock.monotonic, tracker.counters
     return (
         DrainTopic(
-            tracker.drain, tracker.is_registered, tracker.settle, monotonic, counters
+            tracker.drain,
+            tracker.is_registered,
+            tracker.apply_changes,
+            monotonic,
+            counters,
         ),
         ReportTopic(tracker.reports, tracker.apply_report, monotonic, counters),
     )
--- a/catkinslip/health/tracker.py
+++ b/catkinslip/health/tracker.py
@@ -79,7 +79,7 @@
         self.drain.forget_old(now)
         self.budget.forget_old(self._addresses, now)
         for key in self.drain.leaving():
-            self._tell_router(key.backend_id)
+            self._update_router(key.backend_id)
 
     def _addresses(self) -> set[str]:
         return {key.address for key in self.key_by_id.values()}
@@ -113,7 +113,7 @@
         if limits is not None:
             self.budget.count_call(service, limits)
 
-    def answered(
+    def record_answer(
         self, backend_id: str, headers: Headers, report: LoadReport | None
     ) -> None:
         """Apply the head of a backend server's answer and its load report, if any."""
@@ -124,28 +124,28 @@
         self.reports.record_answer(key, now)
         if self.reachability.reached(key):
             log.info('health: server answers again. backend=%s', backend_id)
-            self._doubt(key, now)
+            self._mark_possibly_restarted(key, now)
         if report is not None:
             self.reports.apply(key, KnownReport(report, now))
         if has_drain_header(headers):
             self.drain.add_signal(key, DrainSignal.OWN, now)
         elif self._starts_closing(key, headers):
             self.drain.add_signal(key, DrainSignal.CLOSE, now)
-        self.settle()
+        self.apply_changes()
 
     def _starts_closing(self, key: BackendKey, headers: Headers) -> bool:
         if not self.counts_closes or self.drain.is_leaving(key):
             return False
         return self.closes.count_answer(key, closes_connection(headers))
 
-    def leaves(self, backend_id: str) -> None:
+    def mark_leaving(self, backend_id: str) -> None:
         """Mark a server as leaving after a signal in one of its answers."""
         key = self.key_by_id.get(backend_id)
         if key is not None:
             self.drain.add_signal(key, DrainSignal.OWN, self.clock.monotonic())
-            self.settle()
+            self.apply_changes()
 
-    def refused(self, backend_id: str) -> None:
+    def record_refusal(self, backend_id: str) -> None:
         """Record a refused connection and avoid the server for a time."""
         key = self.key_by_id.get(backend_id)
         if key is None:
@@ -153,12 +153,12 @@
         self.counters.connects_refused += 1
         now = self.clock.monotonic()
         pause = self.reachability.failed(key, now)
-        self._doubt(key, now)
+        self._mark_possibly_restarted(key, now)
         log.info(
             'health: connection refused. backend=%s next_s=%.1f', backend_id, pause
         )
 
-    def _doubt(self, key: BackendKey, now: float) -> None:
+    def _mark_possibly_restarted(self, key: BackendKey, now: float) -> None:
         router = self.router(key)
         if router is not None:
             router.doubt(key.backend_id, now)
@@ -186,7 +186,7 @@
         for backend_id in (leaving_by_name.keys() | leaving) & self.key_by_id.keys():
             is_leaving = leaving_by_name.get(backend_id, False)
             self.drain.record_listed(self.key_by_id[backend_id], is_leaving, now)
-        self.settle()
+        self.apply_changes()
 
     def apply_report(
         self, key: BackendKey, known: KnownReport, picks_before: int = 0
@@ -205,14 +205,14 @@
         service = self.document.register.backends[key.backend_id].service
         return self.directory.router_by_service.get(service)
 
-    def settle(self) -> None:
+    def apply_changes(self) -> None:
         """Apply changed drain states to the routers and wake the gossip."""
         changed = self.drain.pop_changed()
         if not changed:
             return
         for key in changed:
             self._count_change(key)
-            self._tell_router(key.backend_id)
+            self._update_router(key.backend_id)
         self.drain_changed.set()
 
     def leaving_ids(self) -> list[str]:
@@ -229,7 +229,7 @@
         """Return whether the register has a server under this very key."""
         return self.key_by_id.get(key.backend_id) == key
 
-    def _tell_router(self, backend_id: str) -> None:
+    def _update_router(self, backend_id: str) -> None:
         backend = self.document.register.backends.get(backend_id)
         if backend is None:
             return
--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -155,7 +155,7 @@
     ) -> None:
         # An answer of before the server's last start says nothing of the one of now.
         if self.router.is_known(load):
-            self.health.answered(load.backend_id, headers, report)
+            self.health.record_answer(load.backend_id, headers, report)
 
     def _take_words(
         self,
@@ -168,7 +168,7 @@
             now = self.clock.monotonic()
             self.router.take_words(load, words, kind, sent_at, now)
             if words.is_leaving:
-                self.health.leaves(load.backend_id)
+                self.health.mark_leaving(load.backend_id)
 
     def _take_break(self, backend_id: str, broken: Break) -> None:
         log.info(
@@ -268,7 +268,7 @@
             # Given up while its server was looked at: it was counted as ended then.
             return
         if (result.reason is Reason.CONNECT_FAILED or has_ended) and is_known:
-            self.health.refused(launch.backend_id)
+            self.health.record_refusal(launch.backend_id)
         if launch.attempt.doubt is not None:
             self.plan.doubted(launch.attempt.doubt)
         launch.step = self.plan.ended(
--- a/tests/test_health_tracker.py
+++ b/tests/test_health_tracker.py
@@ -129,12 +129,12 @@
                 target.receive(news)
 
     def test_words_reach_a_peer_long_after_and_a_return_too(self):
-        self.first.answered('limits-1', DRAIN, None)
+        self.first.record_answer('limits-1', DRAIN, None)
         self.clock.now += 60
         self.tell(self.first, self.second)
         self.assertEqual(choose(self.second, self.clock.now), 'limits-2')
         self.first.drain.prove_return(KEY, self.clock.now, self.clock.now)
-        self.first.settle()
+        self.first.apply_changes()
         self.tell(self.second, self.first)
         self.assertEqual(self.first.leaving_ids(), [])
         self.tell(self.first, self.second)
@@ -142,7 +142,7 @@
 
     def test_the_last_server_gets_no_work_and_another_address_is_another_server(self):
         only = tracker(self.clock, {'limits-1': KEY.address})
-        only.answered('limits-1', DRAIN, None)
+        only.record_answer('limits-1', DRAIN, None)
         self.assertIsNone(choose(only, self.clock.now))
         plain = document_plain({'limits-1': '10.0.0.9:80'})
         config = AcceptedConfig(document=converter.structure(plain, Document))
@@ -152,7 +152,7 @@
 
     def test_a_server_that_refuses_connections_is_the_last_resort(self):
         router = self.first.directory.router_by_service['limits']
-        self.first.refused('limits-1')
+        self.first.record_refusal('limits-1')
         chosen = {self.first.choose(router, []).backend_id for _ in range(20)}
         self.assertEqual(chosen, {'limits-2'})
         self.assertEqual(self.first.choose(router, ['limits-2']).backend_id, 'limits-1')
@@ -161,7 +161,7 @@
         self.assertEqual(chosen.count('limits-1'), 1)
 
     def test_a_new_configuration_keeps_a_server_out(self):
-        self.first.answered('limits-1', DRAIN, None)
+        self.first.record_answer('limits-1', DRAIN, None)
         plain = document_plain(ADDRESSES, slots=3)
         config = AcceptedConfig(document=converter.structure(plain, Document))
         self.first.directory.update(config)
@@ -170,15 +170,15 @@
 
     def test_a_server_that_now_always_closes_is_not_out_for_ever(self):
         close = [(b'connection', b'close')]
-        self.first.answered('limits-1', [], None)
+        self.first.record_answer('limits-1', [], None)
         for _ in range(CLOSES_IN_A_ROW):
-            self.first.answered('limits-1', close, None)
+            self.first.record_answer('limits-1', close, None)
         self.assertEqual(self.first.leaving_ids(), ['limits-1'])
         self.clock.now += CLOSE_HOLD_SECONDS
-        self.first.answered('limits-1', close, None)
+        self.first.record_answer('limits-1', close, None)
         self.first.drain.prove_return(KEY, self.clock.now, self.clock.now)
-        self.first.settle()
-        self.first.answered('limits-1', close, None)
+        self.first.apply_changes()
+        self.first.record_answer('limits-1', close, None)
         self.assertEqual(self.first.leaving_ids(), [])
 
     def test_malformed_news_is_a_value_error_and_changes_nothing(self):
@@ -202,7 +202,7 @@
         self.assertEqual(self.first.leaving_ids(), [])
 
     def test_a_report_of_a_peer_keeps_own_picks_and_its_age(self):
-        self.first.answered('limits-1', [], LoadReport(7.0))
+        self.first.record_answer('limits-1', [], LoadReport(7.0))
         self.clock.now += 1
         router = self.second.directory.router_by_service['limits']
         load = router.load_by_id['limits-1']
@@ -243,9 +243,9 @@
         self.clock.now += 3
         self.assertEqual(prober.due(self.clock.now, 0, 1), [])
         self.clock.now += 1
-        self.first.answered('limits-2', [], None)
+        self.first.record_answer('limits-2', [], None)
         self.assertEqual([each.key for each in prober.due(self.clock.now, 0, 1)], [KEY])
-        self.first.answered('limits-1', DRAIN, None)
+        self.first.record_answer('limits-1', DRAIN, None)
         self.clock.now += RETURN_HOLD_SECONDS - 1
         due = {
             each.key: each.proves_return for each in prober.due(self.clock.now, 0, 1)
--- a/tests/test_routing_restart.py
+++ b/tests/test_routing_restart.py
@@ -79,8 +79,8 @@
         now = self.clock.monotonic()
         key = self.health.key_by_id['limits-1']
         self.health.drain.add_signal(key, DrainSignal.OWN, now)
-        self.health.settle()
-        self.health.refused('limits-1')
+        self.health.apply_changes()
+        self.health.record_refusal('limits-1')
         self.assertIsNone(self.router.choose(now))
         self.update(8)
         self.assertIsNotNone(self.router.choose(now))
