--- a/catkinslip/health/reachability.py
+++ b/catkinslip/health/reachability.py
@@ -28,7 +28,7 @@
     random: Random
     pause_by_key: dict[BackendKey, Pause] = Factory(dict)
 
-    def failed(self, key: BackendKey, now: float) -> float:
+    def record_refusal(self, key: BackendKey, now: float) -> float:
         """Record a refused connection; return the seconds until the next trial."""
         pause = self.pause_by_key.get(key)
         failures = pause.failures + 1 if pause else 1
@@ -37,7 +37,7 @@
         self.pause_by_key[key] = Pause(failures, now + seconds)
         return seconds
 
-    def reached(self, key: BackendKey) -> bool:
+    def record_connection(self, key: BackendKey) -> bool:
         """Record an accepted connection; return whether the last one was refused."""
         return self.pause_by_key.pop(key, None) is not None
 
@@ -46,7 +46,7 @@
         pause = self.pause_by_key.get(key)
         return pause is not None and now < pause.until
 
-    def avoided(self, now: float) -> list[str]:
+    def avoided_ids(self, now: float) -> list[str]:
         """Return the backend IDs of servers that must not be tried yet."""
         if not self.pause_by_key:
             return []
@@ -54,7 +54,7 @@
             key.backend_id for key in self.pause_by_key if self.is_avoided(key, now)
         ]
 
-    def tried(self, key: BackendKey, now: float) -> None:
+    def start_trial(self, key: BackendKey, now: float) -> None:
         """Extend the pause so that no second trial starts while one runs."""
         pause = self.pause_by_key.get(key)
         if pause is not None:
--- a/catkinslip/health/tracker.py
+++ b/catkinslip/health/tracker.py
@@ -122,7 +122,7 @@
             return
         now = self.clock.monotonic()
         self.reports.record_answer(key, now)
-        if self.reachability.reached(key):
+        if self.reachability.record_connection(key):
             log.info('health: server answers again. backend=%s', backend_id)
             self._mark_possibly_restarted(key, now)
         if report is not None:
@@ -152,7 +152,7 @@
             return
         self.counters.connects_refused += 1
         now = self.clock.monotonic()
-        pause = self.reachability.failed(key, now)
+        pause = self.reachability.record_refusal(key, now)
         self._mark_possibly_restarted(key, now)
         log.info(
             'health: connection refused. backend=%s next_s=%.1f', backend_id, pause
@@ -166,17 +166,17 @@
     def choose(self, router: ServiceRouter, tried: Collection[str]) -> Choice | None:
         """Return a choice; a server that refuses connections is the last resort."""
         now = self.clock.monotonic()
-        avoided = self.reachability.avoided(now)
+        avoided = self.reachability.avoided_ids(now)
         choice = router.choose(now, [*tried, *avoided]) if avoided else None
         choice = choice or router.choose(now, tried)
         if choice is not None and self.reachability.pause_by_key:
-            self.reachability.tried(self.key_by_id[choice.backend_id], now)
+            self.reachability.start_trial(self.key_by_id[choice.backend_id], now)
         return choice
 
     def rank(self, router: ServiceRouter, tried: Collection[str]) -> list[Estimate]:
         """Return the estimates of servers that accept connections, best first."""
         now = self.clock.monotonic()
-        return router.rank(now, [*tried, *self.reachability.avoided(now)])
+        return router.rank(now, [*tried, *self.reachability.avoided_ids(now)])
 
     def apply_list(self, listed: Iterable[ListedInstance]) -> None:
         """Apply one read of the platform's instance list."""
--- a/tests/test_health_tracker.py
+++ b/tests/test_health_tracker.py
@@ -81,21 +81,21 @@
     def test_pauses_grow_within_their_jitter_and_end_by_an_answer(self):
         state, now = Reachability(Random(1)), 0.0
         for failures in range(1, 9):
-            pause = state.failed(KEY, now)
+            pause = state.record_refusal(KEY, now)
             longest = min(0.5 * 2 ** (failures - 1), LONGEST_PAUSE_SECONDS)
             self.assertTrue(longest / 2 <= pause <= longest)
             self.assertTrue(state.is_avoided(KEY, now + pause * 0.99))
             now += pause
             self.assertFalse(state.is_avoided(KEY, now))
-        self.assertTrue(state.reached(KEY))
-        self.assertFalse(state.reached(KEY))
+        self.assertTrue(state.record_connection(KEY))
+        self.assertFalse(state.record_connection(KEY))
 
     def test_one_trial_at_a_time_which_never_shortens_a_pause(self):
         state = Reachability(Random(1))
-        pause = max(state.failed(KEY, 0.0) for _ in range(6))
-        state.tried(KEY, 0.0)
+        pause = max(state.record_refusal(KEY, 0.0) for _ in range(6))
+        state.start_trial(KEY, 0.0)
         self.assertTrue(state.is_avoided(KEY, pause / 2))
-        state.tried(KEY, pause)
+        state.start_trial(KEY, pause)
         self.assertTrue(state.is_avoided(KEY, pause))
 
 
--- a/tests/test_routing_restart.py
+++ b/tests/test_routing_restart.py
@@ -84,7 +84,7 @@
         self.assertIsNone(self.router.choose(now))
         self.update(8)
         self.assertIsNotNone(self.router.choose(now))
-        self.assertEqual(self.health.reachability.avoided(now), [])
+        self.assertEqual(self.health.reachability.avoided_ids(now), [])
 
     def test_datagram_on_the_earlier_start_is_not_believed(self):
         self.update(8)
