--- a/catkinslip/health/base.py
+++ b/catkinslip/health/base.py
@@ -14,7 +14,7 @@
         """Probe until the choice rests on a fresh report or the budget is spent."""
 
     @abstractmethod
-    async def look(self, router: ServiceRouter, backend_id: str) -> None:
+    async def refresh_one(self, router: ServiceRouter, backend_id: str) -> None:
         """Probe one server, unless the budget is spent."""
 
 
@@ -24,5 +24,5 @@
     async def refresh(self, router: ServiceRouter, tried: Collection[str]) -> None:
         """Send no probe."""
 
-    async def look(self, router: ServiceRouter, backend_id: str) -> None:
+    async def refresh_one(self, router: ServiceRouter, backend_id: str) -> None:
         """Send no probe."""
--- a/catkinslip/health/sampler.py
+++ b/catkinslip/health/sampler.py
@@ -157,7 +157,7 @@
                 return
             await self._ask_all(router, leaders)
 
-    async def look(self, router: ServiceRouter, backend_id: str) -> None:
+    async def refresh_one(self, router: ServiceRouter, backend_id: str) -> None:
         """Probe one server, unless the budget is spent."""
         load = router.load_by_id.get(backend_id)
         if load is None or not self._may_ask(router, load):
--- a/catkinslip/proxy/race.py
+++ b/catkinslip/proxy/race.py
@@ -64,7 +64,7 @@
     async def _look_at_first(self) -> None:
         if self.launched_speed is not None:
             first = self.runner.launches[0]
-            await self.runner.sampler.look(self.runner.router, first.backend_id)
+            await self.runner.sampler.refresh_one(self.runner.router, first.backend_id)
             await self.runner.sampler.refresh(self.runner.router, [first.backend_id])
 
     def is_first_slow(self) -> bool:
--- a/tests/test_health_sampler.py
+++ b/tests/test_health_sampler.py
@@ -151,13 +151,13 @@
                     await probe_ends.wait()
                     asker.asking.clear()
                     asker.bucket_by_id.clear()
-                    await asker.look(router, 'i-1')
+                    await asker.refresh_one(router, 'i-1')
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(asker.run)
                 nursery.start_soon(outlive)
                 await trio.testing.wait_all_tasks_blocked()
-                nursery.start_soon(asker.look, router, 'i-1')
+                nursery.start_soon(asker.refresh_one, router, 'i-1')
                 await trio.testing.wait_all_tasks_blocked()
                 nursery.cancel_scope.cancel()
             return asker.sent
@@ -175,7 +175,7 @@
                 nursery.start_soon(asker.run)
                 await trio.testing.wait_all_tasks_blocked()
                 nursery.cancel_scope.cancel()
-            await asker.look(router, 'i-1')
+            await asker.refresh_one(router, 'i-1')
             await asker.refresh(router, [])
 
         trio.run(run)
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -189,11 +189,11 @@
             connections.limit = 1
             await connections.take_slot()
             entry.sampler.answer_seconds = 0.02
-            await entry.sampler.look(router, 'i-1')
+            await entry.sampler.refresh_one(router, 'i-1')
             self.assertFalse(router.is_silent('i-1'))
             connections.give_slot()
             entry.sampler.answer_seconds = PROBE_SECONDS
-            await entry.sampler.look(router, 'i-1')
+            await entry.sampler.refresh_one(router, 'i-1')
             self.assertIsNotNone(router.load_by_id['i-1'].report)
 
         on_platform(check)
