--- a/benchmarks/overload_instances.py
+++ b/benchmarks/overload_instances.py
@@ -13,9 +13,9 @@
 from catkinslip.admission.work import WorkTimes
 from catkinslip.health.sampler import (
     ANSWER_SECONDS,
-    ASKED_AT_ONCE,
     BUDGET_SHARE,
     FRESH_SECONDS,
+    PROBED_AT_ONCE,
     ROUNDS,
     SAVED_SECONDS,
     SILENT_SECONDS,
@@ -197,7 +197,7 @@
                 continue
             if self.take_probe(load.backend_id, now):
                 leaders.append(load)
-            if len(leaders) == ASKED_AT_ONCE:
+            if len(leaders) == PROBED_AT_ONCE:
                 break
         return leaders
 
--- a/catkinslip/health/sampler.py
+++ b/catkinslip/health/sampler.py
@@ -28,12 +28,12 @@
 #: Servers with a report younger than this are not probed.
 FRESH_SECONDS = 0.01
 #: Servers probed at once before a choice.
-ASKED_AT_ONCE = 3
+PROBED_AT_ONCE = 3
 #: Number of times that the choice may be made again.
 ROUNDS = 3
 #: Possibly restarted, hence cold, servers that are probed on each call: a zone of a
 #: hundred is covered within some tens of calls, and no call waits for these probes.
-DOUBTED_AT_ONCE = 4
+POSSIBLY_RESTARTED_AT_ONCE = 4
 #: Servers with an advertised rate that are probed on each call.
 THROTTLED_AT_ONCE = 2
 #: Seconds that a choice waits for answers; most take a few milliseconds.
@@ -76,7 +76,7 @@
     #: Seconds that a choice waits for an answer.
     answer_seconds: float = ANSWER_SECONDS
     bucket_by_id: dict[str, TokenBucket] = Factory(dict)
-    asking: set[str] = Factory(set)
+    probing_ids: set[str] = Factory(set)
     sent: int = 0
     unanswered: int = 0
     _nursery: trio.Nursery | None = field(default=None, init=False)
@@ -85,63 +85,65 @@
         """Probe silent servers periodically and run all probes, until cancelled."""
         async with trio.open_nursery() as self._nursery:
             try:
-                await self._ask_always()
+                await self._probe_silent_servers()
             finally:
                 # A call that was woken before the cancellation may still start a probe,
                 # and the nursery closes as soon as no task runs in it any more.
                 self._nursery = None
 
-    async def _ask_always(self) -> None:
+    async def _probe_silent_servers(self) -> None:
         while True:
             await trio.sleep(SILENT_SECONDS)
             for router in self.health.directory.router_by_service.values():
-                self._ask_silent(router)
+                self._probe_silent(router)
 
-    def _ask_silent(self, router: ServiceRouter) -> None:
+    def _probe_silent(self, router: ServiceRouter) -> None:
         """Probe all silent servers in the background."""
         silent = [each for each in router.loads if each.is_silent and not each.draining]
-        self._ask_beside(router, silent, len(silent))
+        self._probe_in_background(router, silent, len(silent))
 
-    def _ask_doubted(self, router: ServiceRouter) -> None:
+    def _probe_possibly_restarted(self, router: ServiceRouter) -> None:
         """Probe some possibly restarted servers in the background."""
-        doubted = map(router.load_by_id.get, list(router.cold.doubted_at_by_id))
-        usable = [each for each in doubted if router.takes_requests(each)]
-        self._ask_beside(router, usable, DOUBTED_AT_ONCE)
+        possibly_restarted = map(
+            router.load_by_id.get, list(router.cold.doubted_at_by_id)
+        )
+        usable = [each for each in possibly_restarted if router.takes_requests(each)]
+        self._probe_in_background(router, usable, POSSIBLY_RESTARTED_AT_ONCE)
 
-    def _ask_throttled(self, router: ServiceRouter) -> None:
+    def _probe_throttled(self, router: ServiceRouter) -> None:
         """Probe some servers with a stale advertised rate in the background.
 
         No instance has had an answer from them since they advertised the rate.
         """
-        unheard = router.throttle.unheard(self.clock.monotonic())
-        usable = [each for each in unheard if router.takes_requests(each)]
-        self._ask_beside(router, usable, THROTTLED_AT_ONCE)
+        stale = router.throttle.unheard(self.clock.monotonic())
+        usable = [each for each in stale if router.takes_requests(each)]
+        self._probe_in_background(router, usable, THROTTLED_AT_ONCE)
 
-    def _ask_beside(
+    def _probe_in_background(
         self, router: ServiceRouter, loads: list[BackendLoad], most: int
     ) -> None:
         """Probe up to `most` servers within the budget, without waiting for answers."""
         if self._nursery is None or not loads:
             return
         now = self.clock.monotonic()
-        rate = self._rate()
-        asked = 0
+        rate = self._probe_rate()
+        started = 0
         for load in loads:
-            if asked == most:
+            if started == most:
                 return
-            if not self._may_ask(router, load):
+            if not self._may_probe(router, load):
                 continue
-            if self._take_probe(load.backend_id, rate, now):
+            if self._spend_probe(load.backend_id, rate, now):
                 self._start(router, load)
-                asked += 1
+                started += 1
 
-    def _may_ask(self, router: ServiceRouter, load: BackendLoad) -> bool:
+    def _may_probe(self, router: ServiceRouter, load: BackendLoad) -> bool:
         """Return whether a server may be probed and the probe would be sent at once.
 
         A probe that waits for a connection would make the server look silent.
         """
         address = self.health.directory.address_by_backend.get(load.backend_id)
-        if address is None or load.backend_id in self.asking:
+        if address is None or load.backend_id in self.probing_ids:
             return False
         if not router.may_probe(load, self.clock.monotonic()):
             return False
@@ -149,46 +151,46 @@
 
     async def refresh(self, router: ServiceRouter, tried: Collection[str]) -> None:
         """Probe until the choice rests on a fresh report or the budget is spent."""
-        self._ask_doubted(router)
-        self._ask_throttled(router)
+        self._probe_possibly_restarted(router)
+        self._probe_throttled(router)
         for _ in range(ROUNDS):
             leaders = self._stale_leaders(router, tried)
             if not leaders:
                 return
-            await self._ask_all(router, leaders)
+            await self._probe_all(router, leaders)
 
     async def refresh_one(self, router: ServiceRouter, backend_id: str) -> None:
         """Probe one server, unless the budget is spent."""
         load = router.load_by_id.get(backend_id)
-        if load is None or not self._may_ask(router, load):
+        if load is None or not self._may_probe(router, load):
             return
-        if self._take_probe(backend_id, self._rate(), self.clock.monotonic()):
-            await self._ask_all(router, [load])
+        if self._spend_probe(backend_id, self._probe_rate(), self.clock.monotonic()):
+            await self._probe_all(router, [load])
 
-    async def _ask_all(self, router: ServiceRouter, loads: list[BackendLoad]) -> None:
+    async def _probe_all(self, router: ServiceRouter, loads: list[BackendLoad]) -> None:
         """Probe servers and wait `answer_seconds`; later answers are still applied."""
         if self._nursery is None:
             return
-        asked = [self._start(router, load) for load in loads]
+        started = [self._start(router, load) for load in loads]
         with trio.move_on_after(self.answer_seconds):
-            for probe in asked:
+            for probe in started:
                 await probe.ended.wait()
-        for probe in asked:
+        for probe in started:
             if not probe.ended.is_set():
-                self._unanswered(router, probe)
+                self._mark_unanswered(router, probe)
         # Where no server answers, the fault may be in this instance: silence is sent to
         # the other instances only if another server answered.
-        if any(probe.is_answered for probe in asked):
-            for probe in asked:
+        if any(probe.is_answered for probe in started):
+            for probe in started:
                 router.tell_silence(probe.load.backend_id)
 
     def _start(self, router: ServiceRouter, load: BackendLoad) -> Probe:
         probe = Probe(load)
-        self.asking.add(load.backend_id)
-        self._nursery.start_soon(self._ask, router, probe)
+        self.probing_ids.add(load.backend_id)
+        self._nursery.start_soon(self._run_probe, router, probe)
         return probe
 
-    def _unanswered(self, router: ServiceRouter, probe: Probe) -> None:
+    def _mark_unanswered(self, router: ServiceRouter, probe: Probe) -> None:
         self.unanswered += 1
         backend_id = probe.load.backend_id
         if not router.is_known(probe.load):
@@ -197,7 +199,7 @@
             log.info('health: probe unanswered. backend=%s', backend_id)
         router.unanswered(backend_id)
 
-    def _rate(self) -> float:
+    def _probe_rate(self) -> float:
         """Return this instance's share of the probes of one server per second."""
         instances = max(1, self.count_instances())
         return self.probes_per_second * BUDGET_SHARE / instances
@@ -220,20 +222,20 @@
         best = ranked[0]
         if now - best.load.reported_at <= FRESH_SECONDS and best.delay <= GOOD_DELAY:
             return []
-        rate = self._rate()
+        rate = self._probe_rate()
         leaders: list[BackendLoad] = []
         for load, _, _ in ranked:
             if now - load.reported_at <= FRESH_SECONDS or load.is_silent:
                 continue
-            if not self._may_ask(router, load):
+            if not self._may_probe(router, load):
                 continue
-            if self._take_probe(load.backend_id, rate, now):
+            if self._spend_probe(load.backend_id, rate, now):
                 leaders.append(load)
-            if len(leaders) == ASKED_AT_ONCE:
+            if len(leaders) == PROBED_AT_ONCE:
                 break
         return leaders
 
-    def _take_probe(self, backend_id: str, rate: float, now: float) -> bool:
+    def _spend_probe(self, backend_id: str, rate: float, now: float) -> bool:
         """Spend one probe of a server; return whether the budget allowed the probe."""
         if rate <= 0:
             return False
@@ -247,7 +249,7 @@
         bucket.burst = max(1.0, rate * SAVED_SECONDS)
         return bucket.take(now) == 0.0
 
-    async def _ask(self, router: ServiceRouter, probe: Probe) -> None:
+    async def _run_probe(self, router: ServiceRouter, probe: Probe) -> None:
         load = probe.load
         self.sent += 1
         try:
@@ -257,9 +259,9 @@
             # A failed probe must not cancel the others.
             log.exception('health: probe failed. backend=%s', load.backend_id)
         finally:
-            self.asking.discard(load.backend_id)
+            self.probing_ids.discard(load.backend_id)
         if not probe.is_answered and not load.is_silent:
-            self._unanswered(router, probe)
+            self._mark_unanswered(router, probe)
         probe.ended.set()
 
     async def _exchange(self, router: ServiceRouter, load: BackendLoad) -> bool:
--- a/tests/test_health_sampler.py
+++ b/tests/test_health_sampler.py
@@ -149,7 +149,7 @@
             async def outlive() -> None:
                 with trio.CancelScope(shield=True):
                     await probe_ends.wait()
-                    asker.asking.clear()
+                    asker.probing_ids.clear()
                     asker.bucket_by_id.clear()
                     await asker.refresh_one(router, 'i-1')
 
