--- a/tests/test_health_sampler.py
+++ b/tests/test_health_sampler.py
@@ -38,12 +38,12 @@
         self.router.cold.configure(START_SECONDS, BOUND)
         self.router.change(SERVICE, {'i-1': BACKEND}, NOW)
         self.load = self.router.load_by_id['i-1']
-        self.on_the_way = lambda: None
+        self.during_round_trip = lambda: None
 
     async def receive(self, wire) -> h11.Response:
-        """Answer after a round trip, calling `on_the_way` meanwhile."""
+        """Answer after a round trip, calling `during_round_trip` meanwhile."""
         self.now += ROUND_TRIP_SECONDS
-        self.on_the_way()
+        self.during_round_trip()
         return h11.Response(status_code=200, headers=self.headers)
 
     def probe(self, *cold: bytes) -> None:
@@ -52,7 +52,7 @@
         register = SimpleNamespace(
             backends={'i-1': BACKEND}, services={'limits': SERVICE}
         )
-        asker = LoadSampler(
+        sampler = LoadSampler(
             health=SimpleNamespace(document=SimpleNamespace(register=register)),
             pool=None,
             clock=SimpleNamespace(monotonic=lambda: self.now),
@@ -69,18 +69,18 @@
             patch.object(module, 'drain_body', nothing),
         ):
             wire = SimpleNamespace(send=nothing)
-            self.assertTrue(trio.run(asker._probe, self.router, self.load, wire))
+            self.assertTrue(trio.run(sampler._probe, self.router, self.load, wire))
 
-    def test_time_that_is_told_counts_from_the_answer(self):
+    def test_reported_time_counts_from_the_answer(self):
         self.probe(b'2500')
         self.assertAlmostEqual(self.load.cold_until, self.now + 2.5)
 
-    def test_server_that_tells_nothing_is_warm(self):
+    def test_server_without_a_cold_time_is_warm(self):
         self.router.cold.begin(self.load, 60.0, NOW, 'test')
         self.probe()
         self.assertFalse(self.load.is_cold(self.now))
 
-    def test_malformed_time_leaves_what_was_known(self):
+    def test_malformed_time_keeps_the_known_time(self):
         self.router.cold.begin(self.load, 60.0, NOW, 'test')
         for malformed in (b'', b'-1', b'soon', b'nan', b'1e9'):
             with self.subTest(malformed), self.assertLogs('health', 'INFO'):
@@ -88,11 +88,11 @@
             self.assertTrue(self.load.is_cold(self.now))
             del self.headers[1:]
 
-    def test_answer_that_was_on_its_way_ends_no_doubt(self):
-        self.on_the_way = lambda: self.router.doubt('i-1', self.now)
+    def test_earlier_answer_does_not_end_a_possible_restart(self):
+        self.during_round_trip = lambda: self.router.doubt('i-1', self.now)
         self.probe(b'0')
         self.assertTrue(self.load.is_cold(self.now))
-        self.on_the_way = lambda: None
+        self.during_round_trip = lambda: None
         self.probe()
         self.assertFalse(self.load.is_cold(self.now))
 
@@ -106,7 +106,7 @@
     traceback.
     """
 
-    def asker(self, router: ServiceRouter, pool: object) -> LoadSampler:
+    def make_sampler(self, router: ServiceRouter, pool: object) -> LoadSampler:
         """Return a sampler of one server."""
         address = Address('127.0.0.1', 80)
         directory = SimpleNamespace(
@@ -126,7 +126,7 @@
             count_instances=lambda: 1,
         )
 
-    def test_call_that_is_woken_as_the_last_probe_ends_asks_nobody(self):
+    def test_call_that_is_woken_as_the_last_probe_ends_sends_no_probe(self):
         # In one of the two orders in which the loop may run the tasks, the nursery is
         # already closed and its task ends only in the next step.
         async def run():
@@ -144,42 +144,44 @@
                     finally:
                         probe_ends.set()
 
-            asker = self.asker(router, HangingPool())
+            sampler = self.make_sampler(router, HangingPool())
 
             async def outlive() -> None:
                 with trio.CancelScope(shield=True):
                     await probe_ends.wait()
-                    asker.probing_ids.clear()
-                    asker.bucket_by_id.clear()
-                    await asker.refresh_one(router, 'i-1')
+                    sampler.probing_ids.clear()
+                    sampler.bucket_by_id.clear()
+                    await sampler.refresh_one(router, 'i-1')
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(asker.run)
+                nursery.start_soon(sampler.run)
                 nursery.start_soon(outlive)
                 await trio.testing.wait_all_tasks_blocked()
-                nursery.start_soon(asker.refresh_one, router, 'i-1')
+                nursery.start_soon(sampler.refresh_one, router, 'i-1')
                 await trio.testing.wait_all_tasks_blocked()
                 nursery.cancel_scope.cancel()
-            return asker.sent
+            return sampler.sent
 
         for _ in range(ORDERS):
             self.assertEqual(trio.run(run), 1)
 
-    def test_call_that_outlives_the_sampler_asks_nobody(self):
+    def test_call_that_outlives_the_sampler_sends_no_probe(self):
         router = ServiceRouter(LeastInFlight(Random(1)))
         router.change(SERVICE, {'i-1': BACKEND}, NOW)
-        asker = self.asker(router, SimpleNamespace(is_full=lambda address: False))
+        sampler = self.make_sampler(
+            router, SimpleNamespace(is_full=lambda address: False)
+        )
 
         async def run():
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(asker.run)
+                nursery.start_soon(sampler.run)
                 await trio.testing.wait_all_tasks_blocked()
                 nursery.cancel_scope.cancel()
-            await asker.refresh_one(router, 'i-1')
-            await asker.refresh(router, [])
+            await sampler.refresh_one(router, 'i-1')
+            await sampler.refresh(router, [])
 
         trio.run(run)
-        self.assertEqual(asker.sent, 0)
+        self.assertEqual(sampler.sent, 0)
 
 
 if __name__ == '__main__':
