--- a/catkinslip/health/sharing.py
+++ b/catkinslip/health/sharing.py
@@ -22,14 +22,14 @@
 FLUSH_SECONDS = 0.008
 #: Seconds between two reads of the socket; datagrams that arrive meanwhile are
 #: applied together.
-TAKE_SECONDS = 0.001
+RECEIVE_SECONDS = 0.001
 #: Each takes about 40 bytes; a datagram stays below one packet of 1,500 bytes.
 MAX_REPORTS = 30
 MAX_DATAGRAM_BYTES = 1472
 #: Older reports are not sent, as a server's speed changes many times a second.
-OLDEST_SECONDS = 0.05
+MAX_AGE_SECONDS = 0.05
 #: A request sent at least this long before a report is counted in the report.
-ON_THE_WAY_SECONDS = 0.002
+TRANSIT_SECONDS = 0.002
 READ_ERRORS = (orjson.JSONDecodeError, AttributeError, KeyError, TypeError, ValueError)
 
 log = logging.getLogger('health')
@@ -39,28 +39,28 @@
 class ReportSharer:
     """Exchange of new reports with the other instances of the zone."""
 
-    own: Address
+    own_address: Address
     #: Returns the addresses of the other instances of the zone.
     targets: Callable[[], list[Address]]
     directory: Directory
     clock: Clock
     #: Servers with a change to send, by backend ID.
     load_by_id: dict[str, BackendLoad] = Factory(dict)
-    has_news: trio.Event = Factory(trio.Event)
+    has_updates: trio.Event = Factory(trio.Event)
     #: Handlers of datagrams without reports, by the key of their topic.
-    take_by_topic: dict[str, Callable[[dict], None]] = Factory(dict)
+    handler_by_topic: dict[str, Callable[[dict], None]] = Factory(dict)
     #: Number of datagrams sent.
     sent: int = 0
     #: Number of received reports of known servers.
-    taken: int = 0
+    reports_applied: int = 0
     #: Number of datagrams that could not be read.
     malformed: int = 0
     _socket: socket.socket | None = field(default=None, init=False)
 
-    def note(self, load: BackendLoad) -> None:
+    def queue_load(self, load: BackendLoad) -> None:
         """Queue a server whose load or local requests changed for the next datagram."""
         self.load_by_id[load.backend_id] = load
-        self.has_news.set()
+        self.has_updates.set()
 
     async def run(self) -> None:
         """Send and receive datagrams until cancelled.
@@ -69,7 +69,7 @@
         """
         with socket.socket(type=socket.SOCK_DGRAM) as sock:
             sock.setblocking(False)
-            sock.bind((self.own.host, self.own.port))
+            sock.bind((self.own_address.host, self.own_address.port))
             self._socket = sock
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._receive, sock)
@@ -77,14 +77,14 @@
 
     async def _send(self) -> None:
         while True:
-            await self.has_news.wait()
+            await self.has_updates.wait()
             await trio.sleep(FLUSH_SECONDS)
-            self.has_news = trio.Event()
+            self.has_updates = trio.Event()
             data = self.encode()
             if data is not None:
-                self.post(data, self.targets())
+                self.send_datagram(data, self.targets())
 
-    def post(self, data: bytes, addresses: list[Address]) -> None:
+    def send_datagram(self, data: bytes, addresses: list[Address]) -> None:
         """Send a datagram to several instances; a failure is only logged."""
         for address in addresses:
             try:
@@ -110,7 +110,7 @@
                 round(max(0.0, load.told_cold_until - now) * 1e3),
             ]
             for load in loads
-            if load.report is not None and now - load.reported_at < OLDEST_SECONDS
+            if load.report is not None and now - load.reported_at < MAX_AGE_SECONDS
         ]
         if not reports and not silent:
             return None
@@ -119,10 +119,10 @@
     async def _receive(self, sock: socket.socket) -> None:
         while True:
             await trio.lowlevel.wait_readable(sock)
-            self._take_all(sock)
-            await trio.sleep(TAKE_SECONDS)
+            self._receive_all(sock)
+            await trio.sleep(RECEIVE_SECONDS)
 
-    def _take_all(self, sock: socket.socket) -> None:
+    def _receive_all(self, sock: socket.socket) -> None:
         """Apply every datagram that has arrived."""
         while True:
             try:
@@ -132,42 +132,42 @@
             except OSError as error:
                 log.debug('health: datagram not received. error=%r', error)
                 return
-            self.take(data)
+            self.apply_datagram(data)
 
-    def take(self, data: bytes) -> None:
+    def apply_datagram(self, data: bytes) -> None:
         """Apply the reports of a datagram that are newer than the local ones."""
         now = self.clock.monotonic()
         try:
-            told = orjson.loads(data)
-            if 'reports' not in told:
-                self._take_other(told)
+            message = orjson.loads(data)
+            if 'reports' not in message:
+                self._handle_topic(message)
                 return
-            for each in told['reports']:
+            for each in message['reports']:
                 # Earlier versions send no remaining cold time.
                 backend_id, start, in_flight, speed, age_ms, *more = each
                 report = LoadReport(float(in_flight), float(speed))
                 at = now - max(0.0, age_ms) / 1e3
                 cold_seconds = float(more[0]) / 1e3 if more else 0.0
-                self._learn(str(backend_id), start, report, at, cold_seconds)
-            for backend_id, start in told['silent']:
-                self._learn_silence(str(backend_id), start, now)
+                self._apply_report(str(backend_id), start, report, at, cold_seconds)
+            for backend_id, start in message['silent']:
+                self._apply_silence(str(backend_id), start, now)
         except READ_ERRORS as error:
             self.malformed += 1
             log.warning('health: datagram not readable. error=%r', error)
 
-    def _take_other(self, told: dict) -> None:
-        for topic, take in self.take_by_topic.items():
-            if topic in told:
-                take(told)
+    def _handle_topic(self, message: dict) -> None:
+        for topic, handle in self.handler_by_topic.items():
+            if topic in message:
+                handle(message)
                 return
-        raise ValueError(f'datagram has no known topic, its keys are {sorted(told)}')
+        raise ValueError(f'datagram has no known topic, its keys are {sorted(message)}')
 
-    def _learn_silence(self, backend_id: str, start: int, now: float) -> None:
+    def _apply_silence(self, backend_id: str, start: int, now: float) -> None:
         router = self.directory.find_started(backend_id, start)
         if router is not None:
             router.heard_silence(backend_id, now)
 
-    def _learn(
+    def _apply_report(
         self,
         backend_id: str,
         start: int,
@@ -179,9 +179,9 @@
         if router is None:
             return
         load = router.load_by_id[backend_id]
-        in_report = load.picked_at < at - ON_THE_WAY_SECONDS
+        in_report = load.picked_at < at - TRANSIT_SECONDS
         picks_before = load.picks_since_report if in_report else 0
         router.heard(backend_id, report, at, picks_before)
         now = self.clock.monotonic()
         router.cold.begin(load, cold_seconds, now, 'reported by another instance')
-        self.taken += 1
+        self.reports_applied += 1
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -216,7 +216,7 @@
         directory,
         clock,
     )
-    directory.on_news = sharer.note
+    directory.on_news = sharer.queue_load
     crashes = make_follower('crashes', outside.crashes)
     guard = make_guard(clock, outside.crash_store)
     crashes.restore_listeners.append(guard.book.lost_by_store)
@@ -232,7 +232,7 @@
         guard.book,
         clock,
         serving_addresses,
-        sharer.post,
+        sharer.send_datagram,
     )
     guard.listeners.append(teller)
     rate_teller = RateTeller(
@@ -242,10 +242,10 @@
         Random(settings.own.instance_id),
         serving_addresses,
         instances.report_address,
-        sharer.post,
+        sharer.send_datagram,
     )
     directory.on_rate_seen = rate_teller.saw
-    sharer.take_by_topic = {
+    sharer.handler_by_topic = {
         'ends': teller.take,
         'rates': rate_teller.take_rates,
         'doubts': rate_teller.take_doubts,
--- a/tests/test_health_sharing.py
+++ b/tests/test_health_sharing.py
@@ -32,7 +32,7 @@
             self.directory,
             self.clock,
         )
-        self.directory.on_news = self.sharer.note
+        self.directory.on_news = self.sharer.queue_load
         plain = document_plain(SERVERS)
         document = converter.structure(plain, Document)
         self.directory.update(AcceptedConfig(document=document))
@@ -70,7 +70,7 @@
             now = first.clock.monotonic()
             first.router.learned('limits-1', LoadReport(3, 0.5), now)
             first.router.learned('limits-2', LoadReport(1, 1.0), now)
-            await wait_for(lambda: second.sharer.taken == 2)
+            await wait_for(lambda: second.sharer.reports_applied == 2)
             self.assertEqual(second.load().report, LoadReport(3, 0.5))
             self.assertEqual(second.load('limits-2').report, LoadReport(1, 1.0))
 
@@ -124,7 +124,7 @@
             wrong = (b'', b'{', b'[]', b'{"reports": 3}', b'{"reports": [[1]]}', b'7')
             wrong += (orjson.dumps({'reports': [['limits-1', 'x', 1, 0]]}),)
             for data in wrong:
-                second.sharer.take(data)
+                second.sharer.apply_datagram(data)
             self.assertEqual(second.sharer.malformed, len(wrong))
             self.assertIsNone(second.load().report)
 
--- a/tests/test_routing_restart.py
+++ b/tests/test_routing_restart.py
@@ -89,17 +89,17 @@
     def test_datagram_on_the_earlier_start_is_not_believed(self):
         self.update(8)
         told = {'reports': [['limits-1', 7, 2.0, 0.1, 0]], 'silent': [['limits-1', 7]]}
-        self.sharer.take(orjson.dumps(told))
+        self.sharer.apply_datagram(orjson.dumps(told))
         load = self.router.load_by_id['limits-1']
         self.assertIsNone(load.report)
         self.assertFalse(load.is_silent)
         told['reports'][0][1] = 8
-        self.sharer.take(orjson.dumps(told))
+        self.sharer.apply_datagram(orjson.dumps(told))
         self.assertEqual(load.report, FULL)
 
     def test_datagram_names_the_start(self):
         self.router.learned('limits-1', FULL, self.clock.monotonic())
-        self.sharer.note(self.router.load_by_id['limits-1'])
+        self.sharer.queue_load(self.router.load_by_id['limits-1'])
         told = orjson.loads(self.sharer.encode())
         self.assertEqual(told['reports'][0][:2], ['limits-1', 7])
 
--- a/tests/test_throttling_path.py
+++ b/tests/test_throttling_path.py
@@ -318,7 +318,7 @@
             sharer = platform.entries[0].sharer
             book = throttle_of(platform.entries[0]).book
             other = [['i-1', 7, 9.0, 0, None, 0]]
-            sharer.take(orjson.dumps({'rates': other, 'by': 'edge-9'}))
+            sharer.apply_datagram(orjson.dumps({'rates': other, 'by': 'edge-9'}))
             self.assertEqual(book.rate_by_id['i-1'].per_second, 0.1)
             for wrong in (
                 {'rates': other},
@@ -331,7 +331,7 @@
                 {'something': 1},
             ):
                 before = sharer.malformed
-                sharer.take(orjson.dumps(wrong))
+                sharer.apply_datagram(orjson.dumps(wrong))
                 self.assertEqual(sharer.malformed, before + 1, wrong)
             self.assertEqual(book.rate_by_id['i-1'].per_second, 0.1)
 
