--- a/tests/test_health_sharing.py
+++ b/tests/test_health_sharing.py
@@ -101,7 +101,7 @@
 
         between_two(check)
 
-    def test_server_that_was_heard_from_is_not_avoided_on_hearsay(self):
+    def test_peer_report_of_silence_does_not_override_an_answer(self):
         async def check(first, second):
             now = second.clock.monotonic()
             second.router.heard('limits-1', LoadReport(0, 1.0), now, 0)
@@ -112,14 +112,14 @@
 
         between_two(check)
 
-    def test_hearsay_is_not_told_on(self):
+    def test_silence_reported_by_a_peer_is_not_forwarded(self):
         async def check(first, second):
             second.router.heard_silence('limits-1', second.clock.monotonic())
             self.assertIsNone(second.sharer.encode())
 
         between_two(check)
 
-    def test_nonsense_does_no_harm(self):
+    def test_malformed_datagrams_are_counted_and_ignored(self):
         async def check(first, second):
             wrong = (b'', b'{', b'[]', b'{"reports": 3}', b'{"reports": [[1]]}', b'7')
             wrong += (orjson.dumps({'reports': [['limits-1', 'x', 1, 0]]}),)
