--- a/catkinslip/health/prober.py
+++ b/catkinslip/health/prober.py
@@ -143,7 +143,7 @@
             await drain_body(wire)
         finally:
             tracker.budget.end_probe(key.address, self.clock.monotonic())
-        self.take(response, key, sent_at, picks_before)
+        self.apply_answer(response, key, sent_at, picks_before)
 
     def request(self, target: ProbeTarget) -> h11.Request:
         """Return the request head of a probe."""
@@ -154,7 +154,7 @@
         ]
         return h11.Request(method='GET', target=service.health_path, headers=headers)
 
-    def take(
+    def apply_answer(
         self, response: h11.Response, key: BackendKey, sent_at: float, picks_before: int
     ) -> None:
         """Apply the answer of a probe, including a proof that the server returned."""
--- a/catkinslip/health/topics.py
+++ b/catkinslip/health/topics.py
@@ -16,7 +16,7 @@
 from catkinslip.routing.base import LoadReport
 
 Message = TypeVar('Message')
-MALFORMED = (cattrs.BaseValidationError, AttributeError, TypeError, ValueError)
+MALFORMED_ERRORS = (cattrs.BaseValidationError, AttributeError, TypeError, ValueError)
 #: Not below zero, not infinite and not NaN.
 IS_AMOUNT = and_(ge(0), lt(float('inf')))
 
@@ -86,13 +86,13 @@
         self.counters.drain_words_sent += len(messages)
         return cattrs.unstructure(messages) if messages else None
 
-    def receive(self, news: Any) -> None:
+    def receive(self, updates: Any) -> None:
         """Merge a peer's drain states of registered servers.
 
         Raises ValueError if a message is malformed; then nothing is merged.
         """
         now = self.monotonic()
-        messages = structure(news, DrainMessage)
+        messages = parse_messages(updates, DrainMessage)
         self.counters.drain_words_received += len(messages)
         for message in messages:
             key = BackendKey(message.backend_id, message.address)
@@ -132,13 +132,13 @@
         self.counters.reports_sent += len(messages)
         return cattrs.unstructure(messages) if messages else None
 
-    def receive(self, news: Any) -> None:
+    def receive(self, updates: Any) -> None:
         """Apply reports that are newer than the known ones.
 
         Raises ValueError if a message is malformed; then nothing is applied.
         """
         now = self.monotonic()
-        messages = structure(news, ReportMessage)
+        messages = parse_messages(updates, ReportMessage)
         self.counters.reports_received += len(messages)
         for message in messages:
             key = BackendKey(message.backend_id, message.address)
@@ -152,11 +152,11 @@
     return round(max(0.0, now - at), AGE_DIGITS)
 
 
-def structure(news: Any, kind: type[Message]) -> list[Message]:
+def parse_messages(updates: Any, kind: type[Message]) -> list[Message]:
     """Return a peer's messages; raise ValueError if one is malformed."""
     try:
-        return cattrs.structure(news, list[kind])
-    except MALFORMED as error:
+        return cattrs.structure(updates, list[kind])
+    except MALFORMED_ERRORS as error:
         raise ValueError(f'malformed health update from a peer: {error!r}') from None
 
 
--- a/tests/test_health_drain.py
+++ b/tests/test_health_drain.py
@@ -49,7 +49,7 @@
 
     @SETTINGS
     @given(st.lists(STATES, max_size=6), st.randoms(use_true_random=False))
-    def test_tables_that_heard_the_same_words_agree(self, states, random):
+    def test_tables_with_the_same_states_agree(self, states, random):
         other_order = [*states, *states]
         random.shuffle(other_order)
         tables = [DrainTable(), DrainTable()]
@@ -61,7 +61,7 @@
 
     @SETTINGS
     @given(st.lists(st.sampled_from(['sign', 'list', 'live', 'prove', 'tell'])))
-    def test_only_a_later_proof_overrides_a_sign(self, steps):
+    def test_only_a_later_proof_overrides_a_signal(self, steps):
         tables = [DrainTable(), DrainTable()]
         signed_at = [-1e9, -1e9]
         proved_at = 0.0
@@ -96,7 +96,7 @@
         table.prove_return(KEY, RETURN_HOLD_SECONDS, RETURN_HOLD_SECONDS + 0.1)
         self.assertFalse(table.is_leaving(KEY))
 
-    def test_a_stale_live_of_the_list_overrides_nothing(self):
+    def test_a_stale_live_entry_of_the_list_overrides_nothing(self):
         table = leaving_table(DrainSignal.LIST)
         table.record_listed(KEY, False, 1.0)
         table.record_listed(KEY, False, LIST_HOLD_SECONDS)
@@ -116,13 +116,13 @@
         table.merge(KEY, stale, 7.0)
         self.assertFalse(table.is_leaving(KEY))
 
-    def test_a_return_proved_before_an_own_sign_is_contradicted(self):
+    def test_a_return_proved_before_a_local_signal_is_overridden(self):
         for age, leaving in ((8.0, True), (2.0, False)):
             table = leaving_table(DrainSignal.OWN, at=0.0)
             table.merge(KEY, DrainState(7), 4.0, age)
             self.assertEqual(table.is_leaving(KEY), leaving)
 
-    def test_closed_connections_alone_end_without_a_sign_for_a_while(self):
+    def test_closed_connections_alone_end_without_a_signal_for_a_while(self):
         table = leaving_table(DrainSignal.CLOSE)
         self.assertFalse(table.accepts_proof(KEY, CLOSE_HOLD_SECONDS - 1))
         self.assertTrue(table.accepts_proof(KEY, CLOSE_HOLD_SECONDS))
@@ -141,7 +141,7 @@
         table.expire_unproved(KEY, UNPROVED_SECONDS)
         self.assertFalse(table.is_leaving(KEY))
 
-    def test_only_a_server_that_kept_connections_signs_by_closing_them(self):
+    def test_closed_connections_are_a_signal_only_after_kept_ones(self):
         counter = CloseCounter()
         always = [counter.count_answer(KEY, True) for _ in range(9)]
         self.assertNotIn(True, always)
--- a/tests/test_health_tracker.py
+++ b/tests/test_health_tracker.py
@@ -120,24 +120,24 @@
         self.clock = ManualClock()
         self.first, self.second = tracker(self.clock), tracker(self.clock)
 
-    def tell(self, teller: HealthTracker, hearer: HealthTracker) -> None:
+    def exchange(self, sender: HealthTracker, receiver: HealthTracker) -> None:
         """Send the updates that one instance has for another one's digest."""
-        topics = zip(health_topics(teller), health_topics(hearer), strict=True)
+        topics = zip(health_topics(sender), health_topics(receiver), strict=True)
         for source, target in topics:
-            news = source.news_for(target.digest())
-            if news is not None:
-                target.receive(news)
+            updates = source.news_for(target.digest())
+            if updates is not None:
+                target.receive(updates)
 
-    def test_words_reach_a_peer_long_after_and_a_return_too(self):
+    def test_drain_state_reaches_a_peer_later_and_a_return_too(self):
         self.first.record_answer('limits-1', DRAIN, None)
         self.clock.now += 60
-        self.tell(self.first, self.second)
+        self.exchange(self.first, self.second)
         self.assertEqual(choose(self.second, self.clock.now), 'limits-2')
         self.first.drain.prove_return(KEY, self.clock.now, self.clock.now)
         self.first.apply_changes()
-        self.tell(self.second, self.first)
+        self.exchange(self.second, self.first)
         self.assertEqual(self.first.leaving_ids(), [])
-        self.tell(self.first, self.second)
+        self.exchange(self.first, self.second)
         self.assertEqual(self.second.leaving_ids(), [])
 
     def test_the_last_server_gets_no_work_and_another_address_is_another_server(self):
@@ -181,7 +181,7 @@
         self.first.record_answer('limits-1', close, None)
         self.assertEqual(self.first.leaving_ids(), [])
 
-    def test_malformed_news_is_a_value_error_and_changes_nothing(self):
+    def test_malformed_update_is_a_value_error_and_changes_nothing(self):
         drain, load = health_topics(self.first)
         entry = {'backend_id': 'limits-1', 'address': KEY.address, 'age': 0.0}
         report = {**entry, 'in_flight': 1.0, 'speed': None}
@@ -196,18 +196,18 @@
             (load, [{**report, 'speed': float('nan')}]),
             (load, [{}]),
         ]
-        for topic, news in bad:
-            with self.subTest(news=news), self.assertRaises(ValueError):
-                topic.receive(news)
+        for topic, updates in bad:
+            with self.subTest(updates=updates), self.assertRaises(ValueError):
+                topic.receive(updates)
         self.assertEqual(self.first.leaving_ids(), [])
 
-    def test_a_report_of_a_peer_keeps_own_picks_and_its_age(self):
+    def test_a_report_of_a_peer_keeps_local_selections_and_its_age(self):
         self.first.record_answer('limits-1', [], LoadReport(7.0))
         self.clock.now += 1
         router = self.second.directory.router_by_service['limits']
         load = router.load_by_id['limits-1']
         load.picks_since_report = 3
-        self.tell(self.first, self.second)
+        self.exchange(self.first, self.second)
         self.assertEqual(load.report, LoadReport(7.0))
         self.assertEqual(load.reported_at, self.clock.now - 1)
         self.assertEqual(load.picks_since_report, 3)
