--- a/catkinslip/health/spreader.py
+++ b/catkinslip/health/drain_gossip.py
@@ -20,7 +20,7 @@
 
 
 @define
-class DrainSpreader:
+class DrainGossip:
     """Sender of drain state changes to a few random peers at once."""
 
     tracker: HealthTracker
--- a/catkinslip/health/lister.py
+++ b/catkinslip/health/list_reader.py
@@ -18,7 +18,7 @@
 
 
 @define
-class ListFollower:
+class InstanceListReader:
     """Periodic reads of the list while this instance is one of its few readers."""
 
     store: ObjectStore
--- a/catkinslip/health/prober.py
+++ b/catkinslip/health/prober.py
@@ -15,7 +15,7 @@
     in_order,
     rank,
 )
-from catkinslip.health.signs import has_drain_header
+from catkinslip.health.signals import has_drain_header
 from catkinslip.health.tracker import HealthTracker
 from catkinslip.membership.members import MemberTable
 from catkinslip.models import Address, BackendKey
--- a/catkinslip/health/tracker.py
+++ b/catkinslip/health/tracker.py
@@ -15,7 +15,7 @@
 from catkinslip.health.drain import DrainSignal, DrainTable
 from catkinslip.health.reachability import Reachability
 from catkinslip.health.reports import KnownReport, ReportTable
-from catkinslip.health.signs import CloseCounter, closes_connection, has_drain_header
+from catkinslip.health.signals import CloseCounter, closes_connection, has_drain_header
 from catkinslip.models import BackendKey
 from catkinslip.routing.base import Choice, Estimate, LoadReport
 from catkinslip.routing.directory import Directory
--- a/catkinslip/wiring/daemon.py
+++ b/catkinslip/wiring/daemon.py
@@ -11,9 +11,9 @@
 from catkinslip.control.operators import OperatorPages
 from catkinslip.crashes.keeper import CrashKeeper
 from catkinslip.crashes.topic import CrashTopic
-from catkinslip.health.lister import ListFollower
+from catkinslip.health.drain_gossip import DrainGossip
+from catkinslip.health.list_reader import InstanceListReader
 from catkinslip.health.prober import Prober
-from catkinslip.health.spreader import DrainSpreader
 from catkinslip.health.topics import health_topics
 from catkinslip.membership.exchange import PeerExchange
 from catkinslip.membership.listing import InstanceList
@@ -42,8 +42,8 @@
     control: ControlSurface
     pool: BackendPool
     prober: Prober
-    spreader: DrainSpreader
-    lister: ListFollower
+    spreader: DrainGossip
+    lister: InstanceListReader
     hedges: HedgeTimer
     crash_keeper: CrashKeeper
     metrics: Metrics
@@ -85,8 +85,8 @@
         control=wire_control(settings, shared, peers),
         pool=shared.pool,
         prober=Prober(health, members, shared.pool, environment.clock),
-        spreader=DrainSpreader(health, peers, environment.random),
-        lister=ListFollower(store, health, shared.is_reader),
+        spreader=DrainGossip(health, peers, environment.random),
+        lister=InstanceListReader(store, health, shared.is_reader),
         hedges=hedges,
         crash_keeper=shared.guard.keeper,
         metrics=shared.metrics,
--- a/tests/test_health_drain.py
+++ b/tests/test_health_drain.py
@@ -15,7 +15,7 @@
     DrainState,
     DrainTable,
 )
-from catkinslip.health.signs import CLOSES_IN_A_ROW, CloseCounter
+from catkinslip.health.signals import CLOSES_IN_A_ROW, CloseCounter
 from catkinslip.models import BackendKey
 
 KEY = BackendKey('limits-1', '127.0.0.1:7001')
--- a/tests/test_health_tracker.py
+++ b/tests/test_health_tracker.py
@@ -13,7 +13,7 @@
 from catkinslip.health.drain import CLOSE_HOLD_SECONDS, RETURN_HOLD_SECONDS
 from catkinslip.health.prober import Prober
 from catkinslip.health.reachability import LONGEST_PAUSE_SECONDS, Reachability
-from catkinslip.health.signs import CLOSES_IN_A_ROW
+from catkinslip.health.signals import CLOSES_IN_A_ROW
 from catkinslip.health.topics import health_topics
 from catkinslip.health.tracker import HealthTracker, make_tracker
 from catkinslip.membership.members import Member, MemberTable
