--- a/benchmarks/overload_instances.py
+++ b/benchmarks/overload_instances.py
@@ -22,8 +22,8 @@
 )
 from catkinslip.health.sharing import (
     FLUSH_SECONDS,
-    OLDEST_SECONDS,
-    ON_THE_WAY_SECONDS,
+    MAX_REPORT_AGE_SECONDS,
+    REQUEST_TRANSIT_SECONDS,
 )
 from catkinslip.limits.budget import ExtraBudget
 from catkinslip.routing.base import (
@@ -337,7 +337,10 @@
         for service, desk in self.desk_by_service.items():
             loads, desk.news = list(desk.news.values()), {}
             for load in loads:
-                if load.report is None or now - load.reported_at > OLDEST_SECONDS:
+                if (
+                    load.report is None
+                    or now - load.reported_at > MAX_REPORT_AGE_SECONDS
+                ):
                     continue
                 in_flight = load.reported_in_flight + load.picks_since_report
                 report = LoadReport(in_flight, load.speed)
@@ -375,7 +378,7 @@
         load = router.load_by_id.get(backend_id)
         if load is None:
             return
-        in_report = load.picked_at < at - ON_THE_WAY_SECONDS
+        in_report = load.picked_at < at - REQUEST_TRANSIT_SECONDS
         picks = load.picks_since_report if in_report else 0
         router.heard(backend_id, report, at, picks)
 
--- a/catkinslip/health/sharing.py
+++ b/catkinslip/health/sharing.py
@@ -27,9 +27,9 @@
 MAX_REPORTS = 30
 MAX_DATAGRAM_BYTES = 1472
 #: Older reports are not sent, as a server's speed changes many times a second.
-MAX_AGE_SECONDS = 0.05
+MAX_REPORT_AGE_SECONDS = 0.05
 #: A request sent at least this long before a report is counted in the report.
-TRANSIT_SECONDS = 0.002
+REQUEST_TRANSIT_SECONDS = 0.002
 READ_ERRORS = (orjson.JSONDecodeError, AttributeError, KeyError, TypeError, ValueError)
 
 log = logging.getLogger('health')
@@ -110,7 +110,8 @@
                 round(max(0.0, load.told_cold_until - now) * 1e3),
             ]
             for load in loads
-            if load.report is not None and now - load.reported_at < MAX_AGE_SECONDS
+            if load.report is not None
+            and now - load.reported_at < MAX_REPORT_AGE_SECONDS
         ]
         if not reports and not silent:
             return None
@@ -179,7 +180,7 @@
         if router is None:
             return
         load = router.load_by_id[backend_id]
-        in_report = load.picked_at < at - TRANSIT_SECONDS
+        in_report = load.picked_at < at - REQUEST_TRANSIT_SECONDS
         picks_before = load.picks_since_report if in_report else 0
         router.heard(backend_id, report, at, picks_before)
         now = self.clock.monotonic()
