--- a/catkinslip/health/sharing.py
+++ b/catkinslip/health/sharing.py
@@ -52,7 +52,7 @@
     #: Number of datagrams sent.
     sent: int = 0
     #: Number of received reports of known servers.
-    reports_applied: int = 0
+    received: int = 0
     #: Number of datagrams that could not be read.
     malformed: int = 0
     _socket: socket.socket | None = field(default=None, init=False)
@@ -185,4 +185,4 @@
         router.heard(backend_id, report, at, picks_before)
         now = self.clock.monotonic()
         router.cold.begin(load, cold_seconds, now, 'reported by another instance')
-        self.reports_applied += 1
+        self.received += 1
--- a/catkinslip/metrics/discovery.py
+++ b/catkinslip/metrics/discovery.py
@@ -33,7 +33,7 @@
             'state',
         )
         reports.add(self.sharer.sent, 'sent')
-        reports.add(self.sharer.reports_applied, 'taken')
+        reports.add(self.sharer.received, 'taken')
         reports.add(self.sharer.malformed, 'malformed')
         yield reports
         peers = gauge(
--- a/tests/test_health_sharing.py
+++ b/tests/test_health_sharing.py
@@ -70,7 +70,7 @@
             now = first.clock.monotonic()
             first.router.learned('limits-1', LoadReport(3, 0.5), now)
             first.router.learned('limits-2', LoadReport(1, 1.0), now)
-            await wait_for(lambda: second.sharer.reports_applied == 2)
+            await wait_for(lambda: second.sharer.received == 2)
             self.assertEqual(second.load().report, LoadReport(3, 0.5))
             self.assertEqual(second.load('limits-2').report, LoadReport(1, 1.0))
 
