--- a/catkinslip/health/drain.py
+++ b/catkinslip/health/drain.py
@@ -144,7 +144,7 @@
             state = evolve(held.state, signals=held.state.signals | {signal})
         else:
             state = DrainState(held.state.generation + 1, frozenset({signal}))
-        self._hold(key, state, now).seen_at_by_signal[signal] = now
+        self._set_state(key, state, now).seen_at_by_signal[signal] = now
 
     def record_listed(self, key: BackendKey, leaving: bool, now: float) -> None:
         """Record one server's entry in the platform's list.
@@ -173,7 +173,7 @@
         newer = held.signals_since(now - age - TRANSIT_SECONDS) if held else frozenset()
         if newer and not joined.leaving:
             joined, age = DrainState(joined.generation + 1, newer), 0.0
-        self._hold(key, joined, now, age)
+        self._set_state(key, joined, now, age)
 
     def proof_due_for(self, key: BackendKey, now: float) -> float:
         """Return the seconds since a proof of a return is due; negative before."""
@@ -195,14 +195,14 @@
         The return has to be provable both when the probe was sent and now.
         """
         if self.accepts_proof(key, sent_at) and self.accepts_proof(key, now):
-            self._end(key, now, now - sent_at)
+            self._mark_returned(key, now, now - sent_at)
 
     def expire_unproved(self, key: BackendKey, now: float) -> None:
         """Mark a server without probes as returned after `UNPROVED_SECONDS`."""
         if not self.accepts_proof(key, now):
             return
         if now - self.held_by_key[key].last_signal_at() >= UNPROVED_SECONDS:
-            self._end(key, now)
+            self._mark_returned(key, now)
 
     def forget(self, key: BackendKey, now: float) -> None:
         """Forget a server removed from the register, but keep its state if leaving.
@@ -246,11 +246,11 @@
         changed, self.changed = self.changed, set()
         return changed
 
-    def _end(self, key: BackendKey, now: float, age: float = 0.0) -> None:
+    def _mark_returned(self, key: BackendKey, now: float, age: float = 0.0) -> None:
         held = self.held_by_key[key]
-        self._hold(key, DrainState(held.state.generation + 1), now, age)
+        self._set_state(key, DrainState(held.state.generation + 1), now, age)
 
-    def _hold(
+    def _set_state(
         self, key: BackendKey, state: DrainState, now: float, age: float = 0.0
     ) -> HeldState:
         held = self.held_by_key.get(key)
