--- a/catkinslip/health/prober.py
+++ b/catkinslip/health/prober.py
@@ -7,13 +7,13 @@
 from attrs import Factory, define
 
 from catkinslip.clock import Clock
-from catkinslip.health.reports import KnownReport
+from catkinslip.health.reports import ObservedReport
 from catkinslip.health.schedule import (
     RANK_SECONDS,
     STALE_SECONDS,
     ProbeTarget,
-    in_order,
     rank,
+    sort_targets,
 )
 from catkinslip.health.signals import has_drain_header
 from catkinslip.health.tracker import HealthTracker
@@ -32,7 +32,7 @@
 PARTS = 20
 #: Seconds that a probe may take, including the wait for a connection.
 TIMEOUT_SECONDS = 1.0
-MAX_AT_ONCE = 8
+MAX_PROBES_AT_ONCE = 8
 
 log = logging.getLogger('health')
 
@@ -45,7 +45,9 @@
     members: MemberTable
     pool: BackendPool
     clock: Clock
-    limiter: trio.CapacityLimiter = Factory(lambda: trio.CapacityLimiter(MAX_AT_ONCE))
+    limiter: trio.CapacityLimiter = Factory(
+        lambda: trio.CapacityLimiter(MAX_PROBES_AT_ONCE)
+    )
 
     async def run(self) -> None:
         """Send due probes until cancelled, checking a part of the servers at a time."""
@@ -63,7 +65,7 @@
         member_ids = [each.member_id for each in self.members.live()]
         keys = list(self.tracker.key_by_id.values())[part::parts]
         targets = [self.target(key, now, member_ids) for key in keys]
-        return in_order([target for target in targets if target is not None])
+        return sort_targets([target for target in targets if target is not None])
 
     def target(
         self, key: BackendKey, now: float, member_ids: list[str]
@@ -163,7 +165,7 @@
         tracker.counters.probes_answered += 1
         report = read_report(response.headers)
         if report is not None:
-            tracker.apply_report(key, KnownReport(report, sent_at), picks_before)
+            tracker.apply_report(key, ObservedReport(report, sent_at), picks_before)
         tracker.record_answer(key.backend_id, response.headers, None)
         is_well = response.status_code < 400 and not has_drain_header(response.headers)
         if is_well and names.find(response.headers, names.OUTCOME) is None:
--- a/catkinslip/health/reports.py
+++ b/catkinslip/health/reports.py
@@ -15,7 +15,7 @@
 
 
 @frozen
-class KnownReport:
+class ObservedReport:
     """A load report and when it was observed, in monotonic seconds."""
 
     report: LoadReport
@@ -26,12 +26,12 @@
 class ReportTable:
     """The newest report and the time of the last answer of each server."""
 
-    known_by_key: dict[BackendKey, KnownReport] = Factory(dict)
+    known_by_key: dict[BackendKey, ObservedReport] = Factory(dict)
     answered_at_by_key: dict[BackendKey, float] = Factory(dict)
     #: Number of reports applied so far.
     version: int = 0
 
-    def apply(self, key: BackendKey, known: KnownReport) -> bool:
+    def apply(self, key: BackendKey, known: ObservedReport) -> bool:
         """Apply a report if it is newer; return whether it was."""
         self.record_answer(key, known.observed_at)
         held = self.known_by_key.get(key)
@@ -49,7 +49,7 @@
         """Return the seconds since the last known answer; 0 for an unknown server."""
         return now - self.answered_at_by_key.get(key, now)
 
-    def newest(self, now: float) -> list[tuple[BackendKey, KnownReport]]:
+    def newest(self, now: float) -> list[tuple[BackendKey, ObservedReport]]:
         """Return the newest reports to send to peers, at most one message full."""
         fresh = [
             (key, known)
--- a/catkinslip/health/schedule.py
+++ b/catkinslip/health/schedule.py
@@ -35,6 +35,6 @@
     return xxhash.xxh3_64_intdigest(f'{key.address}\0{member_id}'.encode())
 
 
-def in_order(targets: Sequence[ProbeTarget]) -> list[ProbeTarget]:
+def sort_targets(targets: Sequence[ProbeTarget]) -> list[ProbeTarget]:
     """Return targets that prove a return first, then the longest overdue."""
     return sorted(targets, key=lambda each: (not each.proves_return, -each.overdue))
--- a/catkinslip/health/topics.py
+++ b/catkinslip/health/topics.py
@@ -9,7 +9,7 @@
 
 from catkinslip.health.counters import HealthCounters
 from catkinslip.health.drain import DrainSignal, DrainState, DrainTable
-from catkinslip.health.reports import KnownReport, ReportTable
+from catkinslip.health.reports import ObservedReport, ReportTable
 from catkinslip.health.tracker import HealthTracker
 from catkinslip.membership.topics import PeerTopic
 from catkinslip.models import BackendKey
@@ -107,7 +107,7 @@
     """The newest load reports, each with its age, in batches for peers."""
 
     reports: ReportTable
-    apply_report: Callable[[BackendKey, KnownReport], None]
+    apply_report: Callable[[BackendKey, ObservedReport], None]
     monotonic: Callable[[], float]
     counters: HealthCounters
     name = 'load'
@@ -143,7 +143,7 @@
         for message in messages:
             key = BackendKey(message.backend_id, message.address)
             report = LoadReport(message.in_flight, message.speed)
-            known = KnownReport(report, now - message.age)
+            known = ObservedReport(report, now - message.age)
             self.apply_report(key, known)
 
 
--- a/catkinslip/health/tracker.py
+++ b/catkinslip/health/tracker.py
@@ -14,7 +14,7 @@
 from catkinslip.health.counters import HealthCounters
 from catkinslip.health.drain import DrainSignal, DrainTable
 from catkinslip.health.reachability import Reachability
-from catkinslip.health.reports import KnownReport, ReportTable
+from catkinslip.health.reports import ObservedReport, ReportTable
 from catkinslip.health.signals import CloseCounter, closes_connection, has_drain_header
 from catkinslip.models import BackendKey
 from catkinslip.routing.base import Choice, Estimate, LoadReport
@@ -126,7 +126,7 @@
             log.info('health: server answers again. backend=%s', backend_id)
             self._mark_possibly_restarted(key, now)
         if report is not None:
-            self.reports.apply(key, KnownReport(report, now))
+            self.reports.apply(key, ObservedReport(report, now))
         if has_drain_header(headers):
             self.drain.add_signal(key, DrainSignal.OWN, now)
         elif self._starts_closing(key, headers):
@@ -189,7 +189,7 @@
         self.apply_changes()
 
     def apply_report(
-        self, key: BackendKey, known: KnownReport, picks_before: int = 0
+        self, key: BackendKey, known: ObservedReport, picks_before: int = 0
     ) -> None:
         """Apply a report from a peer or a probe to its router, if it is newer."""
         router = self.router(key)
