--- a/catkinslip/health/budget.py
+++ b/catkinslip/health/budget.py
@@ -34,7 +34,9 @@
     #: Highest number of members seen so far. It never falls, so that this instance's
     #: share does not grow when members only seem to be removed.
     max_members: int = 1
+    #: Time at which the last probe of each server was spent or ended.
     ended_at_by_address: dict[str, float] = Factory(dict)
+    #: Calls of each service that no probe has used up.
     unspent_calls_by_service: dict[str, int] = Factory(dict)
 
     def count_call(self, service: str, limits: ProbeLimits) -> None:
--- a/catkinslip/health/drain.py
+++ b/catkinslip/health/drain.py
@@ -108,6 +108,7 @@
     """The drain state of a removed server and its removal time; monotonic seconds."""
 
     held: HeldState
+    #: Time of the removal.
     at: float
 
 
@@ -123,7 +124,7 @@
     changed: set[BackendKey] = Factory(set)
 
     def is_leaving(self, key: BackendKey) -> bool:
-        """Return whether a backend server is leaving and accepts no new work."""
+        """Return whether a backend server is leaving and must get no new requests."""
         held = self.held_by_key.get(key)
         return held is not None and held.state.leaving
 
--- a/catkinslip/health/list_reader.py
+++ b/catkinslip/health/list_reader.py
@@ -23,7 +23,9 @@
 
     store: ObjectStore
     tracker: HealthTracker
+    #: Returns whether this instance is a reader of the list.
     is_reader: Callable[[], bool]
+    #: Whether the last read failed.
     is_failing: bool = False
 
     async def run(self) -> None:
--- a/catkinslip/health/prober.py
+++ b/catkinslip/health/prober.py
@@ -29,9 +29,11 @@
 #: Every server is checked once a round, in parts so that no part blocks the loop
 #: for long.
 ROUND_SECONDS = 1.0
+#: Number of parts into which a round is divided.
 PARTS = 20
 #: Seconds that a probe may take, including the wait for a connection.
 TIMEOUT_SECONDS = 1.0
+#: Maximum number of probes that run at once.
 MAX_PROBES_AT_ONCE = 8
 
 log = logging.getLogger('health')
@@ -138,7 +140,11 @@
         ):
             return
         tracker.counters.probes_sent += 1
-        log.info('health: probe. backend=%s due_s=%.1f', key.backend_id, target.overdue)
+        log.info(
+            'health: probe started. backend=%s overdue_s=%.1f',
+            key.backend_id,
+            target.overdue,
+        )
         try:
             await wire.send(self.request(target), h11.EndOfMessage())
             response = await receive_response(wire)
--- a/catkinslip/health/reachability.py
+++ b/catkinslip/health/reachability.py
@@ -8,6 +8,7 @@
 
 #: Pause after the first refused connection; each further one in a row doubles it.
 FIRST_PAUSE_SECONDS = 0.5
+#: Upper bound of a pause.
 LONGEST_PAUSE_SECONDS = 10.0
 #: Largest share by which a pause is shortened at random.
 JITTER = 0.5
--- a/catkinslip/health/reports.py
+++ b/catkinslip/health/reports.py
@@ -50,7 +50,7 @@
         return now - self.answered_at_by_key.get(key, now)
 
     def newest(self, now: float) -> list[tuple[BackendKey, ObservedReport]]:
-        """Return the newest reports to send to peers, at most one message full."""
+        """Return the newest reports, at most `MAX_REPORTS_PER_MESSAGE`, for peers."""
         fresh = [
             (key, known)
             for key, known in self.known_by_key.items()
--- a/catkinslip/health/sampler.py
+++ b/catkinslip/health/sampler.py
@@ -29,7 +29,7 @@
 FRESH_SECONDS = 0.01
 #: Servers probed at once before a choice.
 PROBED_AT_ONCE = 3
-#: Number of times that the choice may be made again.
+#: Maximum rounds of probes before a choice.
 ROUNDS = 3
 #: Possibly restarted, hence cold, servers that are probed on each call: a zone of a
 #: hundred is covered within some tens of calls, and no call waits for these probes.
@@ -75,9 +75,13 @@
     count_instances: Callable[[], float]
     #: Seconds that a choice waits for an answer.
     answer_seconds: float = ANSWER_SECONDS
+    #: The probe budget of each server, by backend ID.
     bucket_by_id: dict[str, TokenBucket] = Factory(dict)
+    #: Backend IDs of servers with a running probe.
     probing_ids: set[str] = Factory(set)
+    #: Number of probes started.
     sent: int = 0
+    #: Number of probes without an answer in time.
     unanswered: int = 0
     _nursery: trio.Nursery | None = field(default=None, init=False)
 
--- a/catkinslip/health/sharing.py
+++ b/catkinslip/health/sharing.py
@@ -25,6 +25,7 @@
 RECEIVE_SECONDS = 0.001
 #: Each takes about 40 bytes; a datagram stays below one packet of 1,500 bytes.
 MAX_REPORTS = 30
+#: The payload of a UDP datagram in one packet of 1,500 bytes.
 MAX_DATAGRAM_BYTES = 1472
 #: Older reports are not sent, as a server's speed changes many times a second.
 MAX_REPORT_AGE_SECONDS = 0.05
@@ -46,12 +47,14 @@
     clock: Clock
     #: Servers with a change to send, by backend ID.
     load_by_id: dict[str, BackendLoad] = Factory(dict)
+    #: Set while there are changes to send.
     has_updates: trio.Event = Factory(trio.Event)
     #: Handlers of datagrams without reports, by the key of their topic.
     handler_by_topic: dict[str, Callable[[dict], None]] = Factory(dict)
     #: Number of datagrams sent.
     sent: int = 0
-    #: Number of received reports of known servers.
+    #: Number of received reports of known servers, including those not newer than
+    #: the local ones.
     received: int = 0
     #: Number of datagrams that could not be read.
     malformed: int = 0
@@ -136,7 +139,10 @@
             self.apply_datagram(data)
 
     def apply_datagram(self, data: bytes) -> None:
-        """Apply the reports of a datagram that are newer than the local ones."""
+        """Apply the reports of a datagram that are newer than the local ones.
+
+        Other topics go to their handlers. An unreadable datagram is counted and logged.
+        """
         now = self.clock.monotonic()
         try:
             message = orjson.loads(data)
--- a/catkinslip/health/topics.py
+++ b/catkinslip/health/topics.py
@@ -17,7 +17,7 @@
 
 Message = TypeVar('Message')
 MALFORMED_ERRORS = (cattrs.BaseValidationError, AttributeError, TypeError, ValueError)
-#: Not below zero, not infinite and not NaN.
+#: Validator of numbers that are not below zero, not infinite and not NaN.
 IS_AMOUNT = and_(ge(0), lt(float('inf')))
 
 #: Digits after the point of an age in seconds on the wire.
@@ -54,6 +54,7 @@
 
     table: DrainTable
     is_registered: Callable[[BackendKey], bool]
+    #: Called after the states of a message were merged.
     on_applied: Callable[[], None]
     monotonic: Callable[[], float]
     counters: HealthCounters
@@ -113,7 +114,7 @@
     name = 'load'
 
     def digest(self) -> Any:
-        """Return the version of the local reports, which differs from every peer's."""
+        """Return the number of reports applied here, as peers have other reports."""
         return self.reports.version
 
     def news_for(self, digest: Any | None) -> Any | None:
--- a/catkinslip/health/tracker.py
+++ b/catkinslip/health/tracker.py
@@ -1,4 +1,4 @@
-"""Health of all backend servers, as applied to the routers."""
+"""Health of all backend servers, as applied to the routers of the services."""
 
 import logging
 from collections.abc import Collection, Iterable
@@ -41,9 +41,9 @@
 
 @define
 class HealthTracker:
-    """The health of all backend servers, from every source, kept in the routers.
+    """The health of all backend servers, merged from every source.
 
-    Servers that are not in the register are ignored.
+    Changes are applied to the routers; servers outside the register are ignored.
     """
 
     directory: Directory
@@ -51,18 +51,20 @@
     budget: ProbeBudget
     reachability: Reachability
     max_instances: int
-    #: Whether closed connections in a row are a signal. Only a probe that proves the
-    #: return ends a leaving that such a signal began.
+    #: Whether closed connections in a row are a signal, which only a probe that proves
+    #: a return clears.
     counts_closes: bool = True
     drain: DrainTable = Factory(DrainTable)
     reports: ReportTable = Factory(ReportTable)
     closes: CloseCounter = Factory(CloseCounter)
     counters: HealthCounters = Factory(HealthCounters)
+    #: The configuration applied last.
     document: Document = Factory(Document)
     key_by_id: dict[str, BackendKey] = Factory(dict)
     probe_limits_by_service: dict[str, ProbeLimits] = Factory(dict)
     leaving_keys: set[BackendKey] = Factory(set)
-    #: Set when a server starts or stops leaving, replaced when peers are notified.
+    #: Event that a server started or stopped leaving; replaced before peers are sent
+    #: the change.
     drain_changed: trio.Event = Factory(trio.Event)
 
     def update(self, config: AcceptedConfig) -> None:
@@ -146,7 +148,7 @@
             self.apply_changes()
 
     def record_refusal(self, backend_id: str) -> None:
-        """Record a refused connection and avoid the server for a time."""
+        """Record a refused connection and avoid the server until the next trial."""
         key = self.key_by_id.get(backend_id)
         if key is None:
             return
@@ -226,7 +228,7 @@
         return name in self.key_by_id
 
     def is_registered(self, key: BackendKey) -> bool:
-        """Return whether the register has a server under this very key."""
+        """Return whether the register has a server with exactly this key."""
         return self.key_by_id.get(key.backend_id) == key
 
     def _update_router(self, backend_id: str) -> None:
--- a/tests/test_health_budget.py
+++ b/tests/test_health_budget.py
@@ -44,10 +44,10 @@
                 budget.count_call('limits', self.limits)
                 self.calls += 1
             for key in KEYS:
-                limits = (key.address, 'limits', self.limits, now)
-                if not budget.allows_probe(*limits) or rank(key, name, view) >= 3:
+                probe = (key.address, 'limits', self.limits, now)
+                if not budget.allows_probe(*probe) or rank(key, name, view) >= 3:
                     continue
-                if budget.spend(*limits):
+                if budget.spend(*probe):
                     self.times_by_key.setdefault(key, []).append(now)
 
     def probes(self) -> int:
@@ -55,10 +55,13 @@
 
 
 class BudgetTest(unittest.TestCase):
-    """The budget is never exceeded, whichever members instances see."""
+    """The budget is never exceeded.
+
+    This holds whichever members the instances see and however often they restart.
+    """
 
     def assert_within(self, fleet: Fleet, seconds: float) -> None:
-        """Check the probe rate at each server and the probes per call."""
+        """Check the probes at each server in every window of time, and per call."""
         rate = fleet.limits.probes_per_second
         size = max(fleet.limits.max_instances, fleet.size)
         self.assertGreater(fleet.probes(), 0)
--- a/tests/test_health_sampler.py
+++ b/tests/test_health_sampler.py
@@ -29,7 +29,7 @@
 
 
 class ColdAnswerTest(unittest.TestCase):
-    """A server is cold for as long as it reports, or else as long as before."""
+    """A server is cold for the time that it reports; a malformed time has no effect."""
 
     def setUp(self):
         self.now = NOW
