--- a/catkinslip/health/tracker.py
+++ b/catkinslip/health/tracker.py
@@ -246,11 +246,7 @@
             self.leaving_keys.add(key)
             self.counters.servers_left += 1
             signals = ', '.join(sorted(signal.value for signal in state.signals))
-            log.info(
-                'health: server is leaving. backend=%s signals=%s',
-                key.backend_id,
-                signals,
-            )
+            log.info('health: %s is leaving, signs: %s.', key.backend_id, signals)
         elif not state.leaving and key in self.leaving_keys:
             self.leaving_keys.discard(key)
             self.closes.forget(key)
