--- a/catkinslip/health/budget.py
+++ b/catkinslip/health/budget.py
@@ -64,7 +64,7 @@
         return has_calls and self.allowed_seconds(address, limits, now) >= 0
 
     def allowed_seconds(self, address: str, limits: ProbeLimits, now: float) -> float:
-        """Return for how many seconds a probe has been allowed; negative before."""
+        """Return the seconds since a server's interval ended; negative before."""
         last = self.ended_at_by_address.get(address, self.started_at)
         return now - last - self.interval(limits)
 
--- a/catkinslip/health/drain.py
+++ b/catkinslip/health/drain.py
@@ -64,7 +64,7 @@
         return bool(self.signals)
 
     def merge(self, other: 'DrainState') -> 'DrainState':
-        """Return the join of two drain states."""
+        """Return the higher generation; unite the signals of equal ones."""
         if self.generation != other.generation:
             return max(self, other, key=lambda state: state.generation)
         return DrainState(self.generation, self.signals | other.signals)
@@ -177,7 +177,7 @@
         self._set_state(key, joined, now, age)
 
     def proof_due_for(self, key: BackendKey, now: float) -> float:
-        """Return the seconds since a proof of a return is due; negative before."""
+        """Return for how many seconds a proof has been due; negative before."""
         held = self.held_by_key[key]
         return now - held.last_signal_at() - held.hold_seconds()
 
@@ -272,7 +272,10 @@
 
 
 def next_flaps(held: HeldState, state: DrainState, now: float) -> int:
-    """Return the number of flaps of a server once a new state is applied."""
+    """Return how many times in a row a server left soon after a return.
+
+    The new state is counted, but not yet applied.
+    """
     if not state.leaving or held.state.leaving:
         return held.flaps
     soon = now - held.applied_at < FLAP_WINDOW_SECONDS
--- a/catkinslip/health/list_reader.py
+++ b/catkinslip/health/list_reader.py
@@ -1,4 +1,4 @@
-"""Reading of the platform's instance list for leaving backend servers."""
+"""Periodic reads of the platform's instance list for leaving backend servers."""
 
 import logging
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 @define
 class InstanceListReader:
-    """Periodic reads of the list while this instance is one of its few readers."""
+    """Reader of the instance list while this instance is one of its few readers."""
 
     store: ObjectStore
     tracker: HealthTracker
--- a/catkinslip/health/prober.py
+++ b/catkinslip/health/prober.py
@@ -179,7 +179,7 @@
             tracker.apply_changes()
 
     def expire_unproved(self) -> None:
-        """Mark leaving servers of services without probes as returned after a time."""
+        """Expire the drain states of leaving servers whose services have no probes."""
         now = self.clock.monotonic()
         backends = self.tracker.document.register.backends
         for key in self.tracker.drain.leaving():
--- a/catkinslip/health/reports.py
+++ b/catkinslip/health/reports.py
@@ -32,7 +32,7 @@
     version: int = 0
 
     def apply(self, key: BackendKey, known: ObservedReport) -> bool:
-        """Apply a report if it is newer; return whether it was."""
+        """Apply a report if newer than the known one; return whether it was newer."""
         self.record_answer(key, known.observed_at)
         held = self.known_by_key.get(key)
         if held is not None and held.observed_at >= known.observed_at:
--- a/catkinslip/health/sampler.py
+++ b/catkinslip/health/sampler.py
@@ -86,7 +86,7 @@
     _nursery: trio.Nursery | None = field(default=None, init=False)
 
     async def run(self) -> None:
-        """Probe silent servers periodically and run all probes, until cancelled."""
+        """Probe silent servers periodically and run all probes until cancelled."""
         async with trio.open_nursery() as self._nursery:
             try:
                 await self._probe_silent_servers()
--- a/catkinslip/health/topics.py
+++ b/catkinslip/health/topics.py
@@ -114,7 +114,10 @@
     name = 'load'
 
     def digest(self) -> Any:
-        """Return the number of reports applied here, as peers have other reports."""
+        """Return the number of load reports applied by this instance.
+
+        Peers have applied other reports, so their numbers differ.
+        """
         return self.reports.version
 
     def news_for(self, digest: Any | None) -> Any | None:
--- a/catkinslip/health/tracker.py
+++ b/catkinslip/health/tracker.py
@@ -193,7 +193,7 @@
     def apply_report(
         self, key: BackendKey, known: ObservedReport, picks_before: int = 0
     ) -> None:
-        """Apply a report from a peer or a probe to its router, if it is newer."""
+        """Apply a newer report from a peer or a probe to the router of its server."""
         router = self.router(key)
         if router is not None and self.reports.apply(key, known):
             router.learned(
