--- a/catkinslip/health/sharing.py
+++ b/catkinslip/health/sharing.py
@@ -1,7 +1,8 @@
-"""Tell the other instances of the zone what servers report, as it comes in.
+"""Sharing of load reports between the instances of a zone as they arrive.
 
-A report goes to every instance of the zone in a datagram within a few milliseconds,
-so that they all choose from what any of them learned. A lost datagram does no harm.
+Each report goes to every instance of the zone in a datagram within a few
+milliseconds, so that all choose from the reports that any of them received. A lost
+datagram does no harm.
 """
 
 import logging
@@ -17,17 +18,19 @@
 from catkinslip.routing.base import BackendLoad, LoadReport
 from catkinslip.routing.directory import Directory
 
-#: Reports of this time go out together.
+#: Seconds for which reports are gathered into one datagram.
 FLUSH_SECONDS = 0.008
-#: Datagrams of this time are taken together.
-TAKE_SECONDS = 0.001
-#: Some 40 bytes each; a datagram stays below one packet of 1,500 bytes.
+#: Seconds between two reads of the socket; datagrams that arrive meanwhile are
+#: applied together.
+RECEIVE_SECONDS = 0.001
+#: Each takes about 40 bytes; a datagram stays below one packet of 1,500 bytes.
 MAX_REPORTS = 30
+#: The payload of a UDP datagram in one packet of 1,500 bytes.
 MAX_DATAGRAM_BYTES = 1472
-#: An older report says little of a server whose speed changes many times a second.
-OLDEST_SECONDS = 0.05
-#: A request sent this much before a report is in it.
-ON_THE_WAY_SECONDS = 0.002
+#: Older reports are not sent, as a server's speed changes many times a second.
+MAX_REPORT_AGE_SECONDS = 0.05
+#: A request sent at least this long before a report is counted in the report.
+REQUEST_TRANSIT_SECONDS = 0.002
 READ_ERRORS = (orjson.JSONDecodeError, AttributeError, KeyError, TypeError, ValueError)
 
 log = logging.getLogger('health')
@@ -35,31 +38,41 @@
 
 @define
 class ReportSharer:
-    """Send new reports to the instances of the zone, and take theirs."""
+    """Exchange of new reports with the other instances of the zone."""
 
-    own: Address
+    own_address: Address
+    #: Returns the addresses of the other instances of the zone.
     targets: Callable[[], list[Address]]
     directory: Directory
     clock: Clock
+    #: Servers with a change to send, by backend ID.
     load_by_id: dict[str, BackendLoad] = Factory(dict)
-    has_news: trio.Event = Factory(trio.Event)
-    #: Takes a datagram that tells of something else, by what it tells.
-    take_by_topic: dict[str, Callable[[dict], None]] = Factory(dict)
+    #: Set while there are changes to send.
+    has_updates: trio.Event = Factory(trio.Event)
+    #: Handlers of datagrams without reports, by the key of their topic.
+    handler_by_topic: dict[str, Callable[[dict], None]] = Factory(dict)
+    #: Number of datagrams sent.
     sent: int = 0
-    taken: int = 0
+    #: Number of received reports of known servers, including those not newer than
+    #: the local ones.
+    received: int = 0
+    #: Number of datagrams that could not be read.
     malformed: int = 0
     _socket: socket.socket | None = field(default=None, init=False)
 
-    def note(self, load: BackendLoad) -> None:
-        """Take note of a server whose load or own requests changed."""
+    def queue_load(self, load: BackendLoad) -> None:
+        """Queue a server whose load or local requests changed for the next datagram."""
         self.load_by_id[load.backend_id] = load
-        self.has_news.set()
+        self.has_updates.set()
 
     async def run(self) -> None:
-        """Send and receive until cancelled."""
+        """Send and receive datagrams until cancelled.
+
+        Raises OSError if the UDP address cannot be bound.
+        """
         with socket.socket(type=socket.SOCK_DGRAM) as sock:
             sock.setblocking(False)
-            sock.bind((self.own.host, self.own.port))
+            sock.bind((self.own_address.host, self.own_address.port))
             self._socket = sock
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._receive, sock)
@@ -67,25 +80,25 @@
 
     async def _send(self) -> None:
         while True:
-            await self.has_news.wait()
+            await self.has_updates.wait()
             await trio.sleep(FLUSH_SECONDS)
-            self.has_news = trio.Event()
+            self.has_updates = trio.Event()
             data = self.encode()
             if data is not None:
-                self.post(data, self.targets())
+                self.send_datagram(data, self.targets())
 
-    def post(self, data: bytes, addresses: list[Address]) -> None:
-        """Send a datagram to several instances."""
+    def send_datagram(self, data: bytes, addresses: list[Address]) -> None:
+        """Send a datagram to several instances; a failure is only logged."""
         for address in addresses:
             try:
                 self._socket.sendto(data, (address.host, address.port))
                 self.sent += 1
             except OSError as error:
-                # The next report is on its way within milliseconds.
-                log.debug('health: no datagram sent. to=%s error=%r', address, error)
+                # The next report follows within milliseconds.
+                log.debug('health: datagram not sent. to=%s error=%r', address, error)
 
     def encode(self) -> bytes | None:
-        """Return the fresh reports as a datagram; None if there are none."""
+        """Return the queued changes as a datagram; None if there is nothing to send."""
         now = self.clock.monotonic()
         loads = list(self.load_by_id.values())[:MAX_REPORTS]
         self.load_by_id.clear()
@@ -100,7 +113,8 @@
                 round(max(0.0, load.told_cold_until - now) * 1e3),
             ]
             for load in loads
-            if load.report is not None and now - load.reported_at < OLDEST_SECONDS
+            if load.report is not None
+            and now - load.reported_at < MAX_REPORT_AGE_SECONDS
         ]
         if not reports and not silent:
             return None
@@ -109,55 +123,58 @@
     async def _receive(self, sock: socket.socket) -> None:
         while True:
             await trio.lowlevel.wait_readable(sock)
-            self._take_all(sock)
-            await trio.sleep(TAKE_SECONDS)
+            self._receive_all(sock)
+            await trio.sleep(RECEIVE_SECONDS)
 
-    def _take_all(self, sock: socket.socket) -> None:
-        """Take over every datagram that has come."""
+    def _receive_all(self, sock: socket.socket) -> None:
+        """Apply every datagram that has arrived."""
         while True:
             try:
                 data = sock.recv(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             except OSError as error:
-                log.debug('health: no report received. error=%r', error)
+                log.debug('health: datagram not received. error=%r', error)
                 return
-            self.take(data)
+            self.apply_datagram(data)
+
+    def apply_datagram(self, data: bytes) -> None:
+        """Apply the reports of a datagram that are newer than the local ones.
 
-    def take(self, data: bytes) -> None:
-        """Take over the reports of a datagram that are newer than the own ones."""
+        Other topics go to their handlers. An unreadable datagram is counted and logged.
+        """
         now = self.clock.monotonic()
         try:
-            told = orjson.loads(data)
-            if 'reports' not in told:
-                self._take_other(told)
+            message = orjson.loads(data)
+            if 'reports' not in message:
+                self._handle_topic(message)
                 return
-            for each in told['reports']:
-                # An earlier program tells nothing of cold servers.
+            for each in message['reports']:
+                # Earlier versions send no remaining cold time.
                 backend_id, start, in_flight, speed, age_ms, *more = each
                 report = LoadReport(float(in_flight), float(speed))
                 at = now - max(0.0, age_ms) / 1e3
                 cold_seconds = float(more[0]) / 1e3 if more else 0.0
-                self._learn(str(backend_id), start, report, at, cold_seconds)
-            for backend_id, start in told['silent']:
-                self._learn_silence(str(backend_id), start, now)
+                self._apply_report(str(backend_id), start, report, at, cold_seconds)
+            for backend_id, start in message['silent']:
+                self._apply_silence(str(backend_id), start, now)
         except READ_ERRORS as error:
             self.malformed += 1
-            log.warning('health: a datagram cannot be read. error=%r', error)
+            log.warning('health: datagram not readable. error=%r', error)
 
-    def _take_other(self, told: dict) -> None:
-        for topic, take in self.take_by_topic.items():
-            if topic in told:
-                take(told)
+    def _handle_topic(self, message: dict) -> None:
+        for topic, handle in self.handler_by_topic.items():
+            if topic in message:
+                handle(message)
                 return
-        raise ValueError(f'a datagram tells of {sorted(told)}')
+        raise ValueError(f'datagram has no known topic, its keys are {sorted(message)}')
 
-    def _learn_silence(self, backend_id: str, start: int, now: float) -> None:
+    def _apply_silence(self, backend_id: str, start: int, now: float) -> None:
         router = self.directory.find_started(backend_id, start)
         if router is not None:
             router.heard_silence(backend_id, now)
 
-    def _learn(
+    def _apply_report(
         self,
         backend_id: str,
         start: int,
@@ -169,9 +186,9 @@
         if router is None:
             return
         load = router.load_by_id[backend_id]
-        in_report = load.picked_at < at - ON_THE_WAY_SECONDS
+        in_report = load.picked_at < at - REQUEST_TRANSIT_SECONDS
         picks_before = load.picks_since_report if in_report else 0
         router.heard(backend_id, report, at, picks_before)
         now = self.clock.monotonic()
-        router.cold.begin(load, cold_seconds, now, 'another instance tells')
-        self.taken += 1
+        router.cold.begin(load, cold_seconds, now, 'reported by another instance')
+        self.received += 1
--- a/tests/test_health_drain.py
+++ b/tests/test_health_drain.py
@@ -1,4 +1,4 @@
-"""The merged state of leaving backend servers."""
+"""Drain states of backend servers: merging, proofs of a return and expiry."""
 
 import itertools
 import unittest
@@ -11,35 +11,35 @@
     LIST_HOLD_SECONDS,
     RETURN_HOLD_SECONDS,
     UNPROVED_SECONDS,
-    DrainSign,
+    DrainSignal,
+    DrainState,
     DrainTable,
-    DrainWord,
 )
-from catkinslip.health.signs import CLOSES_IN_A_ROW, CloseCounter
+from catkinslip.health.signals import CLOSES_IN_A_ROW, CloseCounter
 from catkinslip.models import BackendKey
 
 KEY = BackendKey('limits-1', '127.0.0.1:7001')
-WORDS = st.builds(
-    DrainWord, st.integers(0, 4), st.frozensets(st.sampled_from(DrainSign))
+STATES = st.builds(
+    DrainState, st.integers(0, 4), st.frozensets(st.sampled_from(DrainSignal))
 )
 SETTINGS = settings(derandomize=True, max_examples=300, deadline=None)
 
 
-def leaving_table(*signs: DrainSign, at: float = 0.0) -> DrainTable:
+def leaving_table(*signals: DrainSignal, at: float = 0.0) -> DrainTable:
     table = DrainTable()
-    for sign in signs:
-        if sign is DrainSign.LIST:
-            table.listed(KEY, True, at)
+    for signal in signals:
+        if signal is DrainSignal.LIST:
+            table.record_listed(KEY, True, at)
         else:
-            table.sign(KEY, sign, at)
+            table.add_signal(KEY, signal, at)
     return table
 
 
 class MergeTest(unittest.TestCase):
-    """Words merge in any order, any number of times; leaving wins."""
+    """States merge in any order and any number of times; leaving wins."""
 
     @SETTINGS
-    @given(WORDS, WORDS, WORDS)
+    @given(STATES, STATES, STATES)
     def test_merge_is_a_join(self, a, b, c):
         self.assertEqual(a.merge(b), b.merge(a))
         self.assertEqual(a.merge(a), a)
@@ -48,20 +48,20 @@
             self.assertEqual(a.merge(b).leaving, a.leaving or b.leaving)
 
     @SETTINGS
-    @given(st.lists(WORDS, max_size=6), st.randoms(use_true_random=False))
-    def test_tables_that_heard_the_same_words_agree(self, words, random):
-        other_order = [*words, *words]
+    @given(st.lists(STATES, max_size=6), st.randoms(use_true_random=False))
+    def test_tables_with_the_same_states_agree(self, states, random):
+        other_order = [*states, *states]
         random.shuffle(other_order)
         tables = [DrainTable(), DrainTable()]
-        for table, heard in zip(tables, (words, other_order), strict=True):
-            for word in heard:
-                table.merge(KEY, word, 0.0)
+        for table, received in zip(tables, (states, other_order), strict=True):
+            for state in received:
+                table.merge(KEY, state, 0.0)
         self.assertEqual(tables[0].leaving(), tables[1].leaving())
         self.assertEqual(tables[0].digest(), tables[1].digest())
 
     @SETTINGS
     @given(st.lists(st.sampled_from(['sign', 'list', 'live', 'prove', 'tell'])))
-    def test_only_a_later_proof_overrides_a_sign(self, steps):
+    def test_only_a_later_proof_overrides_a_signal(self, steps):
         tables = [DrainTable(), DrainTable()]
         signed_at = [-1e9, -1e9]
         proved_at = 0.0
@@ -71,80 +71,80 @@
             if step in ('sign', 'list'):
                 signed_at[index] = now
             if step == 'sign':
-                mine.sign(KEY, DrainSign.OWN, now)
+                mine.add_signal(KEY, DrainSignal.OWN, now)
             elif step in ('list', 'live'):
-                mine.listed(KEY, step == 'list', now)
+                mine.record_listed(KEY, step == 'list', now)
             elif step == 'prove':
                 was_leaving = mine.is_leaving(KEY)
-                mine.proved(KEY, now, now)
+                mine.prove_return(KEY, now, now)
                 if was_leaving and not mine.is_leaving(KEY):
                     proved_at = now
             else:
                 for key, held in other.held_by_key.items():
-                    mine.merge(key, held.word, now, now - held.changed_at)
+                    mine.merge(key, held.state, now, now - held.changed_at)
             if signed_at[index] >= proved_at and signed_at[index] >= 0:
                 self.assertTrue(mine.is_leaving(KEY))
 
 
 class ReturnTest(unittest.TestCase):
-    """Leaving ends by proof of a return, neither too early nor never."""
+    """Leaving ends by a proof of a return, neither too early nor never."""
 
     def test_a_probe_sent_within_the_hold_proves_nothing(self):
-        table = leaving_table(DrainSign.OWN)
-        table.proved(KEY, RETURN_HOLD_SECONDS - 0.1, RETURN_HOLD_SECONDS + 0.1)
+        table = leaving_table(DrainSignal.OWN)
+        table.prove_return(KEY, RETURN_HOLD_SECONDS - 0.1, RETURN_HOLD_SECONDS + 0.1)
         self.assertTrue(table.is_leaving(KEY))
-        table.proved(KEY, RETURN_HOLD_SECONDS, RETURN_HOLD_SECONDS + 0.1)
+        table.prove_return(KEY, RETURN_HOLD_SECONDS, RETURN_HOLD_SECONDS + 0.1)
         self.assertFalse(table.is_leaving(KEY))
 
-    def test_a_stale_live_of_the_list_overrides_nothing(self):
-        table = leaving_table(DrainSign.LIST)
-        table.listed(KEY, False, 1.0)
-        table.listed(KEY, False, LIST_HOLD_SECONDS)
-        self.assertFalse(table.wants_proof(KEY, LIST_HOLD_SECONDS))
-        table.listed(KEY, True, LIST_HOLD_SECONDS + 0.5)
-        table.listed(KEY, False, LIST_HOLD_SECONDS + 1)
-        self.assertFalse(table.wants_proof(KEY, 10 * LIST_HOLD_SECONDS))
-        table.listed(KEY, False, 2 * LIST_HOLD_SECONDS + 1)
+    def test_a_stale_live_entry_of_the_list_overrides_nothing(self):
+        table = leaving_table(DrainSignal.LIST)
+        table.record_listed(KEY, False, 1.0)
+        table.record_listed(KEY, False, LIST_HOLD_SECONDS)
+        self.assertFalse(table.accepts_proof(KEY, LIST_HOLD_SECONDS))
+        table.record_listed(KEY, True, LIST_HOLD_SECONDS + 0.5)
+        table.record_listed(KEY, False, LIST_HOLD_SECONDS + 1)
+        self.assertFalse(table.accepts_proof(KEY, 10 * LIST_HOLD_SECONDS))
+        table.record_listed(KEY, False, 2 * LIST_HOLD_SECONDS + 1)
         self.assertTrue(table.is_leaving(KEY))
-        table.proved(KEY, 40.0, 40.1)
+        table.prove_return(KEY, 40.0, 40.1)
         self.assertFalse(table.is_leaving(KEY))
 
     def test_a_stale_leaving_of_a_peer_does_not_come_back(self):
-        table = leaving_table(DrainSign.OWN)
-        stale = table.held_by_key[KEY].word
-        table.proved(KEY, 6.0, 6.1)
+        table = leaving_table(DrainSignal.OWN)
+        stale = table.held_by_key[KEY].state
+        table.prove_return(KEY, 6.0, 6.1)
         table.merge(KEY, stale, 7.0)
         self.assertFalse(table.is_leaving(KEY))
 
-    def test_a_return_proved_before_an_own_sign_is_contradicted(self):
+    def test_a_return_proved_before_a_local_signal_is_overridden(self):
         for age, leaving in ((8.0, True), (2.0, False)):
-            table = leaving_table(DrainSign.OWN, at=0.0)
-            table.merge(KEY, DrainWord(7), 4.0, age)
+            table = leaving_table(DrainSignal.OWN, at=0.0)
+            table.merge(KEY, DrainState(7), 4.0, age)
             self.assertEqual(table.is_leaving(KEY), leaving)
 
-    def test_closed_connections_alone_end_without_a_sign_for_a_while(self):
-        table = leaving_table(DrainSign.CLOSE)
-        self.assertFalse(table.wants_proof(KEY, CLOSE_HOLD_SECONDS - 1))
-        self.assertTrue(table.wants_proof(KEY, CLOSE_HOLD_SECONDS))
+    def test_closed_connections_alone_end_without_a_signal_for_a_while(self):
+        table = leaving_table(DrainSignal.CLOSE)
+        self.assertFalse(table.accepts_proof(KEY, CLOSE_HOLD_SECONDS - 1))
+        self.assertTrue(table.accepts_proof(KEY, CLOSE_HOLD_SECONDS))
 
     def test_a_server_that_leaves_again_soon_is_held_longer(self):
-        table = leaving_table(DrainSign.OWN)
-        table.proved(KEY, 6.0, 6.0)
-        table.sign(KEY, DrainSign.OWN, 7.0)
-        self.assertFalse(table.wants_proof(KEY, 7.0 + RETURN_HOLD_SECONDS))
-        self.assertTrue(table.wants_proof(KEY, 7.0 + 2 * RETURN_HOLD_SECONDS))
+        table = leaving_table(DrainSignal.OWN)
+        table.prove_return(KEY, 6.0, 6.0)
+        table.add_signal(KEY, DrainSignal.OWN, 7.0)
+        self.assertFalse(table.accepts_proof(KEY, 7.0 + RETURN_HOLD_SECONDS))
+        self.assertTrue(table.accepts_proof(KEY, 7.0 + 2 * RETURN_HOLD_SECONDS))
 
     def test_without_probes_leaving_ends_by_time(self):
-        table = leaving_table(DrainSign.OWN)
-        table.end_unproved(KEY, UNPROVED_SECONDS - 1)
+        table = leaving_table(DrainSignal.OWN)
+        table.expire_unproved(KEY, UNPROVED_SECONDS - 1)
         self.assertTrue(table.is_leaving(KEY))
-        table.end_unproved(KEY, UNPROVED_SECONDS)
+        table.expire_unproved(KEY, UNPROVED_SECONDS)
         self.assertFalse(table.is_leaving(KEY))
 
-    def test_only_a_server_that_kept_connections_signs_by_closing_them(self):
+    def test_closed_connections_are_a_signal_only_after_kept_ones(self):
         counter = CloseCounter()
-        always = [counter.answered(KEY, True) for _ in range(9)]
+        always = [counter.count_answer(KEY, True) for _ in range(9)]
         self.assertNotIn(True, always)
-        counter.answered(KEY, False)
-        begins = [counter.answered(KEY, True) for _ in range(CLOSES_IN_A_ROW)]
+        counter.count_answer(KEY, False)
+        begins = [counter.count_answer(KEY, True) for _ in range(CLOSES_IN_A_ROW)]
         self.assertEqual(begins, [*itertools.repeat(False, 2), True])
--- a/tests/test_health_sharing.py
+++ b/tests/test_health_sharing.py
@@ -1,4 +1,4 @@
-"""Instances of a zone tell each other what servers report, and which are silent."""
+"""Sharing of load reports and silent servers between the instances of a zone."""
 
 import unittest
 from random import Random
@@ -21,7 +21,7 @@
 
 
 class Side:
-    """One of two instances."""
+    """One of two instances that share reports."""
 
     def __init__(self, own: int, other: int):
         self.clock = SystemClock()
@@ -32,7 +32,7 @@
             self.directory,
             self.clock,
         )
-        self.directory.on_news = self.sharer.note
+        self.directory.on_news = self.sharer.queue_load
         plain = document_plain(SERVERS)
         document = converter.structure(plain, Document)
         self.directory.update(AcceptedConfig(document=document))
@@ -63,14 +63,14 @@
 
 
 class ShareTest(unittest.TestCase):
-    """What one learns, the other knows."""
+    """Reports that one instance receives reach the other."""
 
     def test_reports_of_all_servers_arrive(self):
         async def check(first, second):
             now = first.clock.monotonic()
             first.router.learned('limits-1', LoadReport(3, 0.5), now)
             first.router.learned('limits-2', LoadReport(1, 1.0), now)
-            await wait_for(lambda: second.sharer.taken == 2)
+            await wait_for(lambda: second.sharer.received == 2)
             self.assertEqual(second.load().report, LoadReport(3, 0.5))
             self.assertEqual(second.load('limits-2').report, LoadReport(1, 1.0))
 
@@ -101,7 +101,7 @@
 
         between_two(check)
 
-    def test_server_that_was_heard_from_is_not_avoided_on_hearsay(self):
+    def test_peer_report_of_silence_does_not_override_an_answer(self):
         async def check(first, second):
             now = second.clock.monotonic()
             second.router.heard('limits-1', LoadReport(0, 1.0), now, 0)
@@ -112,19 +112,19 @@
 
         between_two(check)
 
-    def test_hearsay_is_not_told_on(self):
+    def test_silence_reported_by_a_peer_is_not_forwarded(self):
         async def check(first, second):
             second.router.heard_silence('limits-1', second.clock.monotonic())
             self.assertIsNone(second.sharer.encode())
 
         between_two(check)
 
-    def test_nonsense_does_no_harm(self):
+    def test_malformed_datagrams_are_counted_and_ignored(self):
         async def check(first, second):
             wrong = (b'', b'{', b'[]', b'{"reports": 3}', b'{"reports": [[1]]}', b'7')
             wrong += (orjson.dumps({'reports': [['limits-1', 'x', 1, 0]]}),)
             for data in wrong:
-                second.sharer.take(data)
+                second.sharer.apply_datagram(data)
             self.assertEqual(second.sharer.malformed, len(wrong))
             self.assertIsNone(second.load().report)
 
--- a/tests/test_health_tracker.py
+++ b/tests/test_health_tracker.py
@@ -1,4 +1,4 @@
-"""Reachability, peers' words and reports in one instance."""
+"""Reachability, drain states and reports of peers in one instance."""
 
 import unittest
 from random import Random
@@ -9,11 +9,11 @@
 from catkinslip.clock import Clock
 from catkinslip.config.checks import read_document
 from catkinslip.config.documents import AcceptedConfig, Document, converter
-from catkinslip.health.budget import KEPT_SECONDS, ProbeTerms
+from catkinslip.health.budget import KEPT_SECONDS, ProbeLimits
 from catkinslip.health.drain import CLOSE_HOLD_SECONDS, RETURN_HOLD_SECONDS
 from catkinslip.health.prober import Prober
 from catkinslip.health.reachability import LONGEST_PAUSE_SECONDS, Reachability
-from catkinslip.health.signs import CLOSES_IN_A_ROW
+from catkinslip.health.signals import CLOSES_IN_A_ROW
 from catkinslip.health.topics import health_topics
 from catkinslip.health.tracker import HealthTracker, make_tracker
 from catkinslip.membership.members import Member, MemberTable
@@ -31,7 +31,7 @@
 
 @define
 class ManualClock(Clock):
-    """A clock that a test moves."""
+    """A clock that a test advances."""
 
     now: float = 1000.0
 
@@ -58,18 +58,20 @@
 
 
 class ProbeBudgetTest(unittest.TestCase):
-    """Probes of long ago, where a server may be probed once in hours."""
+    """Old probes, where a server may be probed only once in hours."""
 
     def test_last_probe_of_a_registered_server_is_kept_until_the_next_may_follow(self):
         clock = ManualClock()
         made = tracker(clock)
-        terms = ProbeTerms(0.0005, calls_per_probe=1, max_instances=4)
-        clock.now += made.budget.interval(terms)
-        made.budget.ended('10.0.0.1:80', clock.now)
-        made.budget.ended('10.0.0.9:80', clock.now)
+        limits = ProbeLimits(0.0005, calls_per_probe=1, max_instances=4)
+        clock.now += made.budget.interval(limits)
+        made.budget.end_probe('10.0.0.1:80', clock.now)
+        made.budget.end_probe('10.0.0.9:80', clock.now)
         clock.now += KEPT_SECONDS + 1
         made.update(AcceptedConfig(document=made.document))
-        self.assertLess(made.budget.allowed_for('10.0.0.1:80', terms, clock.now), 0)
+        self.assertLess(
+            made.budget.allowed_seconds('10.0.0.1:80', limits, clock.now), 0
+        )
         self.assertEqual(list(made.budget.ended_at_by_address), ['10.0.0.1:80'])
 
 
@@ -79,21 +81,21 @@
     def test_pauses_grow_within_their_jitter_and_end_by_an_answer(self):
         state, now = Reachability(Random(1)), 0.0
         for failures in range(1, 9):
-            pause = state.failed(KEY, now)
+            pause = state.record_refusal(KEY, now)
             longest = min(0.5 * 2 ** (failures - 1), LONGEST_PAUSE_SECONDS)
             self.assertTrue(longest / 2 <= pause <= longest)
             self.assertTrue(state.is_avoided(KEY, now + pause * 0.99))
             now += pause
             self.assertFalse(state.is_avoided(KEY, now))
-        self.assertTrue(state.reached(KEY))
-        self.assertFalse(state.reached(KEY))
+        self.assertTrue(state.record_connection(KEY))
+        self.assertFalse(state.record_connection(KEY))
 
     def test_one_trial_at_a_time_which_never_shortens_a_pause(self):
         state = Reachability(Random(1))
-        pause = max(state.failed(KEY, 0.0) for _ in range(6))
-        state.tried(KEY, 0.0)
+        pause = max(state.record_refusal(KEY, 0.0) for _ in range(6))
+        state.start_trial(KEY, 0.0)
         self.assertTrue(state.is_avoided(KEY, pause / 2))
-        state.tried(KEY, pause)
+        state.start_trial(KEY, pause)
         self.assertTrue(state.is_avoided(KEY, pause))
 
 
@@ -112,35 +114,35 @@
 
 
 class TrackerTest(unittest.TestCase):
-    """What one instance learns decides its choice and reaches its peers."""
+    """Signals and reports of one instance affect its choice and reach its peers."""
 
     def setUp(self):
         self.clock = ManualClock()
         self.first, self.second = tracker(self.clock), tracker(self.clock)
 
-    def tell(self, teller: HealthTracker, hearer: HealthTracker) -> None:
-        """Let one instance tell another what its digest shows it lacks."""
-        topics = zip(health_topics(teller), health_topics(hearer), strict=True)
+    def exchange(self, sender: HealthTracker, receiver: HealthTracker) -> None:
+        """Send the updates that one instance has for another one's digest."""
+        topics = zip(health_topics(sender), health_topics(receiver), strict=True)
         for source, target in topics:
-            news = source.news_for(target.digest())
-            if news is not None:
-                target.receive(news)
+            updates = source.news_for(target.digest())
+            if updates is not None:
+                target.receive(updates)
 
-    def test_words_reach_a_peer_long_after_and_a_return_too(self):
-        self.first.answered('limits-1', DRAIN, None)
+    def test_drain_state_reaches_a_peer_later_and_a_return_too(self):
+        self.first.record_answer('limits-1', DRAIN, None)
         self.clock.now += 60
-        self.tell(self.first, self.second)
+        self.exchange(self.first, self.second)
         self.assertEqual(choose(self.second, self.clock.now), 'limits-2')
-        self.first.drain.proved(KEY, self.clock.now, self.clock.now)
-        self.first.settle()
-        self.tell(self.second, self.first)
+        self.first.drain.prove_return(KEY, self.clock.now, self.clock.now)
+        self.first.apply_changes()
+        self.exchange(self.second, self.first)
         self.assertEqual(self.first.leaving_ids(), [])
-        self.tell(self.first, self.second)
+        self.exchange(self.first, self.second)
         self.assertEqual(self.second.leaving_ids(), [])
 
     def test_the_last_server_gets_no_work_and_another_address_is_another_server(self):
         only = tracker(self.clock, {'limits-1': KEY.address})
-        only.answered('limits-1', DRAIN, None)
+        only.record_answer('limits-1', DRAIN, None)
         self.assertIsNone(choose(only, self.clock.now))
         plain = document_plain({'limits-1': '10.0.0.9:80'})
         config = AcceptedConfig(document=converter.structure(plain, Document))
@@ -150,7 +152,7 @@
 
     def test_a_server_that_refuses_connections_is_the_last_resort(self):
         router = self.first.directory.router_by_service['limits']
-        self.first.refused('limits-1')
+        self.first.record_refusal('limits-1')
         chosen = {self.first.choose(router, []).backend_id for _ in range(20)}
         self.assertEqual(chosen, {'limits-2'})
         self.assertEqual(self.first.choose(router, ['limits-2']).backend_id, 'limits-1')
@@ -159,7 +161,7 @@
         self.assertEqual(chosen.count('limits-1'), 1)
 
     def test_a_new_configuration_keeps_a_server_out(self):
-        self.first.answered('limits-1', DRAIN, None)
+        self.first.record_answer('limits-1', DRAIN, None)
         plain = document_plain(ADDRESSES, slots=3)
         config = AcceptedConfig(document=converter.structure(plain, Document))
         self.first.directory.update(config)
@@ -168,22 +170,22 @@
 
     def test_a_server_that_now_always_closes_is_not_out_for_ever(self):
         close = [(b'connection', b'close')]
-        self.first.answered('limits-1', [], None)
+        self.first.record_answer('limits-1', [], None)
         for _ in range(CLOSES_IN_A_ROW):
-            self.first.answered('limits-1', close, None)
+            self.first.record_answer('limits-1', close, None)
         self.assertEqual(self.first.leaving_ids(), ['limits-1'])
         self.clock.now += CLOSE_HOLD_SECONDS
-        self.first.answered('limits-1', close, None)
-        self.first.drain.proved(KEY, self.clock.now, self.clock.now)
-        self.first.settle()
-        self.first.answered('limits-1', close, None)
+        self.first.record_answer('limits-1', close, None)
+        self.first.drain.prove_return(KEY, self.clock.now, self.clock.now)
+        self.first.apply_changes()
+        self.first.record_answer('limits-1', close, None)
         self.assertEqual(self.first.leaving_ids(), [])
 
-    def test_malformed_news_is_a_value_error_and_changes_nothing(self):
+    def test_malformed_update_is_a_value_error_and_changes_nothing(self):
         drain, load = health_topics(self.first)
-        word = {'backend_id': 'limits-1', 'address': KEY.address, 'age': 0.0}
-        report = {**word, 'in_flight': 1.0, 'speed': None}
-        signed = {**word, 'generation': 1, 'signs': ['own']}
+        entry = {'backend_id': 'limits-1', 'address': KEY.address, 'age': 0.0}
+        report = {**entry, 'in_flight': 1.0, 'speed': None}
+        signed = {**entry, 'generation': 1, 'signs': ['own']}
         bad = [
             (drain, [{**signed, 'generation': -1}]),
             (drain, [{**signed, 'signs': ['gone']}]),
@@ -194,18 +196,18 @@
             (load, [{**report, 'speed': float('nan')}]),
             (load, [{}]),
         ]
-        for topic, news in bad:
-            with self.subTest(news=news), self.assertRaises(ValueError):
-                topic.receive(news)
+        for topic, updates in bad:
+            with self.subTest(updates=updates), self.assertRaises(ValueError):
+                topic.receive(updates)
         self.assertEqual(self.first.leaving_ids(), [])
 
-    def test_a_report_of_a_peer_keeps_own_picks_and_its_age(self):
-        self.first.answered('limits-1', [], LoadReport(7.0))
+    def test_a_report_of_a_peer_keeps_local_selections_and_its_age(self):
+        self.first.record_answer('limits-1', [], LoadReport(7.0))
         self.clock.now += 1
         router = self.second.directory.router_by_service['limits']
         load = router.load_by_id['limits-1']
         load.picks_since_report = 3
-        self.tell(self.first, self.second)
+        self.exchange(self.first, self.second)
         self.assertEqual(load.report, LoadReport(7.0))
         self.assertEqual(load.reported_at, self.clock.now - 1)
         self.assertEqual(load.picks_since_report, 3)
@@ -241,9 +243,9 @@
         self.clock.now += 3
         self.assertEqual(prober.due(self.clock.now, 0, 1), [])
         self.clock.now += 1
-        self.first.answered('limits-2', [], None)
+        self.first.record_answer('limits-2', [], None)
         self.assertEqual([each.key for each in prober.due(self.clock.now, 0, 1)], [KEY])
-        self.first.answered('limits-1', DRAIN, None)
+        self.first.record_answer('limits-1', DRAIN, None)
         self.clock.now += RETURN_HOLD_SECONDS - 1
         due = {
             each.key: each.proves_return for each in prober.due(self.clock.now, 0, 1)
--- a/tests/test_routing_restart.py
+++ b/tests/test_routing_restart.py
@@ -15,7 +15,7 @@
     Service,
     to_plain,
 )
-from catkinslip.health.drain import DrainSign
+from catkinslip.health.drain import DrainSignal
 from catkinslip.health.sharing import ReportSharer
 from catkinslip.health.tracker import make_tracker
 from catkinslip.models import Address
@@ -78,28 +78,28 @@
     def test_signs_of_leaving_and_refused_connections_end(self):
         now = self.clock.monotonic()
         key = self.health.key_by_id['limits-1']
-        self.health.drain.sign(key, DrainSign.OWN, now)
-        self.health.settle()
-        self.health.refused('limits-1')
+        self.health.drain.add_signal(key, DrainSignal.OWN, now)
+        self.health.apply_changes()
+        self.health.record_refusal('limits-1')
         self.assertIsNone(self.router.choose(now))
         self.update(8)
         self.assertIsNotNone(self.router.choose(now))
-        self.assertEqual(self.health.reachability.avoided(now), [])
+        self.assertEqual(self.health.reachability.avoided_ids(now), [])
 
     def test_datagram_on_the_earlier_start_is_not_believed(self):
         self.update(8)
         told = {'reports': [['limits-1', 7, 2.0, 0.1, 0]], 'silent': [['limits-1', 7]]}
-        self.sharer.take(orjson.dumps(told))
+        self.sharer.apply_datagram(orjson.dumps(told))
         load = self.router.load_by_id['limits-1']
         self.assertIsNone(load.report)
         self.assertFalse(load.is_silent)
         told['reports'][0][1] = 8
-        self.sharer.take(orjson.dumps(told))
+        self.sharer.apply_datagram(orjson.dumps(told))
         self.assertEqual(load.report, FULL)
 
     def test_datagram_names_the_start(self):
         self.router.learned('limits-1', FULL, self.clock.monotonic())
-        self.sharer.note(self.router.load_by_id['limits-1'])
+        self.sharer.queue_load(self.router.load_by_id['limits-1'])
         told = orjson.loads(self.sharer.encode())
         self.assertEqual(told['reports'][0][:2], ['limits-1', 7])
 
