--- a/catkinslip/admission/guarded.py
+++ b/catkinslip/admission/guarded.py
@@ -9,7 +9,7 @@
 from random import Random
 
 from catkinslip.admission.waiting import WaitingCall
-from catkinslip.routing.gates import Closure, GuardWord
+from catkinslip.routing.gates import Closure, RestrictionReason
 
 #: Short beside the time within which an answer is worth most.
 SOON_SECONDS = 0.05
@@ -24,7 +24,7 @@
     closure: Closure, waiting: WaitingCall, random: Random, now: float
 ) -> float:
     """Return the seconds after which a refused call may come back."""
-    if closure.word is GuardWord.COLD:
+    if closure.reason is RestrictionReason.COLD:
         return COLD_RETRY_SECONDS
     wait = closure.wait_seconds
     if wait > 0 and now + wait * MOST_SPREAD < waiting.best_until:
--- a/catkinslip/proxy/server_wait.py
+++ b/catkinslip/proxy/server_wait.py
@@ -17,20 +17,20 @@
 from catkinslip.proxy.calls import Call
 from catkinslip.proxy.outcomes import NotRun, Reason
 from catkinslip.routing.base import Choice
-from catkinslip.routing.gates import GuardWord
+from catkinslip.routing.gates import RestrictionReason
 from catkinslip.routing.router import ServiceRouter
 
 log = logging.getLogger('limits')
 
 REASON_BY_WORD = {
-    GuardWord.RATE: Reason.THROTTLED,
-    GuardWord.COLD: Reason.COLD,
-    GuardWord.REST: Reason.RESTING,
+    RestrictionReason.RATE: Reason.THROTTLED,
+    RestrictionReason.COLD: Reason.COLD,
+    RestrictionReason.REST: Reason.RESTING,
 }
 DETAIL_BY_WORD = {
-    GuardWord.RATE: 'servers in need at their rates',
-    GuardWord.COLD: 'cold servers',
-    GuardWord.REST: 'servers that asked for rest',
+    RestrictionReason.RATE: 'servers in need at their rates',
+    RestrictionReason.COLD: 'cold servers',
+    RestrictionReason.REST: 'servers that asked for rest',
 }
 
 
@@ -104,8 +104,8 @@
         if closure is None:
             return None
         refusal = NotRun(
-            REASON_BY_WORD[closure.word],
-            f'{closure.servers} {DETAIL_BY_WORD[closure.word]}',
+            REASON_BY_WORD[closure.reason],
+            f'{closure.servers} {DETAIL_BY_WORD[closure.reason]}',
             retry_after=guarded_retry(closure, self.waiting, self.random, now),
         )
         log.info(
--- a/catkinslip/resting/gate.py
+++ b/catkinslip/resting/gate.py
@@ -9,11 +9,11 @@
 
 from catkinslip.resting.book import Rest, RestBook
 from catkinslip.routing.base import BackendLoad
-from catkinslip.routing.gates import Gate, GuardedServer, GuardWord
+from catkinslip.routing.gates import Gate, RestrictedServer, RestrictionReason
 
 
 @define
-class RestingServer(GuardedServer):
+class RestingServer(RestrictedServer):
     """A server whose rest lasts: it may get nothing."""
 
     rest: Rest
@@ -26,7 +26,7 @@
 class RestGate(Gate):
     """Keep requests from the servers of one service whose rest lasts."""
 
-    word = GuardWord.REST
+    reason = RestrictionReason.REST
 
     book: RestBook = Factory(RestBook)
 
@@ -43,7 +43,7 @@
         rest = self.book.find(load, now)
         return None if rest is None else RestingServer(rest.load, rest)
 
-    def has_room(self, server: GuardedServer, now: float) -> bool:
+    def has_room(self, server: RestrictedServer, now: float) -> bool:
         """Tell that a resting server may get no request."""
         return False
 
--- a/catkinslip/routing/gates.py
+++ b/catkinslip/routing/gates.py
@@ -22,7 +22,7 @@
 
 
 @unique
-class GuardWord(Enum):
+class RestrictionReason(Enum):
     """Why a server may get only so many requests."""
 
     COLD = 'cold'
@@ -34,13 +34,13 @@
 class Closure:
     """Servers that one gate keeps requests from; seconds until the first has room."""
 
-    word: GuardWord
+    reason: RestrictionReason
     servers: int
     wait_seconds: float
 
 
 @define
-class GuardedServer(ABC):
+class RestrictedServer(ABC):
     """A server that may get only so many requests."""
 
     load: BackendLoad
@@ -56,7 +56,7 @@
 class Permit:
     """Leave to send one request to a guarded server."""
 
-    server: GuardedServer
+    server: RestrictedServer
     is_open: bool = True
 
     def use(self, now: float) -> None:
@@ -75,18 +75,18 @@
 class Gate(ABC):
     """Keep requests from the guarded servers of one service, of one kind."""
 
-    word: ClassVar[GuardWord]
+    reason: ClassVar[RestrictionReason]
 
     @abstractmethod
     def closed(self, now: float) -> list[str]:
         """Return the guarded servers that this instance may send nothing now."""
 
     @abstractmethod
-    def find(self, load: BackendLoad | None, now: float) -> GuardedServer | None:
+    def find(self, load: BackendLoad | None, now: float) -> RestrictedServer | None:
         """Return a server as it is guarded; None if it is not."""
 
     @abstractmethod
-    def has_room(self, server: GuardedServer, now: float) -> bool:
+    def has_room(self, server: RestrictedServer, now: float) -> bool:
         """Tell whether this instance may send another request."""
 
     @abstractmethod
--- a/catkinslip/routing/router.py
+++ b/catkinslip/routing/router.py
@@ -195,7 +195,7 @@
             closed = [load for load in loads if self.takes_requests(load)]
             if closed:
                 wait_seconds = min(gate.wait_seconds(load, now) for load in closed)
-                return Closure(gate.word, len(closed), wait_seconds)
+                return Closure(gate.reason, len(closed), wait_seconds)
         return None
 
     def may_send(self, load: BackendLoad | None, permits: Permits, now: float) -> bool:
--- a/catkinslip/throttling/gate.py
+++ b/catkinslip/throttling/gate.py
@@ -6,7 +6,7 @@
 from attrs import Factory, define
 
 from catkinslip.routing.base import NEVER, BackendLoad
-from catkinslip.routing.gates import Gate, GuardedServer, GuardWord
+from catkinslip.routing.gates import Gate, RestrictedServer, RestrictionReason
 from catkinslip.throttling.book import NamedRate, RateBook
 from catkinslip.throttling.shares import own_rate
 from catkinslip.warmup.quotas import Sender
@@ -32,7 +32,7 @@
 
 
 @define
-class ThrottledServer(GuardedServer):
+class ThrottledServer(RestrictedServer):
     """A server that names a rate, and what this instance may send it."""
 
     rate: NamedRate
@@ -51,7 +51,7 @@
 class ThrottleGate(Gate):
     """Keep requests from servers in need beyond this instance's part of their rate."""
 
-    word = GuardWord.RATE
+    reason = RestrictionReason.RATE
 
     divide: Divide = give_nobody
     place: Callable[[], Place | None] = no_place
--- a/catkinslip/warmup/gate.py
+++ b/catkinslip/warmup/gate.py
@@ -8,7 +8,7 @@
 from attrs import Factory, define
 
 from catkinslip.routing.base import NEVER, BackendLoad
-from catkinslip.routing.gates import Gate, GuardedServer, GuardWord
+from catkinslip.routing.gates import Gate, RestrictedServer, RestrictionReason
 from catkinslip.warmup.quotas import Sender
 
 #: The bound holds for any second; a little more, as clocks tick in steps.
@@ -30,7 +30,7 @@
 
 
 @define
-class ColdServer(GuardedServer):
+class ColdServer(RestrictedServer):
     """A server that is cold, and what was sent to it; times are in seconds."""
 
     quota_by_sender: Mapping[Sender, int]
@@ -53,7 +53,7 @@
 class ColdGate(Gate):
     """Keep requests from the cold servers of one service beyond the own quota."""
 
-    word = GuardWord.COLD
+    reason = RestrictionReason.COLD
 
     divide: Divide = give_nobody
     sender: Callable[[], Sender | None] = no_sender
--- a/tests/test_resting_path.py
+++ b/tests/test_resting_path.py
@@ -19,7 +19,7 @@
 from catkinslip.resting.signs import MALFORMED_REST, NO_REST, RestSign
 from catkinslip.routing.base import AttemptResult, BackendLoad, ResultKind
 from catkinslip.routing.directory import Directory
-from catkinslip.routing.gates import Closure, GuardWord
+from catkinslip.routing.gates import Closure, RestrictionReason
 from catkinslip.routing.policies import LeastInFlight
 from catkinslip.routing.router import ServiceRouter
 from catkinslip.routing.words import ServerWords
@@ -252,7 +252,7 @@
 
     def retry(self, wait: float, *, is_late: bool = False) -> float:
         """Return when a call with 0.4 s for its answer may come back."""
-        closure = Closure(GuardWord.REST, 1, wait)
+        closure = Closure(RestrictionReason.REST, 1, wait)
         waiting = WaitingCall(
             AdmissionSettings(), NOW, NOW + 0.4, NOW + 3, NOW + 3, 0.4, is_late=is_late
         )
