--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -36,7 +36,7 @@
 from catkinslip.proxy.server_wait import ServerWait
 from catkinslip.proxy.wire import Wire
 from catkinslip.routing.base import BackendLoad, Choice, LoadReport
-from catkinslip.routing.gates import give_back
+from catkinslip.routing.gates import release_permits
 from catkinslip.routing.router import ServiceRouter
 from catkinslip.routing.words import ServerWords
 from catkinslip.throttling.signs import AnswerKind
@@ -338,7 +338,7 @@
     def _finish(self, launch: Launch, outcome: Outcome) -> None:
         now = self.clock.monotonic()
         launch.is_open = False
-        give_back(launch.permits)
+        release_permits(launch.permits)
         # A slow caller's share of the time says nothing of the server.
         ended = now if launch.answered_at is None else launch.answered_at
         result = attempt_result(outcome, ended - launch.began)
--- a/catkinslip/routing/gates.py
+++ b/catkinslip/routing/gates.py
@@ -65,7 +65,7 @@
         self.server.reserved -= 1
         self.server.count_sent(now)
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Send nothing; one that was used stays so."""
         if self.is_open:
             self.is_open = False
@@ -117,7 +117,7 @@
         server.reserved += 1
         return Permit(server)
 
-    def has_leave(
+    def has_permit(
         self, load: BackendLoad | None, permit: Permit | None, now: float
     ) -> bool:
         """Tell whether the first byte may be sent now."""
@@ -142,7 +142,7 @@
         self, load: BackendLoad | None, permit: Permit | None, now: float
     ) -> bool:
         """Tell whether the first byte may be sent now, and count the request."""
-        if not self.has_leave(load, permit, now):
+        if not self.has_permit(load, permit, now):
             return False
         self.count(load, permit, now)
         return True
@@ -186,15 +186,15 @@
     def may_send(self, load: BackendLoad | None, permits: Permits, now: float) -> bool:
         """Tell whether the first byte may be sent now, and count the request."""
         pairs = zip(self.gates, permits, strict=True)
-        if not all(gate.has_leave(load, permit, now) for gate, permit in pairs):
+        if not all(gate.has_permit(load, permit, now) for gate, permit in pairs):
             return False
         for gate, permit in zip(self.gates, permits, strict=True):
             gate.count(load, permit, now)
         return True
 
 
-def give_back(permits: Permits) -> None:
+def release_permits(permits: Permits) -> None:
     """Send nothing with these; those that were used stay so."""
     for permit in permits:
         if permit is not None:
-            permit.give_back()
+            permit.release()
--- a/tests/test_throttling_fleet.py
+++ b/tests/test_throttling_fleet.py
@@ -16,7 +16,7 @@
 
 from catkinslip.discovery.instances import InstanceTable
 from catkinslip.routing.base import BackendLoad
-from catkinslip.routing.gates import Gates, Permits, give_back
+from catkinslip.routing.gates import Gates, Permits, release_permits
 from catkinslip.throttling.gate import ThrottleGate
 from catkinslip.throttling.shares import divide_rate
 from catkinslip.throttling.signs import AnswerKind, RateSign
@@ -68,7 +68,7 @@
             # The second is a send of the same request on another connection.
             sent += self.gates.may_send(self.load, permits, now)
             sent += self.gates.may_send(self.load, permits, now)
-            give_back(permits)
+            release_permits(permits)
         return sent
 
 
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -98,11 +98,11 @@
         permits = [own.reserve(server, NOW) for _ in range(4)]
         self.assertEqual([permit is None for permit in permits], [False] * 3 + [True])
         self.assertEqual(own.closed(NOW), ['i-1'])
-        permits[0].give_back()
+        permits[0].release()
         self.assertEqual(own.closed(NOW), [])
         # A connection was waited for: the second counts from the first byte.
         self.assertTrue(own.may_send(server, permits[1], NOW + 5))
-        permits[1].give_back()
+        permits[1].release()
         self.assertTrue(own.may_send(server, permits[2], NOW + 5))
         self.assertTrue(own.may_send(server, None, NOW + 5))
         self.assertFalse(own.may_send(server, None, NOW + 5.5))
