--- a/benchmarks/overload_instances.py
+++ b/benchmarks/overload_instances.py
@@ -34,7 +34,7 @@
     ResultKind,
 )
 from catkinslip.routing.router import ServiceRouter
-from catkinslip.routing.words import ServerWords
+from catkinslip.routing.signals import ServerSignals
 from catkinslip.store.budget import TokenBucket
 from catkinslip.throttling.book import NamedRate
 from catkinslip.throttling.messages import ToldRate
@@ -270,7 +270,7 @@
             CLIENT_SECONDS, self.world.refused, (call.request, retry_after)
         )
 
-    def answered(self, told: tuple[Run, ResultKind, LoadReport, ServerWords]) -> None:
+    def answered(self, told: tuple[Run, ResultKind, LoadReport, ServerSignals]) -> None:
         """Take a server's answer."""
         run, kind, report, words = told
         call, now = run.call, self.world.now
@@ -285,7 +285,7 @@
         if load is not None:
             answer_kind = KIND_BY_RESULT[kind]
             words = self.world.heeded(words)
-            desk.router.take_words(load, words, answer_kind, run.sent_at, now)
+            desk.router.apply_signals(load, words, answer_kind, run.sent_at, now)
         run.is_gone = True
         if kind is ResultKind.SHED:
             call.run = None
--- a/benchmarks/overload_servers.py
+++ b/benchmarks/overload_servers.py
@@ -6,9 +6,9 @@
 from attrs import Factory, define
 
 from benchmarks.overload_load import ServerGroup
-from catkinslip.resting.signs import RestSign
+from catkinslip.resting.signals import RestSignal
 from catkinslip.routing.base import LoadReport, ResultKind
-from catkinslip.routing.words import ServerWords
+from catkinslip.routing.signals import ServerSignals
 from catkinslip.throttling.signs import RateSign
 
 if TYPE_CHECKING:
@@ -158,7 +158,7 @@
     def answer(self, run: Run, kind: ResultKind) -> None:
         """Send an answer with a load report."""
         hop = self.world.hop(run.instance.zone, self.zone)
-        rest = RestSign(self.rest if kind is ResultKind.SHED else None)
-        words = ServerWords(RateSign(self.named_rate), rest)
+        rest = RestSignal(self.rest if kind is ResultKind.SHED else None)
+        words = ServerSignals(RateSign(self.named_rate), rest)
         told = (run, kind, self.report(), words)
         self.world.after(hop, run.instance.answered, told)
--- a/benchmarks/overload_world.py
+++ b/benchmarks/overload_world.py
@@ -19,12 +19,12 @@
 from catkinslip.admission.waiting import AdmissionSettings
 from catkinslip.config.documents import Backend, Service
 from catkinslip.health.sharing import FLUSH_SECONDS
-from catkinslip.resting.signs import NO_REST
+from catkinslip.resting.signals import NO_REST
 from catkinslip.routing.base import BackendLoad
 from catkinslip.routing.delay import REPORT_MEMORY_SECONDS, ExpectedDelay
 from catkinslip.routing.router import ServiceRouter
 from catkinslip.routing.sample import SAMPLE_SIZE, Sample
-from catkinslip.routing.words import ServerWords
+from catkinslip.routing.signals import ServerSignals
 from catkinslip.throttling.gate import ThrottleGate
 from catkinslip.throttling.shares import divide_rate
 from catkinslip.throttling.signs import NO_RATE
@@ -125,10 +125,10 @@
             instance.desk_by_service[name] = desk
             self.list_servers(instance, name, group)
 
-    def heeded(self, words: ServerWords) -> ServerWords:
+    def heeded(self, words: ServerSignals) -> ServerSignals:
         """Return what instances heed of what an answer asks for."""
         rate = words.rate if self.mechanisms.throttles else NO_RATE
-        return ServerWords(rate, words.rest if self.mechanisms.rests else NO_REST)
+        return ServerSignals(rate, words.rest if self.mechanisms.rests else NO_REST)
 
     def divide_named(self, load: BackendLoad, per_second: float) -> dict[Sender, float]:
         """Return what each sender may send to a server in need."""
--- a/catkinslip/health/sampler.py
+++ b/catkinslip/health/sampler.py
@@ -101,7 +101,7 @@
     def _ask_doubted(self, router: ServiceRouter) -> None:
         """Ask some of the servers that may have become cold; no call waits for them."""
         doubted = map(router.load_by_id.get, list(router.cold.doubted_at_by_id))
-        usable = [each for each in doubted if router.takes_requests(each)]
+        usable = [each for each in doubted if router.accepts_requests(each)]
         self._ask_beside(router, usable, DOUBTED_AT_ONCE)
 
     def _ask_throttled(self, router: ServiceRouter) -> None:
@@ -110,7 +110,7 @@
         No call waits for them.
         """
         unheard = router.throttle.unheard(self.clock.monotonic())
-        usable = [each for each in unheard if router.takes_requests(each)]
+        usable = [each for each in unheard if router.accepts_requests(each)]
         self._ask_beside(router, usable, THROTTLED_AT_ONCE)
 
     def _ask_beside(
@@ -303,7 +303,7 @@
         answered_at = (sent_at + now) / 2
         if answer.report is not None:
             router.learned(load.backend_id, answer.report, answered_at, picks_before)
-        router.take_words(load, answer.words, AnswerKind.PROBE, sent_at, now)
+        router.apply_signals(load, answer.words, AnswerKind.PROBE, sent_at, now)
         if answer.words.is_leaving:
             self.health.leaves(load.backend_id)
         if answer.cold_seconds is None:
--- a/catkinslip/limits/service.py
+++ b/catkinslip/limits/service.py
@@ -113,7 +113,7 @@
     def _resize(
         self, service: str, limits: ServiceLimits, router: ServiceRouter, now: float
     ) -> None:
-        usable = [each for each in router.loads if router.carries(each, now)]
+        usable = [each for each in router.loads if router.takes_full_share(each, now)]
         slots = usable[0].slots if usable else 1
         instances = self.count_instances(service)
         limits.load.resize(slots, len(usable), instances, self.settings.queue_depth)
--- a/catkinslip/metrics/health.py
+++ b/catkinslip/metrics/health.py
@@ -54,8 +54,8 @@
         count_by_event = Counter()
         routers = self.health.directory.router_by_service
         for service, router in sorted(routers.items()):
-            resting.add(len(router.rest.book.resting(now)), service)
-            count_by_event.update(router.rest.book.events)
+            resting.add(len(router.rest.registry.resting(now)), service)
+            count_by_event.update(router.rest.registry.events)
         for event, count in sorted(count_by_event.items()):
             events.add(count, event)
         yield resting
--- a/catkinslip/platform/dialect.py
+++ b/catkinslip/platform/dialect.py
@@ -14,9 +14,9 @@
 from catkinslip.proxy.head_checks import malformed
 from catkinslip.proxy.headers import Header, RequestHead
 from catkinslip.proxy.outcomes import NotRun, Reason, Unknown
-from catkinslip.resting.signs import MALFORMED_REST, NO_REST, RestSign
+from catkinslip.resting.signals import MALFORMED_REST, NO_REST, RestSignal
 from catkinslip.routing.base import LoadReport
-from catkinslip.routing.words import ServerWords
+from catkinslip.routing.signals import ServerSignals
 from catkinslip.throttling.signs import MALFORMED_RATE, NO_RATE, RateSign
 
 MILLISECONDS = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?\Z')
@@ -111,10 +111,10 @@
         value = names.find(headers, wire.SERVER_LOAD)
         return None if value is None else parse_load(value)
 
-    def read_words(self, status: int, headers: Sequence[Header]) -> ServerWords:
+    def read_words(self, status: int, headers: Sequence[Header]) -> ServerSignals:
         """Return what an answer asks for in the name of its server."""
         leaving = names.find(headers, wire.LEAVING)
-        return ServerWords(
+        return ServerSignals(
             read_rate(headers),
             read_rest(status, headers),
             is_leaving=leaving is not None and leaving.strip() == SAYS_LEAVING,
@@ -199,7 +199,7 @@
     return RateSign(min(map(float, values)))
 
 
-def read_rest(status: int, headers: Sequence[Header]) -> RestSign:
+def read_rest(status: int, headers: Sequence[Header]) -> RestSignal:
     """Return what an answer says of the rest that its server wants.
 
     Of several times the longest counts; one that cannot be read spoils all.
@@ -211,7 +211,7 @@
         return NO_REST
     if any(REST_FORM.match(value) is None for value in values):
         return MALFORMED_REST
-    return RestSign(min(max(map(float, values)), MOST_REST_SECONDS))
+    return RestSignal(min(max(map(float, values)), MOST_REST_SECONDS))
 
 
 def find_refusal(status: int, headers: list[Header]) -> Reason | None:
--- a/catkinslip/proxy/dialect.py
+++ b/catkinslip/proxy/dialect.py
@@ -10,7 +10,7 @@
 from catkinslip.proxy.headers import Header, RequestHead
 from catkinslip.proxy.outcomes import NotRun, Reason, Unknown
 from catkinslip.routing.base import LoadReport
-from catkinslip.routing.words import NO_WORDS, ServerWords
+from catkinslip.routing.signals import NO_SIGNALS, ServerSignals
 
 if TYPE_CHECKING:
     from catkinslip.proxy.calls import Call
@@ -36,7 +36,7 @@
     backend_id: str | None = None
     #: Seconds that the server stays cold; None where it told that unreadably.
     cold_seconds: float | None = 0.0
-    words: ServerWords = NO_WORDS
+    words: ServerSignals = NO_SIGNALS
 
 
 class Dialect(ABC):
@@ -66,9 +66,9 @@
     def read_report(self, headers: Sequence[Header]) -> LoadReport | None:
         """Return the load report of an answer."""
 
-    def read_words(self, status: int, headers: Sequence[Header]) -> ServerWords:
+    def read_words(self, status: int, headers: Sequence[Header]) -> ServerSignals:
         """Return what an answer asks for in the name of its server."""
-        return NO_WORDS
+        return NO_SIGNALS
 
     @abstractmethod
     def answer_headers(self, call: 'Call', headers: list[Header]) -> list[Header]:
--- a/catkinslip/proxy/exchange.py
+++ b/catkinslip/proxy/exchange.py
@@ -17,7 +17,7 @@
 from catkinslip.proxy.pool import MAX_IDLE_SECONDS, BackendPool
 from catkinslip.proxy.wire import ConnectionErrors, Wire
 from catkinslip.routing import reports
-from catkinslip.routing.words import ServerWords
+from catkinslip.routing.signals import ServerSignals
 from catkinslip.throttling.signs import AnswerKind
 
 __all__ = ['AnswerHead', 'Attempt', 'Call']
@@ -40,10 +40,10 @@
     """Take no notice of the head of an answer."""
 
 
-OnWords = Callable[[ServerWords, AnswerKind, float], None]
+OnWords = Callable[[ServerSignals, AnswerKind, float], None]
 
 
-def ignore_words(words: ServerWords, kind: AnswerKind, sent_at: float) -> None:
+def ignore_words(words: ServerSignals, kind: AnswerKind, sent_at: float) -> None:
     """Take no notice of what a server asks for."""
 
 
--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -38,7 +38,7 @@
 from catkinslip.routing.base import BackendLoad, Choice, LoadReport
 from catkinslip.routing.gates import release_permits
 from catkinslip.routing.router import ServiceRouter
-from catkinslip.routing.words import ServerWords
+from catkinslip.routing.signals import ServerSignals
 from catkinslip.throttling.signs import AnswerKind
 
 ANSWER_GRACE_SECONDS = 1.0
@@ -114,7 +114,7 @@
         # Before the request counts as sent, which it is not yet.
         permits = self.router.reserve(choice.backend_id, now)
         load = self.router.started(choice.backend_id, now)
-        narrowed = self.router.narrowed(load, now)
+        narrowed = self.router.describe_restrictions(load, now)
         if narrowed:
             reason = f'{reason} {narrowed}'
         log.info(
@@ -160,13 +160,13 @@
     def _take_words(
         self,
         load: BackendLoad | None,
-        words: ServerWords,
+        words: ServerSignals,
         kind: AnswerKind,
         sent_at: float,
     ) -> None:
         if self.router.is_known(load):
             now = self.clock.monotonic()
-            self.router.take_words(load, words, kind, sent_at, now)
+            self.router.apply_signals(load, words, kind, sent_at, now)
             if words.is_leaving:
                 self.health.leaves(load.backend_id)
 
--- a/catkinslip/resting/book.py
+++ b/catkinslip/resting/registry.py
@@ -10,16 +10,16 @@
 
 from attrs import Factory, define
 
-from catkinslip.resting.signs import RestSign
+from catkinslip.resting.signals import RestSignal
 from catkinslip.routing.base import NEVER, BackendLoad
 from catkinslip.throttling.signs import AnswerKind
 
 #: A rest that has been over for so long is forgotten, whether or not it was tried.
-KEPT_SECONDS = 60.0
-MOST_MALFORMED = 1000
+EXPIRED_REST_KEPT_SECONDS = 60.0
+MAX_MALFORMED_IDS = 1000
 
 #: A probe tells nothing: servers that turn all away answer it as well.
-TAKEN = frozenset({AnswerKind.ANSWER, AnswerKind.FAILURE})
+ACCEPTED_KINDS = frozenset({AnswerKind.ANSWER, AnswerKind.FAILURE})
 
 log = logging.getLogger('resting')
 
@@ -33,17 +33,17 @@
     until: float = NEVER
 
     @property
-    def is_being_tried(self) -> bool:
+    def is_on_trial(self) -> bool:
         """Tell whether a request is there that was sent after the rest."""
         return self.load.in_flight > 0 and self.load.picked_at >= self.until
 
-    def left(self, now: float) -> float:
+    def remaining(self, now: float) -> float:
         """Return the seconds that the rest still lasts."""
         return max(0.0, self.until - now)
 
 
 @define
-class RestBook:
+class RestRegistry:
     """Keep what the servers of one service asked for."""
 
     rest_by_id: dict[str, Rest] = Factory(dict)
@@ -63,23 +63,23 @@
         """Return the rests that last."""
         return [each for each in self.rest_by_id.values() if now < each.until]
 
-    def told(
+    def apply_signal(
         self,
         load: BackendLoad,
-        sign: RestSign,
+        signal: RestSignal,
         kind: AnswerKind,
         sent_at: float,
         now: float,
     ) -> None:
         """Take what an answer asks for to a request that was sent at a time."""
-        if sign.is_malformed:
-            self._take_malformed(load)
-        elif sign.seconds:
-            self._take_asked(load, sign.seconds, kind, now)
-        elif kind in TAKEN:
-            self._take_taken(load, sent_at, now)
-
-    def take_back(self, load: BackendLoad) -> None:
+        if signal.is_malformed:
+            self._record_malformed(load)
+        elif signal.seconds:
+            self._extend_rest(load, signal.seconds, kind, now)
+        elif kind in ACCEPTED_KINDS:
+            self._end_trial(load, sent_at, now)
+
+    def restore(self, load: BackendLoad) -> None:
         """Take a server that is new here; one that was here before may rest."""
         rest = self.rest_by_id.pop(load.backend_id, None)
         if rest is not None and rest.load.incarnation == load.incarnation:
@@ -89,22 +89,22 @@
     def forget_old(self, now: float) -> None:
         """Forget rests that were over long ago."""
         for backend_id, rest in list(self.rest_by_id.items()):
-            if now - rest.until > KEPT_SECONDS:
+            if now - rest.until > EXPIRED_REST_KEPT_SECONDS:
                 del self.rest_by_id[backend_id]
 
-    def _take_malformed(self, load: BackendLoad) -> None:
+    def _record_malformed(self, load: BackendLoad) -> None:
         self.events['malformed'] += 1
-        if len(self.malformed_ids) >= MOST_MALFORMED:
+        if len(self.malformed_ids) >= MAX_MALFORMED_IDS:
             self.malformed_ids.clear()
         if load.backend_id not in self.malformed_ids:
             self.malformed_ids.add(load.backend_id)
             log.warning('resting: unreadable time of rest. backend=%s', load.backend_id)
 
-    def _take_asked(
+    def _extend_rest(
         self, load: BackendLoad, seconds: float, kind: AnswerKind, now: float
     ) -> None:
         self.forget_old(now)
-        rest = self._known(load)
+        rest = self._find_or_add(load)
         if now >= rest.until:
             rest.began_at = now
         rest.until = max(rest.until, now + seconds)
@@ -113,11 +113,11 @@
             'resting: %s asks for rest. seconds=%g left_s=%.1f by=%s',
             load.backend_id,
             seconds,
-            rest.left(now),
+            rest.remaining(now),
             kind.value,
         )
 
-    def _take_taken(self, load: BackendLoad, sent_at: float, now: float) -> None:
+    def _end_trial(self, load: BackendLoad, sent_at: float, now: float) -> None:
         """Take that a server took a request; after its rest that ends the trial."""
         rest = self.rest_by_id.get(load.backend_id)
         if rest is None or sent_at < rest.until:
@@ -130,5 +130,5 @@
             now - rest.began_at,
         )
 
-    def _known(self, load: BackendLoad) -> Rest:
+    def _find_or_add(self, load: BackendLoad) -> Rest:
         return self.rest_by_id.setdefault(load.backend_id, Rest(load))
--- a/catkinslip/resting/signs.py
+++ b/catkinslip/resting/signals.py
@@ -4,12 +4,12 @@
 
 
 @frozen
-class RestSign:
+class RestSignal:
     """What one answer says: seconds without a request from here, or nothing."""
 
     seconds: float | None = None
     is_malformed: bool = False
 
 
-NO_REST = RestSign()
-MALFORMED_REST = RestSign(is_malformed=True)
+NO_REST = RestSignal()
+MALFORMED_REST = RestSignal(is_malformed=True)
--- a/catkinslip/routing/delay.py
+++ b/catkinslip/routing/delay.py
@@ -31,7 +31,11 @@
     count_failure,
     shed_share,
 )
-from catkinslip.routing.learning import SPEED_FORGET_SECONDS, InFlightMean, SpeedMean
+from catkinslip.routing.report_means import (
+    SPEED_FORGET_SECONDS,
+    InFlightMean,
+    SpeedMean,
+)
 
 ZONE_HOP_SECONDS = 0.001
 REPORT_MEMORY_SECONDS = 0.03
--- a/catkinslip/routing/gates.py
+++ b/catkinslip/routing/gates.py
@@ -93,11 +93,11 @@
     def forget(self, load: BackendLoad) -> None:
         """Forget a server that is gone."""
 
-    def take_back(self, load: BackendLoad) -> None:
+    def restore(self, load: BackendLoad) -> None:
         """Take a server that is new here; one that was here before may be guarded."""
         return
 
-    def carries(self, load: BackendLoad, now: float) -> bool:
+    def takes_full_share(self, load: BackendLoad, now: float) -> bool:
         """Tell whether a server takes its usual share of the load."""
         return True
 
@@ -166,14 +166,14 @@
         for gate in self.gates:
             gate.forget(load)
 
-    def take_back(self, load: BackendLoad) -> None:
+    def restore(self, load: BackendLoad) -> None:
         """Take a server that is new here; one that was here before may be guarded."""
         for gate in self.gates:
-            gate.take_back(load)
+            gate.restore(load)
 
-    def carries(self, load: BackendLoad, now: float) -> bool:
+    def takes_full_share(self, load: BackendLoad, now: float) -> bool:
         """Tell whether a server takes its usual share of the load."""
-        return all(gate.carries(load, now) for gate in self.gates)
+        return all(gate.takes_full_share(load, now) for gate in self.gates)
 
     def may_probe(self, load: BackendLoad, now: float) -> bool:
         """Tell whether a server may be probed."""
--- a/catkinslip/routing/router.py
+++ b/catkinslip/routing/router.py
@@ -19,7 +19,7 @@
 from catkinslip.routing.evidence import pause
 from catkinslip.routing.gates import Closure, Gates, Permits
 from catkinslip.routing.sample import Sample
-from catkinslip.routing.words import ServerWords
+from catkinslip.routing.signals import ServerSignals
 from catkinslip.throttling.gate import ThrottleGate
 from catkinslip.throttling.signs import AnswerKind
 from catkinslip.warmup.gate import ColdGate
@@ -94,7 +94,7 @@
                     incarnation=backend.incarnation,
                 )
                 self.load_by_id[backend_id] = load
-                self.gates.take_back(load)
+                self.gates.restore(load)
             load.slots = backend.slots or service.slots
             load.draining = backend.draining
             self._take_cold(load, backend, now, is_new=is_new)
@@ -138,7 +138,7 @@
         """Tell whether there are servers, but all of them in closed zones."""
         return bool(self.load_by_id) and not self.loads
 
-    def takes_requests(self, load: BackendLoad | None) -> bool:
+    def accepts_requests(self, load: BackendLoad | None) -> bool:
         """Tell whether a chosen server may still be sent a request."""
         return (
             self.is_known(load)
@@ -157,7 +157,7 @@
             choice = self.policy.choose(sampled, now)
             if choice.delay <= GOOD_DELAY:
                 return choice
-        candidates = takes_work(self.loads, excluded)
+        candidates = available_servers(self.loads, excluded)
         return self.policy.choose(candidates, now) if candidates else None
 
     def rank(self, now: float, excluded: Collection[str] = ()) -> list[Estimate]:
@@ -174,7 +174,7 @@
             ranked = self.policy.rank(sampled, now)
             if ranked[0].delay <= GOOD_DELAY:
                 return ranked
-        candidates = takes_work(self.loads, excluded)
+        candidates = available_servers(self.loads, excluded)
         return self.policy.rank(candidates, now) if candidates else []
 
     def choice_of(self, place: Estimate, now: float) -> Choice:
@@ -192,7 +192,7 @@
         """Return why no server is left, by the first gate that closed some."""
         for gate in self.gates.gates:
             loads = map(self.load_by_id.get, gate.closed(now))
-            closed = [load for load in loads if self.takes_requests(load)]
+            closed = [load for load in loads if self.accepts_requests(load)]
             if closed:
                 wait_seconds = min(gate.wait_seconds(load, now) for load in closed)
                 return Closure(gate.reason, len(closed), wait_seconds)
@@ -200,15 +200,15 @@
 
     def may_send(self, load: BackendLoad | None, permits: Permits, now: float) -> bool:
         """Tell whether the first byte may be sent now, and count the request."""
-        return self.takes_requests(load) and self.gates.may_send(load, permits, now)
+        return self.accepts_requests(load) and self.gates.may_send(load, permits, now)
 
     def may_probe(self, load: BackendLoad, now: float) -> bool:
         """Tell whether a server may be probed."""
         return self.gates.may_probe(load, now)
 
-    def carries(self, load: BackendLoad, now: float) -> bool:
+    def takes_full_share(self, load: BackendLoad, now: float) -> bool:
         """Tell whether a server of an open zone takes its usual share of the load."""
-        return not load.draining and self.gates.carries(load, now)
+        return not load.draining and self.gates.takes_full_share(load, now)
 
     def _due(self, excluded: Collection[str], now: float) -> list[Estimate]:
         """Return servers whose need may be over and that are likely idle, best first.
@@ -219,7 +219,7 @@
         if not due:
             return []
         loads = [self.load_by_id[backend_id] for backend_id in due]
-        usable = takes_work(list(filter(self.takes_requests, loads)), excluded)
+        usable = available_servers(list(filter(self.accepts_requests, loads)), excluded)
         idle = [each for each in usable if is_likely_idle(each, now)]
         ranked = self.policy.rank(idle, now) if idle else []
         return [each._replace(delay=min(each.delay, GOOD_DELAY)) for each in ranked]
@@ -228,7 +228,7 @@
         """Return the servers of the sample; none where it would hold all of them."""
         if len(self.loads) <= self.sample.size:
             return []
-        return takes_work(self.sample.take(self.loads, now), excluded)
+        return available_servers(self.sample.take(self.loads, now), excluded)
 
     def reserve(self, backend_id: str, now: float) -> Permits:
         """Return leave for one request to a chosen server."""
@@ -300,28 +300,28 @@
             load.is_silent = False
             self.cold.doubt([load], now, 'it was silent')
 
-    def take_words(
+    def apply_signals(
         self,
         load: BackendLoad,
-        words: ServerWords,
+        signals: ServerSignals,
         kind: AnswerKind,
         sent_at: float,
         now: float,
     ) -> None:
         """Take what an answer asks for to a request that was sent at a time."""
-        self.throttle.book.told(load, words.rate, kind, sent_at, now)
-        self.rest.book.told(load, words.rest, kind, sent_at, now)
+        self.throttle.book.told(load, signals.rate, kind, sent_at, now)
+        self.rest.registry.apply_signal(load, signals.rest, kind, sent_at, now)
 
-    def narrowed(self, load: BackendLoad | None, now: float) -> str:
+    def describe_restrictions(self, load: BackendLoad | None, now: float) -> str:
         """Return which words of a server narrow what it may get, for the log."""
         rate = self.throttle.book.find(load)
-        rest = self.rest.book.find(load, now)
-        words = []
+        rest = self.rest.registry.find(load, now)
+        texts = []
         if rate is not None:
-            words.append(f'rate={rate.per_second:g}')
+            texts.append(f'rate={rate.per_second:g}')
         if rest is not None:
-            words.append(f'rest_s={rest.left(now):.1f}')
-        return ' '.join(words)
+            texts.append(f'rest_s={rest.remaining(now):.1f}')
+        return ' '.join(texts)
 
     def doubt(self, backend_id: str, now: float) -> None:
         """Take that a server, which refused connections, may start anew."""
@@ -384,7 +384,7 @@
     return not (is_avoided or is_full or load.in_flight)
 
 
-def takes_work(
+def available_servers(
     loads: Sequence[BackendLoad], excluded: Collection[str]
 ) -> list[BackendLoad]:
     """Return the backend servers that take new work."""
--- a/catkinslip/routing/words.py
+++ b/catkinslip/routing/signals.py
@@ -2,18 +2,18 @@
 
 from attrs import frozen
 
-from catkinslip.resting.signs import NO_REST, RestSign
+from catkinslip.resting.signals import NO_REST, RestSignal
 from catkinslip.throttling.signs import NO_RATE, RateSign
 
 
 @frozen
-class ServerWords:
+class ServerSignals:
     """What one answer asks for in the name of its server."""
 
     rate: RateSign = NO_RATE
-    rest: RestSign = NO_REST
+    rest: RestSignal = NO_REST
     #: Whether it leaves and takes no new requests.
     is_leaving: bool = False
 
 
-NO_WORDS = ServerWords()
+NO_SIGNALS = ServerSignals()
--- a/catkinslip/throttling/gate.py
+++ b/catkinslip/throttling/gate.py
@@ -94,11 +94,11 @@
         """Tell whether this instance may send another request."""
         return self._wait_seconds(server, self.place(), now) == 0
 
-    def carries(self, load: BackendLoad, now: float) -> bool:
+    def takes_full_share(self, load: BackendLoad, now: float) -> bool:
         """Tell whether a server takes its usual share of the load."""
         return self.book.find(load) is None
 
-    def take_back(self, load: BackendLoad) -> None:
+    def restore(self, load: BackendLoad) -> None:
         """Take a server that is new here; one that was here before may be in need."""
         self.server_by_id.pop(load.backend_id, None)
         self.book.take_back(load)
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -112,11 +112,11 @@
 
     def test_server_chosen_before_is_not_sent_to(self):
         load = self.router.load_by_id['i-1']
-        self.assertTrue(self.router.takes_requests(load))
+        self.assertTrue(self.router.accepts_requests(load))
         self.assembler.evacuate({'zone-a'})
-        self.assertFalse(self.router.takes_requests(load))
+        self.assertFalse(self.router.accepts_requests(load))
         self.assembler.evacuate(set())
-        self.assertTrue(self.router.takes_requests(load))
+        self.assertTrue(self.router.accepts_requests(load))
 
     def test_what_comes_in_the_meantime_stays_out_of_use(self):
         self.assembler.evacuate({'zone-a'})
--- a/tests/test_resting_path.py
+++ b/tests/test_resting_path.py
@@ -16,13 +16,13 @@
     Service,
 )
 from catkinslip.entry import metrics_page
-from catkinslip.resting.signs import MALFORMED_REST, NO_REST, RestSign
+from catkinslip.resting.signals import MALFORMED_REST, NO_REST, RestSignal
 from catkinslip.routing.base import AttemptResult, BackendLoad, ResultKind
 from catkinslip.routing.directory import Directory
 from catkinslip.routing.gates import Closure, RestrictionReason
 from catkinslip.routing.policies import LeastInFlight
 from catkinslip.routing.router import ServiceRouter
-from catkinslip.routing.words import ServerWords
+from catkinslip.routing.signals import ServerSignals
 from catkinslip.throttling.signs import AnswerKind
 from standins.workers import Fault
 from tests.small_platform import SmallPlatform, on_platform, wait_for
@@ -50,16 +50,16 @@
 
 def ask_for_rest(router: ServiceRouter, server_id: str, now: float = NOW) -> None:
     """Take a refusal that asks for rest."""
-    words = ServerWords(rest=RestSign(REST_SECONDS))
+    signals = ServerSignals(rest=RestSignal(REST_SECONDS))
     load = router.load_by_id[server_id]
-    router.take_words(load, words, AnswerKind.REFUSAL, now, now)
+    router.apply_signals(load, signals, AnswerKind.REFUSAL, now, now)
 
 
 def take(router: ServiceRouter, server_id: str, sent_at: float, now: float) -> None:
     """Take a success that asks for nothing."""
-    words = ServerWords(rest=NO_REST)
+    signals = ServerSignals(rest=NO_REST)
     load = router.load_by_id[server_id]
-    router.take_words(load, words, AnswerKind.ANSWER, sent_at, now)
+    router.apply_signals(load, signals, AnswerKind.ANSWER, sent_at, now)
 
 
 async def resting(platform: SmallPlatform, *server_ids: str) -> None:
@@ -69,7 +69,7 @@
     entry = await platform.add_entry()
     await wait_for(lambda: len(entry.assembler.current_backends) == len(server_ids))
     router = entry.sampler.health.directory.router_by_service['one']
-    while len(router.rest.book.resting(entry.sampler.clock.monotonic())) < len(
+    while len(router.rest.registry.resting(entry.sampler.clock.monotonic())) < len(
         server_ids
     ):
         await platform.ask('POST', '/p/x', request_id='first')
@@ -174,8 +174,8 @@
         router = router_of('a', 'b')
         load = router.load_by_id['a']
         ask_for_rest(router, 'a')
-        self.assertFalse(router.carries(load, NOW + 1))
-        self.assertTrue(router.carries(load, NOW + REST_SECONDS))
+        self.assertFalse(router.takes_full_share(load, NOW + 1))
+        self.assertTrue(router.takes_full_share(load, NOW + REST_SECONDS))
 
 
 class EndTest(unittest.TestCase):
@@ -241,8 +241,8 @@
     def test_it_neither_rests_a_server_nor_puts_it_on_trial(self):
         router = router_of('a')
         load = router.load_by_id['a']
-        words = ServerWords(rest=MALFORMED_REST)
-        router.take_words(load, words, AnswerKind.REFUSAL, NOW, NOW)
+        signals = ServerSignals(rest=MALFORMED_REST)
+        router.apply_signals(load, signals, AnswerKind.REFUSAL, NOW, NOW)
         router.started('a', NOW + 1)
         self.assertEqual(router.choose(NOW + 1).backend_id, 'a')
 
@@ -278,7 +278,7 @@
         ask_for_rest(router, 'a')
         router.update(Service(), {}, NOW)
         router.update(Service(), servers('a'), NOW)
-        rest = router.rest.book.rest_by_id['a']
+        rest = router.rest.registry.rest_by_id['a']
         self.assertIs(rest.load, router.load_by_id['a'])
         self.assertIsInstance(rest.load, BackendLoad)
 
