--- a/benchmarks/overload_world.py
+++ b/benchmarks/overload_world.py
@@ -119,7 +119,7 @@
             throttle.book.on_seen = partial(instance.tell_rate, name)
             router = ServiceRouter(policy, sample=sample, throttle=throttle)
             desk = Desk(router)
-            router.on_news = lambda load, desk=desk: desk.news.__setitem__(
+            router.on_load_change = lambda load, desk=desk: desk.news.__setitem__(
                 load.backend_id, load
             )
             instance.desk_by_service[name] = desk
--- a/catkinslip/routing/directory.py
+++ b/catkinslip/routing/directory.py
@@ -13,7 +13,7 @@
 from catkinslip.models import Address
 from catkinslip.resting.gate import RestGate
 from catkinslip.routing.base import BackendLoad, Policy
-from catkinslip.routing.router import ServiceRouter, ignore_news
+from catkinslip.routing.router import ServiceRouter, ignore_load_change
 from catkinslip.routing.sample import Sample
 from catkinslip.throttling.book import OnSeen, ignore_seen
 from catkinslip.throttling.gate import ThrottleGate
@@ -39,7 +39,7 @@
     document: Document = Factory(Document)
     #: Where each service's choice among many servers begins.
     make_sample: Callable[[], Sample] = lambda: Sample(Random())
-    on_news: Callable[[BackendLoad], None] = ignore_news
+    on_load_change: Callable[[BackendLoad], None] = ignore_load_change
     #: Makes what keeps requests from the cold servers of a service.
     make_gate: Callable[[], ColdGate] = ColdGate
     #: Learns what answers say of the rates that servers name.
@@ -97,7 +97,7 @@
             router = ServiceRouter(
                 self.make_policy(),
                 sample=self.make_sample(),
-                on_news=self.on_news,
+                on_load_change=self.on_load_change,
                 closed_zones=self.closed_zones,
                 cold=self.make_gate(),
                 throttle=throttle,
--- a/catkinslip/routing/router.py
+++ b/catkinslip/routing/router.py
@@ -33,7 +33,7 @@
 FULL_SECONDS = 0.5
 
 
-def ignore_news(load: BackendLoad) -> None:
+def ignore_load_change(load: BackendLoad) -> None:
     """Take no notice of a change."""
 
 
@@ -56,7 +56,7 @@
         lambda self: Gates((self.throttle, self.cold, self.rest)), takes_self=True
     )
     #: Learns of each server whose load or own requests changed.
-    on_news: Callable[[BackendLoad], None] = ignore_news
+    on_load_change: Callable[[BackendLoad], None] = ignore_load_change
     #: What `outside` returned since the servers changed last; a few sets of zones.
     outside_by_zones: dict[frozenset[str], frozenset[str]] = Factory(dict)
     #: Availability zones whose servers get nothing new.
@@ -247,7 +247,7 @@
         load.picked_at = now
         load.note_sent(now)
         self.policy.started(load, now)
-        self.on_news(load)
+        self.on_load_change(load)
         return load
 
     def is_known(self, load: BackendLoad | None) -> bool:
@@ -268,7 +268,7 @@
             load.report = result.report
             load.reported_at = now
             load.picks_since_report = 0
-            self.on_news(load)
+            self.on_load_change(load)
 
     def learned(
         self, backend_id: str, report: LoadReport, at: float, picks_before: int = 0
@@ -278,7 +278,7 @@
         Only the own picks known to be in the report are taken off their count.
         """
         if self.heard(backend_id, report, at, picks_before):
-            self.on_news(self.load_by_id[backend_id])
+            self.on_load_change(self.load_by_id[backend_id])
 
     def heard(
         self, backend_id: str, report: LoadReport, at: float, picks_before: int
@@ -345,7 +345,7 @@
         """Let others know of a server that does not answer."""
         load = self.load_by_id.get(backend_id)
         if load is not None and load.is_silent:
-            self.on_news(load)
+            self.on_load_change(load)
 
     def heard_silence(self, backend_id: str, now: float) -> None:
         """Take what another instance tells of a server that nobody here heard from."""
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -216,7 +216,7 @@
         directory,
         clock,
     )
-    directory.on_news = sharer.note
+    directory.on_load_change = sharer.note
     crashes = make_follower('crashes', outside.crashes)
     guard = make_guard(clock, outside.crash_store)
     crashes.restore_listeners.append(guard.book.lost_by_store)
--- a/tests/test_health_sharing.py
+++ b/tests/test_health_sharing.py
@@ -32,7 +32,7 @@
             self.directory,
             self.clock,
         )
-        self.directory.on_news = self.sharer.note
+        self.directory.on_load_change = self.sharer.note
         plain = document_plain(SERVERS)
         document = converter.structure(plain, Document)
         self.directory.update(AcceptedConfig(document=document))
