--- a/benchmarks/overload_instances.py
+++ b/benchmarks/overload_instances.py
@@ -167,7 +167,7 @@
         """Take the answer to a probe."""
         desk, load, report, at, picks = told
         if load.backend_id in desk.router.load_by_id:
-            desk.router.learned(load.backend_id, report, at, picks)
+            desk.router.apply_peer_report(load.backend_id, report, at, picks)
 
     def silent(self, load: BackendLoad) -> None:
         """Take a probe that was not answered."""
@@ -377,7 +377,7 @@
             return
         in_report = load.picked_at < at - ON_THE_WAY_SECONDS
         picks = load.picks_since_report if in_report else 0
-        router.heard(backend_id, report, at, picks)
+        router.record_report(backend_id, report, at, picks)
 
     def stop(self) -> None:
         """End without a word: connections break."""
--- a/catkinslip/health/sampler.py
+++ b/catkinslip/health/sampler.py
@@ -175,7 +175,7 @@
         # Where no server answers, the fault may lie here.
         if any(probe.is_answered for probe in asked):
             for probe in asked:
-                router.tell_silence(probe.load.backend_id)
+                router.publish_silence(probe.load.backend_id)
 
     def _start(self, router: ServiceRouter, load: BackendLoad) -> Probe:
         probe = Probe(load)
@@ -190,7 +190,7 @@
             return
         if not probe.load.is_silent:
             log.info('health: no answer to a probe. backend=%s', backend_id)
-        router.unanswered(backend_id)
+        router.mark_silent(backend_id)
 
     def _rate(self) -> float:
         """Return the probes of one server per second that are this instance's own."""
@@ -302,7 +302,7 @@
         now = self.clock.monotonic()
         answered_at = (sent_at + now) / 2
         if answer.report is not None:
-            router.learned(load.backend_id, answer.report, answered_at, picks_before)
+            router.apply_peer_report(load.backend_id, answer.report, answered_at, picks_before)
         router.apply_signals(load, answer.words, AnswerKind.PROBE, sent_at, now)
         if answer.words.is_leaving:
             self.health.leaves(load.backend_id)
@@ -314,5 +314,5 @@
             cold_seconds = answer.cold_seconds + way_back
             router.told_cold(load.backend_id, cold_seconds, answered_at)
         if not answer.is_well:
-            router.unwell(load.backend_id, now)
+            router.mark_unhealthy(load.backend_id, now)
         return True
--- a/catkinslip/health/sharing.py
+++ b/catkinslip/health/sharing.py
@@ -155,7 +155,7 @@
     def _learn_silence(self, backend_id: str, start: int, now: float) -> None:
         router = self.directory.find_started(backend_id, start)
         if router is not None:
-            router.heard_silence(backend_id, now)
+            router.apply_peer_silence(backend_id, now)
 
     def _learn(
         self,
@@ -171,7 +171,7 @@
         load = router.load_by_id[backend_id]
         in_report = load.picked_at < at - ON_THE_WAY_SECONDS
         picks_before = load.picks_since_report if in_report else 0
-        router.heard(backend_id, report, at, picks_before)
+        router.record_report(backend_id, report, at, picks_before)
         now = self.clock.monotonic()
         router.cold.begin(load, cold_seconds, now, 'another instance tells')
         self.taken += 1
--- a/catkinslip/health/tracker.py
+++ b/catkinslip/health/tracker.py
@@ -182,7 +182,7 @@
         """Give a router a report that a peer or a probe observed."""
         router = self.router(key)
         if router is not None and self.reports.learn(key, known):
-            router.learned(
+            router.apply_peer_report(
                 key.backend_id, known.report, known.observed_at, picks_before
             )
 
--- a/catkinslip/routing/router.py
+++ b/catkinslip/routing/router.py
@@ -24,10 +24,10 @@
 from catkinslip.throttling.signs import AnswerKind
 from catkinslip.warmup.gate import ColdGate
 
-UNWELL_PAUSE_SECONDS = 0.2
-LONGEST_UNWELL_PAUSE_SECONDS = 2.0
+UNHEALTHY_PAUSE_SECONDS = 0.2
+LONGEST_UNHEALTHY_PAUSE_SECONDS = 2.0
 #: Another instance's word counts against a server that was not heard from so long.
-HEARSAY_SECONDS = 0.2
+PEER_SILENCE_MIN_AGE_SECONDS = 0.2
 
 #: A server that gets next to nothing is full no longer than a request takes.
 FULL_SECONDS = 0.5
@@ -270,17 +270,17 @@
             load.picks_since_report = 0
             self.on_load_change(load)
 
-    def learned(
+    def apply_peer_report(
         self, backend_id: str, report: LoadReport, at: float, picks_before: int = 0
     ) -> None:
         """Take a report that a peer or a probe observed at an earlier time.
 
         Only the own picks known to be in the report are taken off their count.
         """
-        if self.heard(backend_id, report, at, picks_before):
+        if self.record_report(backend_id, report, at, picks_before):
             self.on_load_change(self.load_by_id[backend_id])
 
-    def heard(
+    def record_report(
         self, backend_id: str, report: LoadReport, at: float, picks_before: int
     ) -> bool:
         """Take a report as `learned` does, but tell nobody; tell whether it is new."""
@@ -335,29 +335,29 @@
         if load is not None:
             self.cold.told(load, seconds, at)
 
-    def unanswered(self, backend_id: str) -> None:
+    def mark_silent(self, backend_id: str) -> None:
         """Avoid a server that did not answer a probe in time, until it answers."""
         load = self.load_by_id.get(backend_id)
         if load is not None:
             load.is_silent = load.is_irregular = True
 
-    def tell_silence(self, backend_id: str) -> None:
+    def publish_silence(self, backend_id: str) -> None:
         """Let others know of a server that does not answer."""
         load = self.load_by_id.get(backend_id)
         if load is not None and load.is_silent:
             self.on_load_change(load)
 
-    def heard_silence(self, backend_id: str, now: float) -> None:
+    def apply_peer_silence(self, backend_id: str, now: float) -> None:
         """Take what another instance tells of a server that nobody here heard from."""
         load = self.load_by_id.get(backend_id)
-        if load is not None and now - load.reported_at > HEARSAY_SECONDS:
-            self.unanswered(backend_id)
+        if load is not None and now - load.reported_at > PEER_SILENCE_MIN_AGE_SECONDS:
+            self.mark_silent(backend_id)
 
-    def unwell(self, backend_id: str, now: float) -> None:
+    def mark_unhealthy(self, backend_id: str, now: float) -> None:
         """Avoid a server that gave no good answer to a probe, for a while."""
         load = self.load_by_id.get(backend_id)
         if load is not None:
-            pause(load, now, UNWELL_PAUSE_SECONDS, LONGEST_UNWELL_PAUSE_SECONDS)
+            pause(load, now, UNHEALTHY_PAUSE_SECONDS, LONGEST_UNHEALTHY_PAUSE_SECONDS)
 
     def is_silent(self, backend_id: str) -> bool:
         """Tell whether a server has not answered since a probe waited in vain."""
--- a/tests/test_health_sharing.py
+++ b/tests/test_health_sharing.py
@@ -13,7 +13,7 @@
 from catkinslip.routing.base import LoadReport
 from catkinslip.routing.delay import PAUSED_DELAY, ExpectedDelay
 from catkinslip.routing.directory import Directory
-from catkinslip.routing.router import HEARSAY_SECONDS, ServiceRouter
+from catkinslip.routing.router import PEER_SILENCE_MIN_AGE_SECONDS, ServiceRouter
 from tests.builders import document_plain
 from tests.small_platform import free_ports, wait_for
 
@@ -68,8 +68,8 @@
     def test_reports_of_all_servers_arrive(self):
         async def check(first, second):
             now = first.clock.monotonic()
-            first.router.learned('limits-1', LoadReport(3, 0.5), now)
-            first.router.learned('limits-2', LoadReport(1, 1.0), now)
+            first.router.apply_peer_report('limits-1', LoadReport(3, 0.5), now)
+            first.router.apply_peer_report('limits-2', LoadReport(1, 1.0), now)
             await wait_for(lambda: second.sharer.taken == 2)
             self.assertEqual(second.load().report, LoadReport(3, 0.5))
             self.assertEqual(second.load('limits-2').report, LoadReport(1, 1.0))
@@ -79,9 +79,9 @@
     def test_older_report_changes_nothing(self):
         async def check(first, second):
             now = first.clock.monotonic()
-            second.router.heard('limits-1', LoadReport(1, 1.0), now + 1, 0)
-            first.router.learned('limits-1', LoadReport(9, 0.1), now)
-            first.router.learned('limits-2', LoadReport(9, 0.1), now)
+            second.router.record_report('limits-1', LoadReport(1, 1.0), now + 1, 0)
+            first.router.apply_peer_report('limits-1', LoadReport(9, 0.1), now)
+            first.router.apply_peer_report('limits-2', LoadReport(9, 0.1), now)
             await wait_for(lambda: second.load('limits-2').report is not None)
             self.assertEqual(second.load().report, LoadReport(1, 1.0))
 
@@ -89,14 +89,14 @@
 
     def test_silent_server_is_avoided_by_both_until_it_answers(self):
         async def check(first, second):
-            first.router.unanswered('limits-1')
-            first.router.tell_silence('limits-1')
+            first.router.mark_silent('limits-1')
+            first.router.publish_silence('limits-1')
             await wait_for(lambda: second.load().is_silent)
             now = second.clock.monotonic()
             worst = second.router.rank(now)[-1]
             self.assertEqual(worst.load.backend_id, 'limits-1')
             self.assertGreater(worst.delay, PAUSED_DELAY)
-            first.router.learned('limits-1', LoadReport(0, 1.0), now)
+            first.router.apply_peer_report('limits-1', LoadReport(0, 1.0), now)
             await wait_for(lambda: not second.load().is_silent)
 
         between_two(check)
@@ -104,17 +104,17 @@
     def test_server_that_was_heard_from_is_not_avoided_on_hearsay(self):
         async def check(first, second):
             now = second.clock.monotonic()
-            second.router.heard('limits-1', LoadReport(0, 1.0), now, 0)
-            second.router.heard_silence('limits-1', now + HEARSAY_SECONDS / 2)
+            second.router.record_report('limits-1', LoadReport(0, 1.0), now, 0)
+            second.router.apply_peer_silence('limits-1', now + PEER_SILENCE_MIN_AGE_SECONDS / 2)
             self.assertFalse(second.load().is_silent)
-            second.router.heard_silence('limits-1', now + HEARSAY_SECONDS * 2)
+            second.router.apply_peer_silence('limits-1', now + PEER_SILENCE_MIN_AGE_SECONDS * 2)
             self.assertTrue(second.load().is_silent)
 
         between_two(check)
 
     def test_hearsay_is_not_told_on(self):
         async def check(first, second):
-            second.router.heard_silence('limits-1', second.clock.monotonic())
+            second.router.apply_peer_silence('limits-1', second.clock.monotonic())
             self.assertIsNone(second.sharer.encode())
 
         between_two(check)
--- a/tests/test_resting_path.py
+++ b/tests/test_resting_path.py
@@ -140,7 +140,7 @@
             await resting(platform, 'i-1')
             entry = platform.entries[0]
             router = entry.sampler.health.directory.router_by_service['one']
-            router.unanswered('i-1')
+            router.mark_silent('i-1')
             before = arrived(platform, 'i-1')
             await trio.sleep(1.2)
             self.assertEqual(arrived(platform, 'i-1'), before)
--- a/tests/test_routing_policies.py
+++ b/tests/test_routing_policies.py
@@ -201,8 +201,8 @@
 
     def test_a_report_from_a_peer_counts(self):
         router = make_router(2)
-        router.learned('limits-0', LoadReport(5, 1.0), 1.0)
-        router.learned('limits-1', LoadReport(1, 1.0), 1.0)
+        router.apply_peer_report('limits-0', LoadReport(5, 1.0), 1.0)
+        router.apply_peer_report('limits-1', LoadReport(1, 1.0), 1.0)
         self.assertEqual(pick(router, 1.001), 'limits-1')
 
     def test_each_named_policy_chooses(self):
--- a/tests/test_routing_restart.py
+++ b/tests/test_routing_restart.py
@@ -58,9 +58,9 @@
     def test_load_speed_silence_and_pauses_end(self):
         now = self.clock.monotonic()
         self.router.started('limits-1', now)
-        self.router.learned('limits-1', FULL, now)
-        self.router.unanswered('limits-1')
-        self.router.unwell('limits-1', now)
+        self.router.apply_peer_report('limits-1', FULL, now)
+        self.router.mark_silent('limits-1')
+        self.router.mark_unhealthy('limits-1', now)
         before = self.router.load_by_id['limits-1']
         self.update(8)
         load = self.router.load_by_id['limits-1']
@@ -98,7 +98,7 @@
         self.assertEqual(load.report, FULL)
 
     def test_datagram_names_the_start(self):
-        self.router.learned('limits-1', FULL, self.clock.monotonic())
+        self.router.apply_peer_report('limits-1', FULL, self.clock.monotonic())
         self.sharer.note(self.router.load_by_id['limits-1'])
         told = orjson.loads(self.sharer.encode())
         self.assertEqual(told['reports'][0][:2], ['limits-1', 7])
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -201,12 +201,12 @@
         self.assertEqual(self.router.choose(NOW + 9.1).backend_id, 'i-1')
 
     def test_silence_that_ends_may_be_a_start(self):
-        self.router.unanswered('i-1')
+        self.router.mark_silent('i-1')
         report = LoadReport(0.0, 1.0)
-        self.router.learned('i-1', report, NOW)
+        self.router.apply_peer_report('i-1', report, NOW)
         self.assertTrue(self.cold())
-        self.router.unanswered('i-1')
-        self.router.learned('i-1', report, NOW + 1)
+        self.router.mark_silent('i-1')
+        self.router.apply_peer_report('i-1', report, NOW + 1)
         self.router.told_cold('i-1', 0.0, NOW + 1)
         self.assertFalse(self.cold(NOW + 1))
 
