--- a/catkinslip/health/sampler.py
+++ b/catkinslip/health/sampler.py
@@ -100,7 +100,7 @@
 
     def _ask_doubted(self, router: ServiceRouter) -> None:
         """Ask some of the servers that may have become cold; no call waits for them."""
-        doubted = map(router.load_by_id.get, list(router.cold.doubted_at_by_id))
+        doubted = map(router.load_by_id.get, list(router.cold.possible_restart_at_by_id))
         usable = [each for each in doubted if router.accepts_requests(each)]
         self._ask_beside(router, usable, DOUBTED_AT_ONCE)
 
@@ -312,7 +312,7 @@
             # The answer may have been long on its way: the bound holds until the end.
             way_back = now - answered_at if answer.cold_seconds > 0 else 0.0
             cold_seconds = answer.cold_seconds + way_back
-            router.told_cold(load.backend_id, cold_seconds, answered_at)
+            router.apply_cold_report(load.backend_id, cold_seconds, answered_at)
         if not answer.is_well:
             router.mark_unhealthy(load.backend_id, now)
         return True
--- a/catkinslip/health/sharing.py
+++ b/catkinslip/health/sharing.py
@@ -97,7 +97,7 @@
                 load.reported_in_flight + load.picks_since_report,
                 load.speed,
                 round((now - load.reported_at) * 1e3),
-                round(max(0.0, load.told_cold_until - now) * 1e3),
+                round(max(0.0, load.reported_cold_until - now) * 1e3),
             ]
             for load in loads
             if load.report is not None and now - load.reported_at < OLDEST_SECONDS
@@ -173,5 +173,5 @@
         picks_before = load.picks_since_report if in_report else 0
         router.record_report(backend_id, report, at, picks_before)
         now = self.clock.monotonic()
-        router.cold.begin(load, cold_seconds, now, 'another instance tells')
+        router.cold.mark_cold(load, cold_seconds, now, 'another instance tells')
         self.taken += 1
--- a/catkinslip/health/tracker.py
+++ b/catkinslip/health/tracker.py
@@ -149,7 +149,7 @@
     def _doubt(self, key: BackendKey, now: float) -> None:
         router = self.router(key)
         if router is not None:
-            router.doubt(key.backend_id, now)
+            router.mark_possibly_restarted(key.backend_id, now)
 
     def choose(self, router: ServiceRouter, tried: Collection[str]) -> Choice | None:
         """Choose a server; one that refuses connections only as a last resort."""
--- a/catkinslip/routing/base.py
+++ b/catkinslip/routing/base.py
@@ -85,7 +85,7 @@
     #: Until when it is taken to be slow after its start.
     cold_until: float = NEVER
     #: The same as it told when it was asked from here.
-    told_cold_until: float = NEVER
+    reported_cold_until: float = NEVER
 
     def note_sent(self, now: float) -> None:
         """Remember that a request is sent to it."""
--- a/catkinslip/routing/directory.py
+++ b/catkinslip/routing/directory.py
@@ -41,7 +41,7 @@
     make_sample: Callable[[], Sample] = lambda: Sample(Random())
     on_load_change: Callable[[BackendLoad], None] = ignore_load_change
     #: Makes what keeps requests from the cold servers of a service.
-    make_gate: Callable[[], ColdGate] = ColdGate
+    make_cold_gate: Callable[[], ColdGate] = ColdGate
     #: Learns what answers say of the rates that servers name.
     on_rate_seen: OnSeen = ignore_seen
     #: Makes what keeps requests from servers of a service that name a rate.
@@ -99,7 +99,7 @@
                 sample=self.make_sample(),
                 on_load_change=self.on_load_change,
                 closed_zones=self.closed_zones,
-                cold=self.make_gate(),
+                cold=self.make_cold_gate(),
                 throttle=throttle,
                 # What servers asked for, also of a service that is back.
                 rest=self.rest_by_service.setdefault(service, RestGate()),
--- a/catkinslip/routing/router.py
+++ b/catkinslip/routing/router.py
@@ -97,23 +97,23 @@
                 self.gates.restore(load)
             load.slots = backend.slots or service.slots
             load.draining = backend.draining
-            self._take_cold(load, backend, now, is_new=is_new)
+            self._apply_cold_entry(load, backend, now, is_new=is_new)
         self._list_loads()
 
-    def _take_cold(
+    def _apply_cold_entry(
         self, load: BackendLoad, backend: Backend, now: float, *, is_new: bool
     ) -> None:
         seconds = backend.cold_seconds
         if seconds is None:
             # A server tells it only in its second call.
             seconds = self.cold.start_seconds if is_new else 0.0
-        self.cold.begin(load, seconds, now, 'its entry')
+        self.cold.mark_cold(load, seconds, now, 'its entry')
 
     def close_zones(self, zones: frozenset[str], now: float) -> None:
         """Give the servers of some zones nothing new, and those of all others work."""
         reopened = self.closed_zones - zones
         back = [it for it in self.load_by_id.values() if it.zone in reopened]
-        self.cold.doubt(back, now, 'its zone is back')
+        self.cold.mark_possibly_restarted(back, now, 'its zone is back')
         self.closed_zones = zones
         self._list_loads()
         self.sample.redraw()
@@ -298,7 +298,7 @@
         """Stop to avoid a server that answers again; it may have started anew."""
         if load.is_silent:
             load.is_silent = False
-            self.cold.doubt([load], now, 'it was silent')
+            self.cold.mark_possibly_restarted([load], now, 'it was silent')
 
     def apply_signals(
         self,
@@ -323,17 +323,17 @@
             texts.append(f'rest_s={rest.remaining(now):.1f}')
         return ' '.join(texts)
 
-    def doubt(self, backend_id: str, now: float) -> None:
+    def mark_possibly_restarted(self, backend_id: str, now: float) -> None:
         """Take that a server, which refused connections, may start anew."""
         load = self.load_by_id.get(backend_id)
         if load is not None:
-            self.cold.doubt([load], now, 'it refused connections')
+            self.cold.mark_possibly_restarted([load], now, 'it refused connections')
 
-    def told_cold(self, backend_id: str, seconds: float, at: float) -> None:
+    def apply_cold_report(self, backend_id: str, seconds: float, at: float) -> None:
         """Take how long a server says that it stays cold."""
         load = self.load_by_id.get(backend_id)
         if load is not None:
-            self.cold.told(load, seconds, at)
+            self.cold.apply_report(load, seconds, at)
 
     def mark_silent(self, backend_id: str) -> None:
         """Avoid a server that did not answer a probe in time, until it answers."""
--- a/catkinslip/warmup/gate.py
+++ b/catkinslip/warmup/gate.py
@@ -24,7 +24,7 @@
     return None
 
 
-def give_nobody(load: BackendLoad, bound: float) -> Mapping[Sender, int]:
+def no_quotas(load: BackendLoad, bound: float) -> Mapping[Sender, int]:
     """Let nobody send to a cold server."""
     return {}
 
@@ -55,7 +55,7 @@
 
     reason = RestrictionReason.COLD
 
-    divide: Divide = give_nobody
+    divide: Divide = no_quotas
     sender: Callable[[], Sender | None] = no_sender
     #: How long a server is cold after its start, where it does not tell.
     start_seconds: float = 0.0
@@ -63,7 +63,7 @@
     bound: float = inf
     server_by_id: dict[str, ColdServer] = Factory(dict)
     #: Servers that may have become cold, until a probe tells: when that was noticed.
-    doubted_at_by_id: dict[str, float] = Factory(dict)
+    possible_restart_at_by_id: dict[str, float] = Factory(dict)
 
     def configure(self, start_seconds: float, bound: float) -> None:
         """Take over what a service says of its cold servers."""
@@ -74,7 +74,7 @@
         for server in self.server_by_id.values():
             server.quota_by_sender = self._quotas(server.load)
 
-    def begin(self, load: BackendLoad, seconds: float, now: float, why: str) -> None:
+    def mark_cold(self, load: BackendLoad, seconds: float, now: float, why: str) -> None:
         """Take that a server stays cold for so long from now, or longer."""
         if seconds <= 0 or now + seconds <= load.cold_until:
             return
@@ -87,20 +87,20 @@
             )
         self._set(load, now + seconds)
 
-    def doubt(self, loads: Iterable[BackendLoad], now: float, why: str) -> None:
+    def mark_possibly_restarted(self, loads: Iterable[BackendLoad], now: float, why: str) -> None:
         """Take servers as just started until a probe tells."""
         if self.start_seconds <= 0:
             return
         for load in loads:
-            self.begin(load, self.start_seconds, now, why)
-            self.doubted_at_by_id[load.backend_id] = now
+            self.mark_cold(load, self.start_seconds, now, why)
+            self.possible_restart_at_by_id[load.backend_id] = now
 
-    def told(self, load: BackendLoad, seconds: float, at: float) -> None:
+    def apply_report(self, load: BackendLoad, seconds: float, at: float) -> None:
         """Take what a server told when it was asked at a time."""
-        if at < self.doubted_at_by_id.get(load.backend_id, NEVER):
+        if at < self.possible_restart_at_by_id.get(load.backend_id, NEVER):
             return
-        self.doubted_at_by_id.pop(load.backend_id, None)
-        load.told_cold_until = at + seconds
+        self.possible_restart_at_by_id.pop(load.backend_id, None)
+        load.reported_cold_until = at + seconds
         if seconds > 0 or load.is_cold(at):
             if load.is_cold(at) != (seconds > 0):
                 log.info(
@@ -113,7 +113,7 @@
     def forget(self, load: BackendLoad) -> None:
         """Forget a server that is gone."""
         self.server_by_id.pop(load.backend_id, None)
-        self.doubted_at_by_id.pop(load.backend_id, None)
+        self.possible_restart_at_by_id.pop(load.backend_id, None)
 
     def closed(self, now: float) -> list[str]:
         """Return the cold servers that this instance may send nothing now."""
@@ -122,7 +122,7 @@
         for backend_id in list(self.server_by_id):
             if not self.server_by_id[backend_id].load.is_cold(now):
                 del self.server_by_id[backend_id]
-                self.doubted_at_by_id.pop(backend_id, None)
+                self.possible_restart_at_by_id.pop(backend_id, None)
         if self.bound == inf:
             return []
         return [
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -373,7 +373,7 @@
             nearly_full_slowness=NEARLY_FULL_SLOWNESS,
         ),
         make_sample=lambda: Sample(random, zone),
-        make_gate=lambda: ColdGate(divide_bound, instances.sender),
+        make_cold_gate=lambda: ColdGate(divide_bound, instances.sender),
         make_throttle=lambda: ThrottleGate(divide_named, instances.sender_place),
         cold_bound=cold_bound(settings),
         region_by_zone=lambda: settings.region_by_zone,
--- a/tests/test_health_sampler.py
+++ b/tests/test_health_sampler.py
@@ -76,12 +76,12 @@
         self.assertAlmostEqual(self.load.cold_until, self.now + 2.5)
 
     def test_server_that_tells_nothing_is_warm(self):
-        self.router.cold.begin(self.load, 60.0, NOW, 'test')
+        self.router.cold.mark_cold(self.load, 60.0, NOW, 'test')
         self.probe()
         self.assertFalse(self.load.is_cold(self.now))
 
     def test_malformed_time_leaves_what_was_known(self):
-        self.router.cold.begin(self.load, 60.0, NOW, 'test')
+        self.router.cold.mark_cold(self.load, 60.0, NOW, 'test')
         for malformed in (b'', b'-1', b'soon', b'nan', b'1e9'):
             with self.subTest(malformed), self.assertLogs('health', 'INFO'):
                 self.probe(malformed)
@@ -89,7 +89,7 @@
             del self.headers[1:]
 
     def test_answer_that_was_on_its_way_ends_no_doubt(self):
-        self.on_the_way = lambda: self.router.doubt('i-1', self.now)
+        self.on_the_way = lambda: self.router.mark_possibly_restarted('i-1', self.now)
         self.probe(b'0')
         self.assertTrue(self.load.is_cold(self.now))
         self.on_the_way = lambda: None
--- a/tests/test_throttling_path.py
+++ b/tests/test_throttling_path.py
@@ -203,7 +203,7 @@
         cold = ColdGate(lambda *_: {SENDER: 2}, lambda: SENDER)
         cold.configure(3.0, 2.0)
         gates = Gates((cold, throttle))
-        cold.begin(load, 60.0, NOW, 'test')
+        cold.mark_cold(load, 60.0, NOW, 'test')
         self.assertTrue(gates.may_send(load, gates.reserve(load, NOW), NOW))
         throttle.book.told(load, RateSign(1.0), AnswerKind.ANSWER, NOW, NOW)
         throttle.find(load, NOW).count_sent(NOW)
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -82,7 +82,7 @@
 
     def test_quota_holds_in_any_second(self):
         own, server = gate(Sender('zone-a', 0)), load()
-        own.begin(server, 60.0, NOW, 'test')
+        own.mark_cold(server, 60.0, NOW, 'test')
         sent = []
         for step in range(3000):
             now = NOW + step / 200
@@ -94,7 +94,7 @@
 
     def test_promised_requests_count_until_they_are_given_up(self):
         own, server = gate(Sender('zone-a', 0)), load()
-        own.begin(server, 60.0, NOW, 'test')
+        own.mark_cold(server, 60.0, NOW, 'test')
         permits = [own.reserve(server, NOW) for _ in range(4)]
         self.assertEqual([permit is None for permit in permits], [False] * 3 + [True])
         self.assertEqual(own.closed(NOW), ['i-1'])
@@ -112,7 +112,7 @@
     def test_who_is_no_sender_sends_nothing(self):
         for sender in (None, Sender('zone-x', 0), Sender('zone-a', SENDERS_PER_ZONE)):
             own, server = gate(sender), load()
-            own.begin(server, 3.0, NOW, 'test')
+            own.mark_cold(server, 3.0, NOW, 'test')
             self.assertEqual(own.closed(NOW), ['i-1'])
             self.assertFalse(own.may_send(server, None, NOW))
             self.assertEqual(own.closed(NOW + 3), [])
@@ -122,26 +122,26 @@
         own, server = gate(Sender('zone-a', 0)), load()
         for step in range(20):
             server.note_sent(NOW + step / 10)
-        own.begin(server, 60.0, NOW + 2, 'test')
+        own.mark_cold(server, 60.0, NOW + 2, 'test')
         self.assertEqual(own.closed(NOW + 2), ['i-1'])
         self.assertEqual(own.closed(NOW + 3.2), [])
 
     def test_server_that_turned_cold_since_the_choice_is_not_sent_to(self):
         own, server = gate(), load()
         self.assertIsNone(own.reserve(server, NOW))
-        own.told(server, 3.0, NOW)
+        own.apply_report(server, 3.0, NOW)
         self.assertFalse(own.may_send(server, None, NOW))
 
     def test_without_a_bound_nothing_is_kept_back(self):
         own, server = gate(None, float('inf')), load()
-        own.begin(server, 3.0, NOW, 'test')
+        own.mark_cold(server, 3.0, NOW, 'test')
         self.assertEqual(own.closed(NOW), [])
         self.assertTrue(own.may_send(server, None, NOW))
         self.assertTrue(server.is_cold(NOW))
 
     def test_bound_that_changes_holds_at_once(self):
         own, server = gate(Sender('zone-a', 0)), load()
-        own.begin(server, 60.0, NOW, 'test')
+        own.mark_cold(server, 60.0, NOW, 'test')
         own.configure(3.0, 2.0)
         self.assertTrue(own.may_send(server, None, NOW))
         self.assertFalse(own.may_send(server, None, NOW))
@@ -183,9 +183,9 @@
         self.assertTrue(self.cold())
 
     def test_probe_tells_also_in_mid_life(self):
-        self.router.told_cold('i-1', 2.5, NOW)
+        self.router.apply_cold_report('i-1', 2.5, NOW)
         self.assertTrue(self.cold(NOW + 2.4))
-        self.router.told_cold('i-1', 0.0, NOW + 1)
+        self.router.apply_cold_report('i-1', 0.0, NOW + 1)
         self.assertFalse(self.cold(NOW + 1))
 
     def test_zone_that_is_back_is_cold_until_its_servers_tell(self):
@@ -194,9 +194,9 @@
         self.router.close_zones(frozenset(), NOW + 9)
         self.assertIsNone(self.router.choose(NOW + 9))
         # What was told before the zone was back says nothing.
-        self.router.told_cold('i-1', 0.0, NOW + 8.9)
+        self.router.apply_cold_report('i-1', 0.0, NOW + 8.9)
         self.assertTrue(self.cold(NOW + 9))
-        self.router.told_cold('i-1', 0.0, NOW + 9.1)
+        self.router.apply_cold_report('i-1', 0.0, NOW + 9.1)
         self.assertFalse(self.cold(NOW + 9.1))
         self.assertEqual(self.router.choose(NOW + 9.1).backend_id, 'i-1')
 
@@ -207,19 +207,19 @@
         self.assertTrue(self.cold())
         self.router.mark_silent('i-1')
         self.router.apply_peer_report('i-1', report, NOW + 1)
-        self.router.told_cold('i-1', 0.0, NOW + 1)
+        self.router.apply_cold_report('i-1', 0.0, NOW + 1)
         self.assertFalse(self.cold(NOW + 1))
 
     def test_refused_connection_may_be_a_start(self):
-        self.router.doubt('i-1', NOW)
+        self.router.mark_possibly_restarted('i-1', NOW)
         self.assertTrue(self.cold())
-        self.assertIn('i-1', self.router.cold.doubted_at_by_id)
+        self.assertIn('i-1', self.router.cold.possible_restart_at_by_id)
 
     def test_server_that_is_gone_is_forgotten(self):
-        self.router.doubt('i-1', NOW)
+        self.router.mark_possibly_restarted('i-1', NOW)
         self.router.change(SERVICE, {'i-1': None}, NOW)
         self.assertEqual(self.router.cold.closed(NOW), [])
-        self.assertEqual(self.router.cold.doubted_at_by_id, {})
+        self.assertEqual(self.router.cold.possible_restart_at_by_id, {})
 
 
 class ListTest(unittest.TestCase):
--- a/tests/test_warmup_path.py
+++ b/tests/test_warmup_path.py
@@ -158,7 +158,7 @@
             for worker in workers:
                 worker.turn_cold(COLD_SECONDS)
             router = entry.sampler.health.directory.router_by_service['one']
-            router.cold.doubt(router.loads, CLOCK.monotonic(), 'test')
+            router.cold.mark_possibly_restarted(router.loads, CLOCK.monotonic(), 'test')
             answer = await platform.ask('POST', '/p/x')
             self.assertEqual(answer.status_code, 503)
             self.assertIn('cold', answer.text)
@@ -179,7 +179,7 @@
             for worker in platform.worker_by_id.values():
                 worker.turn_cold(COLD_SECONDS)
             router = entry.sampler.health.directory.router_by_service['one']
-            router.cold.doubt(router.loads, CLOCK.monotonic(), 'test')
+            router.cold.mark_possibly_restarted(router.loads, CLOCK.monotonic(), 'test')
             ended = []
             for number in range(4):
                 await platform.ask('POST', '/p/x', request_id=f'r{number}')
