--- a/benchmarks/overload_instances.py
+++ b/benchmarks/overload_instances.py
@@ -160,7 +160,7 @@
     def probed(self, probe: tuple[Desk, BackendLoad, Server, float]) -> None:
         """Let a server tell its load."""
         desk, load, server, hop = probe
-        told = (desk, load, server.report(), self.world.now, load.picks_since_report)
+        told = (desk, load, server.report(), self.world.now, load.selections_since_report)
         self.world.after(hop, self.learn, told)
 
     def learn(self, told: tuple) -> None:
@@ -339,7 +339,7 @@
             for load in loads:
                 if load.report is None or now - load.reported_at > OLDEST_SECONDS:
                     continue
-                in_flight = load.reported_in_flight + load.picks_since_report
+                in_flight = load.reported_in_flight + load.selections_since_report
                 report = LoadReport(in_flight, load.speed)
                 told = (service, load.backend_id, report, load.reported_at)
                 for other in self.world.instances:
@@ -375,8 +375,8 @@
         load = router.load_by_id.get(backend_id)
         if load is None:
             return
-        in_report = load.picked_at < at - ON_THE_WAY_SECONDS
-        picks = load.picks_since_report if in_report else 0
+        in_report = load.selected_at < at - ON_THE_WAY_SECONDS
+        picks = load.selections_since_report if in_report else 0
         router.record_report(backend_id, report, at, picks)
 
     def stop(self) -> None:
--- a/catkinslip/health/prober.py
+++ b/catkinslip/health/prober.py
@@ -123,7 +123,7 @@
         tracker, key = self.tracker, target.key
         terms = tracker.terms_by_service.get(target.service)
         router = tracker.router(key)
-        picks_before = router.picks_since_report(key.backend_id) if router else 0
+        picks_before = router.selections_since_report(key.backend_id) if router else 0
         sent_at = self.clock.monotonic()
         if terms is None or not tracker.budget.spend(
             key.address, target.service, terms, sent_at
--- a/catkinslip/health/sampler.py
+++ b/catkinslip/health/sampler.py
@@ -285,7 +285,7 @@
             return False
         service = self.health.document.register.services[backend.service]
         request = self.dialect.probe_request(backend.service, service.health_path)
-        picks_before = load.picks_since_report
+        picks_before = load.selections_since_report
         sent_at = self.clock.monotonic()
         if not router.may_probe(load, sent_at):
             # It asked for rest while this waited for a connection.
--- a/catkinslip/health/sharing.py
+++ b/catkinslip/health/sharing.py
@@ -94,7 +94,7 @@
             [
                 load.backend_id,
                 load.start_tag,
-                load.reported_in_flight + load.picks_since_report,
+                load.reported_in_flight + load.selections_since_report,
                 load.speed,
                 round((now - load.reported_at) * 1e3),
                 round(max(0.0, load.reported_cold_until - now) * 1e3),
@@ -169,8 +169,8 @@
         if router is None:
             return
         load = router.load_by_id[backend_id]
-        in_report = load.picked_at < at - ON_THE_WAY_SECONDS
-        picks_before = load.picks_since_report if in_report else 0
+        in_report = load.selected_at < at - ON_THE_WAY_SECONDS
+        picks_before = load.selections_since_report if in_report else 0
         router.record_report(backend_id, report, at, picks_before)
         now = self.clock.monotonic()
         router.cold.mark_cold(load, cold_seconds, now, 'another instance tells')
--- a/catkinslip/resting/registry.py
+++ b/catkinslip/resting/registry.py
@@ -35,7 +35,7 @@
     @property
     def is_on_trial(self) -> bool:
         """Tell whether a request is there that was sent after the rest."""
-        return self.load.in_flight > 0 and self.load.picked_at >= self.until
+        return self.load.in_flight > 0 and self.load.selected_at >= self.until
 
     def remaining(self, now: float) -> float:
         """Return the seconds that the rest still lasts."""
--- a/catkinslip/routing/base.py
+++ b/catkinslip/routing/base.py
@@ -58,13 +58,13 @@
     draining: bool = False
     report: LoadReport | None = None
     reported_at: float = NEVER
-    picks_since_report: int = 0
-    picked_at: float = NEVER
+    selections_since_report: int = 0
+    selected_at: float = NEVER
     reported_in_flight: float = 0.0
     speed: float = 1.0
     mean_speed: float = 1.0
     expected_in_flight: float = 0.0
-    expected_by_pick: deque[float] = Factory(deque)
+    expected_by_selection: deque[float] = Factory(deque)
     lie_share: float = 0.0
     answered_at: float = NEVER
     answers: float = 0.0
--- a/catkinslip/routing/delay.py
+++ b/catkinslip/routing/delay.py
@@ -136,7 +136,7 @@
             age = now - load.reported_at
             excess = load.reported_in_flight - mean_in_flight
             in_flight = mean_in_flight + excess * exp(age * report_rate)
-            in_flight += load.picks_since_report
+            in_flight += load.selections_since_report
             if load.lie_share:
                 in_flight = self._distrusted(load, in_flight)
             if in_flight < load.in_flight:
@@ -179,11 +179,11 @@
 
     def started(self, load: BackendLoad, now: float) -> None:
         """Remember what was expected when a request was sent."""
-        load.expected_by_pick.append(load.expected_in_flight)
+        load.expected_by_selection.append(load.expected_in_flight)
 
     def finished(self, load: BackendLoad, result: AttemptResult, now: float) -> None:
         """Learn from an answer, its latency and its load report."""
-        expected = load.expected_by_pick.popleft() if load.expected_by_pick else 0.0
+        expected = load.expected_by_selection.popleft() if load.expected_by_selection else 0.0
         if result.kind is ResultKind.CANCELLED:
             return
         count_failure(load, result.kind, now)
--- a/catkinslip/routing/evidence.py
+++ b/catkinslip/routing/evidence.py
@@ -51,7 +51,7 @@
         if report is None:
             load.lie_share = 1.0
             return
-        surely_there = load.in_flight - load.picks_since_report
+        surely_there = load.in_flight - load.selections_since_report
         if surely_there > 0:
             lied = report.in_flight < surely_there
             load.lie_share += TRUST_WEIGHT * (lied - load.lie_share)
--- a/catkinslip/routing/router.py
+++ b/catkinslip/routing/router.py
@@ -243,8 +243,8 @@
         if load is None:
             return None
         load.in_flight += 1
-        load.picks_since_report += 1
-        load.picked_at = now
+        load.selections_since_report += 1
+        load.selected_at = now
         load.note_sent(now)
         self.policy.started(load, now)
         self.on_load_change(load)
@@ -267,21 +267,21 @@
             self.policy.reported(load, result.report, now)
             load.report = result.report
             load.reported_at = now
-            load.picks_since_report = 0
+            load.selections_since_report = 0
             self.on_load_change(load)
 
     def apply_peer_report(
-        self, backend_id: str, report: LoadReport, at: float, picks_before: int = 0
+        self, backend_id: str, report: LoadReport, at: float, selections_before: int = 0
     ) -> None:
         """Take a report that a peer or a probe observed at an earlier time.
 
         Only the own picks known to be in the report are taken off their count.
         """
-        if self.record_report(backend_id, report, at, picks_before):
+        if self.record_report(backend_id, report, at, selections_before):
             self.on_load_change(self.load_by_id[backend_id])
 
     def record_report(
-        self, backend_id: str, report: LoadReport, at: float, picks_before: int
+        self, backend_id: str, report: LoadReport, at: float, selections_before: int
     ) -> bool:
         """Take a report as `learned` does, but tell nobody; tell whether it is new."""
         load = self.load_by_id.get(backend_id)
@@ -291,7 +291,7 @@
             self.policy.reported(load, report, at)
             load.report = report
             load.reported_at = at
-            load.picks_since_report = max(0, load.picks_since_report - picks_before)
+            load.selections_since_report = max(0, load.selections_since_report - selections_before)
         return is_new
 
     def _end_silence(self, load: BackendLoad, now: float) -> None:
@@ -364,10 +364,10 @@
         load = self.load_by_id.get(backend_id)
         return load is not None and load.is_silent
 
-    def picks_since_report(self, backend_id: str) -> int:
+    def selections_since_report(self, backend_id: str) -> int:
         """Return the own picks since the last report of a backend server."""
         load = self.load_by_id.get(backend_id)
-        return 0 if load is None else load.picks_since_report
+        return 0 if load is None else load.selections_since_report
 
 
 def is_of(load: BackendLoad, backend: Backend | None) -> bool:
--- a/tests/test_health_tracker.py
+++ b/tests/test_health_tracker.py
@@ -204,13 +204,13 @@
         self.clock.now += 1
         router = self.second.directory.router_by_service['limits']
         load = router.load_by_id['limits-1']
-        load.picks_since_report = 3
+        load.selections_since_report = 3
         self.tell(self.first, self.second)
         self.assertEqual(load.report, LoadReport(7.0))
         self.assertEqual(load.reported_at, self.clock.now - 1)
-        self.assertEqual(load.picks_since_report, 3)
-        router.apply_peer_report('limits-1', LoadReport(4.0), self.clock.now, picks_before=2)
-        self.assertEqual(load.picks_since_report, 1)
+        self.assertEqual(load.selections_since_report, 3)
+        router.apply_peer_report('limits-1', LoadReport(4.0), self.clock.now, selections_before=2)
+        self.assertEqual(load.selections_since_report, 1)
         router.apply_peer_report('limits-1', LoadReport(9.0), self.clock.now - 2)
         self.assertEqual(load.report, LoadReport(4.0))
 
--- a/tests/test_routing_policies.py
+++ b/tests/test_routing_policies.py
@@ -55,7 +55,7 @@
     router.finished(backend_id, AttemptResult(kind, latency, report), now)
 
 
-def picks_by_id(router: ServiceRouter, count: int, now: float) -> dict[str, int]:
+def selections_by_id(router: ServiceRouter, count: int, now: float) -> dict[str, int]:
     """Return how many of some requests at one time go to each server."""
     before = {each: load.in_flight for each, load in router.load_by_id.items()}
     for _ in range(count):
@@ -70,7 +70,7 @@
         router = make_router(4)
         for backend_id in router.load_by_id:
             answer(router, backend_id, 1.0, LoadReport(4, 1.0))
-        self.assertEqual(set(picks_by_id(router, 8, 1.0).values()), {2})
+        self.assertEqual(set(selections_by_id(router, 8, 1.0).values()), {2})
 
     def test_estimate_is_never_under_own_requests_in_flight(self):
         router = make_router(2)
@@ -85,8 +85,8 @@
         answer(router, 'limits-0', 1.0, LoadReport(9, 1.0))
         answer(router, 'limits-1', 1.0, LoadReport(1, 1.0))
         self.assertEqual(pick(router, 1.001), 'limits-1')
-        picks = picks_by_id(router, 6, 2.0)
-        self.assertGreater(picks['limits-0'], 1)
+        selections = selections_by_id(router, 6, 2.0)
+        self.assertGreater(selections['limits-0'], 1)
 
     def test_a_slow_server_gets_less_and_is_forgiven_with_time(self):
         router = make_router(4)
@@ -95,11 +95,11 @@
             answer(router, 'limits-0', 1 + n / 100, slow, latency=0.4)
             for backend_id in ('limits-1', 'limits-2', 'limits-3'):
                 answer(router, backend_id, 1 + n / 100)
-        self.assertEqual(picks_by_id(router, 12, 5.01)['limits-0'], 0)
+        self.assertEqual(selections_by_id(router, 12, 5.01)['limits-0'], 0)
         for backend_id in ('limits-1', 'limits-2', 'limits-3'):
             for _ in range(4):
                 answer(router, backend_id, 20.0)
-        self.assertGreater(picks_by_id(router, 12, 20.0)['limits-0'], 0)
+        self.assertGreater(selections_by_id(router, 12, 20.0)['limits-0'], 0)
 
     def test_speed_is_inferred_from_latency_when_reports_carry_none(self):
         router = make_router(6)
@@ -109,7 +109,7 @@
                 report = LoadReport(0)
                 latency = 0.4 if slow else 0.02
                 answer(router, backend_id, 1 + n / 50, report, latency=latency)
-        self.assertEqual(picks_by_id(router, 10, 5.0)['limits-0'], 0)
+        self.assertEqual(selections_by_id(router, 10, 5.0)['limits-0'], 0)
 
     def test_a_report_below_own_requests_in_flight_is_a_lie(self):
         router = make_router(2)
@@ -139,22 +139,22 @@
             for backend_id in router.load_by_id:
                 latency = 0.4 if backend_id == 'limits-0' else 0.02
                 answer(router, backend_id, 1 + n / 50, latency=latency)
-        self.assertEqual(picks_by_id(router, 10, 5.0)['limits-0'], 0)
+        self.assertEqual(selections_by_id(router, 10, 5.0)['limits-0'], 0)
 
     def test_without_reports_own_requests_in_flight_decide(self):
         router = make_router(3)
         for n in range(60):
             for backend_id in router.load_by_id:
                 answer(router, backend_id, 1 + n / 50, None)
-        self.assertEqual(set(picks_by_id(router, 9, 3.0).values()), {3})
+        self.assertEqual(set(selections_by_id(router, 9, 3.0).values()), {3})
 
     def test_a_server_that_fails_fast_is_avoided_and_tried_again(self):
         router = make_router(3)
         for n in range(4):
             failed = ResultKind.FAILED
             answer(router, 'limits-0', 1 + n / 1000, HONEST, failed, 0.001)
-        self.assertEqual(picks_by_id(router, 9, 1.1)['limits-0'], 0)
-        self.assertGreater(picks_by_id(router, 9, 4.0)['limits-0'], 0)
+        self.assertEqual(selections_by_id(router, 9, 1.1)['limits-0'], 0)
+        self.assertGreater(selections_by_id(router, 9, 4.0)['limits-0'], 0)
 
     def test_one_failure_among_answers_changes_nothing(self):
         router = make_router(2)
@@ -162,25 +162,25 @@
             kind = ResultKind.FAILED if n == 10 else ResultKind.ANSWERED
             answer(router, 'limits-0', 1 + n / 100, HONEST, kind)
             answer(router, 'limits-1', 1 + n / 100)
-        self.assertEqual(set(picks_by_id(router, 4, 1.2).values()), {2})
+        self.assertEqual(set(selections_by_id(router, 4, 1.2).values()), {2})
 
     def test_a_server_that_sheds_is_left_alone_for_a_moment(self):
         router = make_router(2)
         answer(router, 'limits-0', 1.0, HONEST, ResultKind.SHED, 0.001)
-        self.assertEqual(picks_by_id(router, 6, 1.01)['limits-0'], 0)
+        self.assertEqual(selections_by_id(router, 6, 1.01)['limits-0'], 0)
 
     def test_pauses_never_empty_the_pool(self):
         router = make_router(3)
         for backend_id in router.load_by_id:
             for n in range(10):
                 answer(router, backend_id, 1 + n / 10, None, ResultKind.FAILED)
-        self.assertEqual(set(picks_by_id(router, 9, 2.0).values()), {3})
+        self.assertEqual(set(selections_by_id(router, 9, 2.0).values()), {3})
 
     def test_own_zone_comes_first_until_it_queues(self):
         router = make_router(4, slots=1, zone='zone-1')
-        first = picks_by_id(router, 2, 1.0)
+        first = selections_by_id(router, 2, 1.0)
         self.assertEqual(first['limits-1'] + first['limits-3'], 2)
-        then = picks_by_id(router, 2, 1.0)
+        then = selections_by_id(router, 2, 1.0)
         self.assertEqual(then['limits-0'] + then['limits-2'], 2)
 
     def test_the_reason_names_the_next_best(self):
@@ -197,7 +197,7 @@
     def test_a_draining_server_gets_nothing(self):
         router = make_router(3)
         router.load_by_id['limits-1'].draining = True
-        self.assertEqual(picks_by_id(router, 9, 1.0)['limits-1'], 0)
+        self.assertEqual(selections_by_id(router, 9, 1.0)['limits-1'], 0)
 
     def test_a_report_from_a_peer_counts(self):
         router = make_router(2)
@@ -230,20 +230,20 @@
 
     def test_many_servers_are_chosen_evenly(self):
         router = make_router(3 * SAMPLE_SIZE)
-        picks = Counter()
+        selections = Counter()
         for number in range(200):
             # A choice of now is even among the servers of its sample.
             now = 1.0 + number * SAMPLE_SECONDS
             chosen = [pick(router, now) for _ in range(SAMPLE_SIZE)]
             self.assertEqual(len(set(chosen)), SAMPLE_SIZE)
-            picks.update(chosen)
+            selections.update(chosen)
             result = AttemptResult(ResultKind.ANSWERED, 0.02, HONEST)
             for backend_id in chosen:
                 router.finished(backend_id, result, now)
-        self.assertEqual(len(picks), 3 * SAMPLE_SIZE)
+        self.assertEqual(len(selections), 3 * SAMPLE_SIZE)
         mean = 200 / 3
-        self.assertLess(max(picks.values()), 1.5 * mean)
-        self.assertGreater(min(picks.values()), 0.5 * mean)
+        self.assertLess(max(selections.values()), 1.5 * mean)
+        self.assertGreater(min(selections.values()), 0.5 * mean)
 
     def test_all_servers_are_looked_at_where_a_sample_has_no_room(self):
         router = make_router(3 * SAMPLE_SIZE, slots=1)
@@ -262,7 +262,7 @@
         pick(router, 1.0)
         gone = router.sample.loads[0].backend_id
         router.change(Service(2), {gone: None})
-        self.assertNotIn(gone, picks_by_id(router, 3 * SAMPLE_SIZE, 1.0))
+        self.assertNotIn(gone, selections_by_id(router, 3 * SAMPLE_SIZE, 1.0))
 
     def test_a_lone_server_outside_the_sample_is_found(self):
         router = make_router(3 * SAMPLE_SIZE)
