--- a/catkinslip/routing/base.py
+++ b/catkinslip/routing/base.py
@@ -65,7 +65,7 @@
     mean_speed: float = 1.0
     expected_in_flight: float = 0.0
     expected_by_selection: deque[float] = Factory(deque)
-    lie_share: float = 0.0
+    underreport_share: float = 0.0
     answered_at: float = NEVER
     answers: float = 0.0
     service_seconds: float = 0.0
--- a/catkinslip/routing/delay.py
+++ b/catkinslip/routing/delay.py
@@ -23,11 +23,11 @@
     ResultKind,
 )
 from catkinslip.routing.evidence import (
-    HIGHEST_LIE_SHARE,
+    HIGHEST_UNDERREPORT_SHARE,
     LEAST_SHED_SHARE,
     ServiceTime,
-    Sheds,
-    Trust,
+    ShedShares,
+    ReportTrust,
     count_failure,
     shed_share,
 )
@@ -101,9 +101,9 @@
     nearly_full_slowness: float = 1.0
     in_flight: InFlightMean = Factory(InFlightMean)
     speed: SpeedMean = Factory(SpeedMean)
-    trust: Trust = Factory(Trust)
+    trust: ReportTrust = Factory(ReportTrust)
     service_time: ServiceTime = Factory(ServiceTime)
-    sheds: Sheds = Factory(Sheds)
+    sheds: ShedShares = Factory(ShedShares)
 
     def choose(self, candidates: Sequence[BackendLoad], now: float) -> Choice:
         """Choose one of at least one candidate."""
@@ -137,8 +137,8 @@
             excess = load.reported_in_flight - mean_in_flight
             in_flight = mean_in_flight + excess * exp(age * report_rate)
             in_flight += load.selections_since_report
-            if load.lie_share:
-                in_flight = self._distrusted(load, in_flight)
+            if load.underreport_share:
+                in_flight = self._discounted_in_flight(load, in_flight)
             if in_flight < load.in_flight:
                 in_flight = load.in_flight
             delay = self._delay_in_use(in_flight, load.slots)
@@ -172,10 +172,10 @@
             delay *= self.nearly_full_slowness
         return delay
 
-    def _distrusted(self, load: BackendLoad, in_flight: float) -> float:
-        trust = max(0.0, 1 - load.lie_share / HIGHEST_LIE_SHARE)
-        own = load.in_flight * self.trust.scale(self.in_flight.value)
-        return own + (in_flight - own) * trust
+    def _discounted_in_flight(self, load: BackendLoad, in_flight: float) -> float:
+        trust = max(0.0, 1 - load.underreport_share / HIGHEST_UNDERREPORT_SHARE)
+        local_estimate = load.in_flight * self.trust.scale(self.in_flight.value)
+        return local_estimate + (in_flight - local_estimate) * trust
 
     def started(self, load: BackendLoad, now: float) -> None:
         """Remember what was expected when a request was sent."""
@@ -188,25 +188,25 @@
             return
         count_failure(load, result.kind, now)
         if self.weigh_sheds:
-            self.sheds.learn(load, result.kind, now)
+            self.sheds.record(load, result.kind, now)
         if result.kind is ResultKind.ANSWERED:
-            self.trust.learn(load, result.report)
-            self.service_time.learn(load, result, expected, now)
+            self.trust.record(load, result.report)
+            self.service_time.record(load, result, expected, now)
 
     def reported(self, load: BackendLoad, report: LoadReport, at: float) -> None:
         """Learn from a load report, before it replaces the last."""
-        self.in_flight.learn(load, report)
+        self.in_flight.record(load, report)
         load.reported_in_flight = report.in_flight
         if not self.weigh_speed:
             return
         if report.speed is not None:
-            self.speed.learn(load, report.speed, at)
+            self.speed.record(load, report.speed, at)
         elif load.slowness == 1:
             slowness = min(sqrt(load.inferred_slowness), MOST_INFERRED_SLOWNESS)
             load.speed = load.mean_speed = self.speed.value / slowness
 
 
-def irregular_delay(load: BackendLoad, delay: float, now: float, sheds: Sheds) -> float:
+def irregular_delay(load: BackendLoad, delay: float, now: float, sheds: ShedShares) -> float:
     """Return the delay at a server that failed, shed or contradicts its reports."""
     if now - load.answered_at > SPEED_FORGET_SECONDS:
         load.slowness = 1.0
--- a/catkinslip/routing/evidence.py
+++ b/catkinslip/routing/evidence.py
@@ -7,16 +7,16 @@
 from catkinslip.routing.base import AttemptResult, BackendLoad, LoadReport, ResultKind
 
 TRUST_WEIGHT = 0.1
-HIGHEST_LIE_SHARE = 0.1
-OWN_WEIGHT = 0.02
-LEAST_OWN = 0.05
+HIGHEST_UNDERREPORT_SHARE = 0.1
+LOCAL_WEIGHT = 0.02
+LEAST_LOCAL = 0.05
 SERVICE_WEIGHT = 0.01
 FIRST_SERVICE_SECONDS = 0.02
 SERVICE_MEMORY_SECONDS = 0.5
 PRIOR_ANSWERS = 4.0
 LEAST_SLOWNESS = 0.33
 MOST_SLOWNESS = 20.0
-PLAIN_CONTRADICTION = 3.0
+CONTRADICTING_SLOWNESS = 3.0
 FAILURE_WEIGHT = 0.3
 EJECTING_FAILURE_SHARE = 0.5
 FAILURE_PAUSE_SECONDS = 1.0
@@ -32,35 +32,35 @@
 #: One request replaces so much of the share that all servers shed.
 SHED_MEAN_WEIGHT = 0.02
 #: A server that sheds everything is expected to take this share.
-LEAST_TAKEN_SHARE = 0.1
+LEAST_ACCEPTED_SHARE = 0.1
 
 
 @define
-class Trust:
+class ReportTrust:
     """Check reports against own requests in flight.
 
     A server that holds requests of this instance cannot hold fewer. Requests sent
     since the last report may still be on their way and are not counted.
     """
 
-    mean_own: float = 0.0
+    mean_local: float = 0.0
 
-    def learn(self, load: BackendLoad, report: LoadReport | None) -> None:
+    def record(self, load: BackendLoad, report: LoadReport | None) -> None:
         """Take a report, or the lack of one, before it replaces the last."""
-        self.mean_own += OWN_WEIGHT * (load.in_flight - self.mean_own)
+        self.mean_local += LOCAL_WEIGHT * (load.in_flight - self.mean_local)
         if report is None:
-            load.lie_share = 1.0
+            load.underreport_share = 1.0
             return
         surely_there = load.in_flight - load.selections_since_report
         if surely_there > 0:
-            lied = report.in_flight < surely_there
-            load.lie_share += TRUST_WEIGHT * (lied - load.lie_share)
+            is_underreport = report.in_flight < surely_there
+            load.underreport_share += TRUST_WEIGHT * (is_underreport - load.underreport_share)
         elif load.report is None:
-            load.lie_share = 0.0
+            load.underreport_share = 0.0
 
     def scale(self, mean_reported: float) -> float:
         """Return requests in flight of all instances for each own one."""
-        return max(1.0, mean_reported / max(self.mean_own, LEAST_OWN))
+        return max(1.0, mean_reported / max(self.mean_local, LEAST_LOCAL))
 
 
 @define
@@ -74,7 +74,7 @@
     mean: float = FIRST_SERVICE_SECONDS
     is_known: bool = False
 
-    def learn(
+    def record(
         self, load: BackendLoad, result: AttemptResult, expected: float, now: float
     ) -> None:
         """Take an answer to a request that was expected to find some in flight."""
@@ -93,13 +93,13 @@
         expected_seconds = (load.answers + PRIOR_ANSWERS) * self.mean
         slowness = seen / expected_seconds if expected_seconds else 1.0
         load.inferred_slowness = min(max(slowness, LEAST_SLOWNESS), MOST_SLOWNESS)
-        is_plain = load.inferred_slowness > PLAIN_CONTRADICTION
-        load.slowness = load.inferred_slowness if is_plain else 1.0
-        load.is_irregular = load.is_irregular or is_plain
+        is_contradiction = load.inferred_slowness > CONTRADICTING_SLOWNESS
+        load.slowness = load.inferred_slowness if is_contradiction else 1.0
+        load.is_irregular = load.is_irregular or is_contradiction
 
 
 @define
-class Sheds:
+class ShedShares:
     """Learn which share of its requests each server sheds, and all of them.
 
     Load: some servers refuse part of what comes, whatever room they have, and look idle
@@ -112,7 +112,7 @@
 
     mean: float = 0.0
 
-    def learn(self, load: BackendLoad, kind: ResultKind, now: float) -> None:
+    def record(self, load: BackendLoad, kind: ResultKind, now: float) -> None:
         """Take how a request ended at a server."""
         if kind not in (ResultKind.SHED, ResultKind.ANSWERED):
             return
@@ -125,7 +125,7 @@
 
     def factor(self, share: float) -> float:
         """Return how many more sends a server needs until it takes one than others."""
-        return max(1.0, (1 - self.mean) / max(1 - share, LEAST_TAKEN_SHARE))
+        return max(1.0, (1 - self.mean) / max(1 - share, LEAST_ACCEPTED_SHARE))
 
 
 def shed_share(load: BackendLoad, now: float) -> float:
--- a/catkinslip/routing/report_means.py
+++ b/catkinslip/routing/report_means.py
@@ -25,7 +25,7 @@
 
     value: float = 0.0
 
-    def learn(self, load: BackendLoad, report: LoadReport) -> None:
+    def record(self, load: BackendLoad, report: LoadReport) -> None:
         """Take a report; one server cannot pull the mean far."""
         highest = self.value + HIGHEST_REPORT_PER_SLOT * load.slots
         value = min(report.in_flight, highest)
@@ -47,7 +47,7 @@
     variance: float = 0.0
     gap: float = 0.03
 
-    def learn(self, load: BackendLoad, speed: float, now: float) -> None:
+    def record(self, load: BackendLoad, speed: float, now: float) -> None:
         """Take a reported speed."""
         gap = now - load.reported_at
         weight = REPORT_WEIGHT if self.is_known else 1.0
@@ -56,12 +56,12 @@
         if gap > SPEED_FORGET_SECONDS:
             load.mean_speed = self.value
         if gap < LONGEST_GAP_SECONDS:
-            self._learn_persistence(load, speed, gap)
+            self._record_persistence(load, speed, gap)
         step = min(gap, LONGEST_STEP_SECONDS) / SPEED_MEMORY_SECONDS
         load.mean_speed += (speed - load.mean_speed) * (1 - exp(-step))
         load.speed = speed
 
-    def _learn_persistence(self, load: BackendLoad, speed: float, gap: float) -> None:
+    def _record_persistence(self, load: BackendLoad, speed: float, gap: float) -> None:
         before = load.speed - load.mean_speed
         after = speed - load.mean_speed
         self.covariance += PERSISTENCE_WEIGHT * (before * after - self.covariance)
--- a/tests/test_routing_policies.py
+++ b/tests/test_routing_policies.py
@@ -116,10 +116,10 @@
         for _ in range(3):
             router.started('limits-0', 0.5)
         answer(router, 'limits-0', 1.0, LoadReport(3, 1.0))
-        self.assertEqual(router.load_by_id['limits-0'].lie_share, 0)
+        self.assertEqual(router.load_by_id['limits-0'].underreport_share, 0)
         for n in range(20):
             answer(router, 'limits-0', 1.1 + n / 100, LoadReport(0, 1.0))
-        self.assertGreater(router.load_by_id['limits-0'].lie_share, 0.5)
+        self.assertGreater(router.load_by_id['limits-0'].underreport_share, 0.5)
 
     def test_a_lying_server_is_judged_by_own_requests_in_flight(self):
         router = make_router(3)
