--- a/catkinslip/health/sharing.py
+++ b/catkinslip/health/sharing.py
@@ -153,7 +153,7 @@
         raise ValueError(f'a datagram tells of {sorted(told)}')
 
     def _learn_silence(self, backend_id: str, start: int, now: float) -> None:
-        router = self.directory.find_started(backend_id, start)
+        router = self.directory.find_router_of_start(backend_id, start)
         if router is not None:
             router.apply_peer_silence(backend_id, now)
 
@@ -165,7 +165,7 @@
         at: float,
         cold_seconds: float,
     ) -> None:
-        router = self.directory.find_started(backend_id, start)
+        router = self.directory.find_router_of_start(backend_id, start)
         if router is None:
             return
         load = router.load_by_id[backend_id]
--- a/catkinslip/routing/base.py
+++ b/catkinslip/routing/base.py
@@ -15,7 +15,7 @@
 #: Starts of a server are told apart by their last digits, which take few bytes.
 START_TAGS = 1000
 #: More than any instance may send to one cold server in a second.
-SENT_REMEMBERED = 16
+SENT_TIMES_KEPT = 16
 
 
 @frozen
@@ -87,10 +87,10 @@
     #: The same as it told when it was asked from here.
     reported_cold_until: float = NEVER
 
-    def note_sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Remember that a request is sent to it."""
         if self.sent_at is None:
-            self.sent_at = deque(maxlen=SENT_REMEMBERED)
+            self.sent_at = deque(maxlen=SENT_TIMES_KEPT)
         self.sent_at.append(now)
 
     @property
@@ -133,9 +133,9 @@
         """Return what is expected at each candidate, the best first."""
         return [Estimate(load, 1.0, load.in_flight) for load in candidates]
 
-    def choice_of(self, place: Estimate, now: float) -> Choice:
+    def choice_of(self, estimate: Estimate, now: float) -> Choice:
         """Return a ranked candidate as a choice."""
-        return Choice(place.load.backend_id, 'ranked', place.delay)
+        return Choice(estimate.load.backend_id, 'ranked', estimate.delay)
 
     def started(self, load: BackendLoad, now: float) -> None:  # noqa: B027
         """Learn that a request was sent."""
--- a/catkinslip/routing/delay.py
+++ b/catkinslip/routing/delay.py
@@ -111,9 +111,9 @@
         first, *others = nsmallest(2, self._estimates(candidates, now), key=by_delay)
         return choose_estimate(first, others[0] if others else None, now)
 
-    def choice_of(self, place: Estimate, now: float) -> Choice:
+    def choice_of(self, estimate: Estimate, now: float) -> Choice:
         """Return a ranked candidate as a choice."""
-        return choose_estimate(place, None, now)
+        return choose_estimate(estimate, None, now)
 
     def rank(self, candidates: Sequence[BackendLoad], now: float) -> list[Estimate]:
         """Return what is expected at each candidate, the best first."""
--- a/catkinslip/routing/directory.py
+++ b/catkinslip/routing/directory.py
@@ -126,7 +126,7 @@
                 address = Address(backend.host, backend.port)
                 self.address_by_backend[backend_id] = address
 
-    def outside(self, service: str, regions: Collection[str]) -> frozenset[str]:
+    def servers_outside(self, service: str, regions: Collection[str]) -> frozenset[str]:
         """Return the servers of a service that stand in none of some regions.
 
         A zone whose region is not known is in none.
@@ -137,14 +137,14 @@
         zones = frozenset(
             zone for zone, region in self.region_by_zone().items() if region in regions
         )
-        return router.outside(zones)
+        return router.servers_outside(zones)
 
     def find_router(self, backend_id: str) -> ServiceRouter | None:
         """Return the router that chooses among a server and others."""
         backend = self.document.register.backends.get(backend_id)
         return None if backend is None else self.router_by_service.get(backend.service)
 
-    def find_started(self, backend_id: str, start_tag: int) -> ServiceRouter | None:
+    def find_router_of_start(self, backend_id: str, start_tag: int) -> ServiceRouter | None:
         """Return the router of a server, if it has not started again since."""
         router = self.find_router(backend_id)
         if router is None or router.load_by_id[backend_id].start_tag != start_tag:
--- a/catkinslip/routing/router.py
+++ b/catkinslip/routing/router.py
@@ -58,7 +58,7 @@
     #: Learns of each server whose load or own requests changed.
     on_load_change: Callable[[BackendLoad], None] = ignore_load_change
     #: What `outside` returned since the servers changed last; a few sets of zones.
-    outside_by_zones: dict[frozenset[str], frozenset[str]] = Factory(dict)
+    servers_outside_by_zones: dict[frozenset[str], frozenset[str]] = Factory(dict)
     #: Availability zones whose servers get nothing new.
     closed_zones: frozenset[str] = frozenset()
 
@@ -66,8 +66,8 @@
         self, service: Service, backend_by_id: Mapping[str, Backend], now: float = 0.0
     ) -> None:
         """Take over all backend servers of a new configuration."""
-        gone = dict.fromkeys(self.load_by_id.keys() - backend_by_id.keys())
-        self.change(service, {**gone, **backend_by_id}, now)
+        removed = dict.fromkeys(self.load_by_id.keys() - backend_by_id.keys())
+        self.change(service, {**removed, **backend_by_id}, now)
 
     def change(
         self,
@@ -78,9 +78,9 @@
         """Take over backend servers that changed; None stands for one that is gone."""
         for backend_id, backend in backend_by_id.items():
             load = self.load_by_id.get(backend_id)
-            if load is not None and not is_of(load, backend):
+            if load is not None and not is_same_start(load, backend):
                 del self.load_by_id[backend_id]
-                self.sample.drop(load)
+                self.sample.remove(load)
                 self.gates.forget(load)
                 load = None
             if backend is None:
@@ -118,18 +118,18 @@
         self._list_loads()
         self.sample.redraw()
 
-    def outside(self, zones: frozenset[str]) -> frozenset[str]:
+    def servers_outside(self, zones: frozenset[str]) -> frozenset[str]:
         """Return the servers that stand in none of some zones."""
-        known = self.outside_by_zones.get(zones)
+        known = self.servers_outside_by_zones.get(zones)
         if known is None:
             known = frozenset(
                 load.backend_id for load in self.loads if load.zone not in zones
             )
-            self.outside_by_zones[zones] = known
+            self.servers_outside_by_zones[zones] = known
         return known
 
     def _list_loads(self) -> None:
-        self.outside_by_zones.clear()
+        self.servers_outside_by_zones.clear()
         closed = self.closed_zones
         self.loads = [it for it in self.load_by_id.values() if it.zone not in closed]
 
@@ -177,9 +177,9 @@
         candidates = available_servers(self.loads, excluded)
         return self.policy.rank(candidates, now) if candidates else []
 
-    def choice_of(self, place: Estimate, now: float) -> Choice:
+    def choice_of(self, estimate: Estimate, now: float) -> Choice:
         """Return a ranked server as a choice."""
-        return self.policy.choice_of(place, now)
+        return self.policy.choice_of(estimate, now)
 
     def _with_closed(self, excluded: Collection[str], now: float) -> Collection[str]:
         """Return the excluded servers and those that may get nothing now."""
@@ -228,7 +228,7 @@
         """Return the servers of the sample; none where it would hold all of them."""
         if len(self.loads) <= self.sample.size:
             return []
-        return available_servers(self.sample.take(self.loads, now), excluded)
+        return available_servers(self.sample.get(self.loads, now), excluded)
 
     def reserve(self, backend_id: str, now: float) -> Permits:
         """Return leave for one request to a chosen server."""
@@ -245,7 +245,7 @@
         load.in_flight += 1
         load.selections_since_report += 1
         load.selected_at = now
-        load.note_sent(now)
+        load.record_sent(now)
         self.policy.started(load, now)
         self.on_load_change(load)
         return load
@@ -370,7 +370,7 @@
         return 0 if load is None else load.selections_since_report
 
 
-def is_of(load: BackendLoad, backend: Backend | None) -> bool:
+def is_same_start(load: BackendLoad, backend: Backend | None) -> bool:
     """Tell whether what is known of a server holds for it as it is registered."""
     return backend is not None and load.incarnation == backend.incarnation
 
--- a/catkinslip/routing/sample.py
+++ b/catkinslip/routing/sample.py
@@ -32,14 +32,14 @@
     loads: list[BackendLoad] = Factory(list)
     drawn_at: float = NEVER
 
-    def take(self, servers: Sequence[BackendLoad], now: float) -> Sequence[BackendLoad]:
+    def get(self, servers: Sequence[BackendLoad], now: float) -> Sequence[BackendLoad]:
         """Return the sample of now; the servers must be more than its size."""
         if now - self.drawn_at >= SAMPLE_SECONDS:
             self._draw(servers)
             self.drawn_at = now
         return self.loads
 
-    def drop(self, load: BackendLoad) -> None:
+    def remove(self, load: BackendLoad) -> None:
         """Leave out a server that is gone."""
         if any(each is load for each in self.loads):
             self.loads = [each for each in self.loads if each is not load]
--- a/catkinslip/throttling/telling.py
+++ b/catkinslip/throttling/telling.py
@@ -132,7 +132,7 @@
         """
         now = self.clock.monotonic()
         for each in rates_from_plain(told['rates'], str(told['by'])):
-            router = self.directory.find_started(each.backend_id, each.start)
+            router = self.directory.find_router_of_start(each.backend_id, each.start)
             if router is not None:
                 load = router.load_by_id[each.backend_id]
                 router.throttle.book.heard(load, each, now)
@@ -170,7 +170,7 @@
         now = self.clock.monotonic()
         newer = []
         for each in doubts_from_plain(told['doubts']):
-            router = self.directory.find_started(each.backend_id, each.start)
+            router = self.directory.find_router_of_start(each.backend_id, each.start)
             if router is None:
                 continue
             rate = router.throttle.book.rate_by_id.get(each.backend_id)
--- a/tests/test_routing_policies.py
+++ b/tests/test_routing_policies.py
@@ -260,9 +260,9 @@
     def test_removed_server_leaves_the_sample(self):
         router = make_router(3 * SAMPLE_SIZE)
         pick(router, 1.0)
-        gone = router.sample.loads[0].backend_id
-        router.change(Service(2), {gone: None})
-        self.assertNotIn(gone, selections_by_id(router, 3 * SAMPLE_SIZE, 1.0))
+        removed = router.sample.loads[0].backend_id
+        router.change(Service(2), {removed: None})
+        self.assertNotIn(removed, selections_by_id(router, 3 * SAMPLE_SIZE, 1.0))
 
     def test_a_lone_server_outside_the_sample_is_found(self):
         router = make_router(3 * SAMPLE_SIZE)
--- a/tests/test_throttling_path.py
+++ b/tests/test_throttling_path.py
@@ -243,7 +243,7 @@
     def test_what_was_sent_before_counts_for_the_first_turn(self):
         load = BackendLoad('i-1', 'zone-a', 2)
         gate = sender_gate(0.5)
-        load.note_sent(NOW - 0.5)
+        load.record_sent(NOW - 0.5)
         gate.book.told(load, RateSign(1.0), AnswerKind.ANSWER, NOW, NOW)
         self.assertEqual(gate.closed(NOW + 1.4), ['i-1'])
         self.assertEqual(gate.closed(NOW + 1.5), [])
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -121,7 +121,7 @@
     def test_what_was_sent_before_it_turned_cold_counts(self):
         own, server = gate(Sender('zone-a', 0)), load()
         for step in range(20):
-            server.note_sent(NOW + step / 10)
+            server.record_sent(NOW + step / 10)
         own.mark_cold(server, 60.0, NOW + 2, 'test')
         self.assertEqual(own.closed(NOW + 2), ['i-1'])
         self.assertEqual(own.closed(NOW + 3.2), [])
