--- a/benchmarks/overload_instances.py
+++ b/benchmarks/overload_instances.py
@@ -40,7 +40,7 @@
 from catkinslip.throttling.messages import ToldRate
 from catkinslip.throttling.signs import AnswerKind
 from catkinslip.throttling.telling import REFRESH_SECONDS, told_of
-from catkinslip.warmup.senders import Place
+from catkinslip.warmup.senders import SenderPosition
 
 if TYPE_CHECKING:
     from benchmarks.overload_world import World
@@ -91,7 +91,7 @@
     bucket_by_id: dict[str, TokenBucket] = Factory(dict)
     spent: SpentTimes = Factory(lambda: SpentTimes(0.0))
     #: Its place among the senders of its zone to guarded servers.
-    place: Place | None = None
+    place: SenderPosition | None = None
     is_up: bool = True
     #: In the order of their arrival; a set would order them by their addresses.
     open_calls: dict[Call, None] = Factory(dict)
--- a/benchmarks/overload_world.py
+++ b/benchmarks/overload_world.py
@@ -29,7 +29,7 @@
 from catkinslip.throttling.shares import divide_rate
 from catkinslip.throttling.signs import NO_RATE
 from catkinslip.warmup.quotas import SENDERS_PER_ZONE, Sender
-from catkinslip.warmup.senders import Place
+from catkinslip.warmup.senders import SenderPosition
 from catkinslip.wiring.entry import (
     NEARLY_FULL_SHARE,
     NEARLY_FULL_SLOWNESS,
@@ -272,7 +272,7 @@
                 world, zone.name, Random(f'{seed} {zone.name} {number}')
             )
             if number < SENDERS_PER_ZONE:
-                instance.place = Place(Sender(zone.name, number), is_recent=True)
+                instance.place = SenderPosition(Sender(zone.name, number), is_recent=True)
             world.instances.append(instance)
             world.furnish(instance)
             world.after(world.random.random() * FLUSH_SECONDS, instance.share, None)
--- a/benchmarks/throttling.py
+++ b/benchmarks/throttling.py
@@ -20,7 +20,7 @@
 from catkinslip.throttling.shares import divide_rate
 from catkinslip.throttling.signs import AnswerKind, RateSign
 from catkinslip.warmup.quotas import Sender
-from catkinslip.warmup.senders import Place
+from catkinslip.warmup.senders import SenderPosition
 
 SERVERS = 564
 ZONES = ('a', 'b', 'c', 'd', 'e')
@@ -31,7 +31,7 @@
 NOW = 1000.0
 
 
-def make_router(in_need: int, place: Place | None) -> ServiceRouter:
+def make_router(in_need: int, place: SenderPosition | None) -> ServiceRouter:
     """Return the servers of one service, of which some name a rate."""
     random = Random(1)
     gate = ThrottleGate(
@@ -71,7 +71,7 @@
     """Print a row for each share of servers in need."""
     rows = []
     for in_need in (0, SERVERS // 3, SERVERS):
-        for place in (None, Place(Sender('a', 0), is_recent=True)):
+        for place in (None, SenderPosition(Sender('a', 0), is_recent=True)):
             microseconds = round(time_choice(make_router(in_need, place)))
             who = 'a sender' if place else 'no sender'
             print(f'{in_need:4} of {SERVERS} in need, {who:9} {microseconds:6} us')
--- a/catkinslip/discovery/instances.py
+++ b/catkinslip/discovery/instances.py
@@ -19,7 +19,7 @@
 )
 from catkinslip.models import Address
 from catkinslip.warmup.quotas import SENDERS_PER_ZONE, Sender
-from catkinslip.warmup.senders import Place, SenderLease
+from catkinslip.warmup.senders import SenderPosition, SenderLease
 
 #: Instances of a zone that read the store for all of it: each change wakes every
 #: reader, and each call is priced.
@@ -156,7 +156,7 @@
         """Take that the store itself told the list, which was asked for at a time."""
         self.is_own_listed = is_own_listed
         now = trio.current_time()
-        self.sender_lease.read(asked_at, now, is_listed=is_own_listed)
+        self.sender_lease.record_list(asked_at, now, is_listed=is_own_listed)
         self.note_change()
 
     def leave(self) -> None:
@@ -169,10 +169,10 @@
         now = trio.current_time()
         return self.sender_lease.sender(self.own.zone, self._rank_of_senders(), now)
 
-    def sender_place(self) -> Place | None:
+    def sender_place(self) -> SenderPosition | None:
         """Return the place, also where it rests on a list that may have changed."""
         now = trio.current_time()
-        return self.sender_lease.place(self.own.zone, self._rank_of_senders(), now)
+        return self.sender_lease.position(self.own.zone, self._rank_of_senders(), now)
 
     def may_be_sender(self) -> bool:
         """Tell whether this instance would be a sender if it read the list itself."""
--- a/catkinslip/throttling/gate.py
+++ b/catkinslip/throttling/gate.py
@@ -10,7 +10,7 @@
 from catkinslip.throttling.book import NamedRate, RateBook
 from catkinslip.throttling.shares import own_rate
 from catkinslip.warmup.quotas import Sender
-from catkinslip.warmup.senders import Place
+from catkinslip.warmup.senders import SenderPosition
 
 #: A server that nobody was heard of from for so long is asked by the next call that it
 #: could answer at once: its need may be over.
@@ -21,7 +21,7 @@
 Divide = Callable[[BackendLoad, float], Mapping[Sender, float]]
 
 
-def no_place() -> Place | None:
+def no_place() -> SenderPosition | None:
     """Return no place: the instance sends nothing to servers that name a rate."""
     return None
 
@@ -54,7 +54,7 @@
     reason = RestrictionReason.RATE
 
     divide: Divide = give_nobody
-    place: Callable[[], Place | None] = no_place
+    place: Callable[[], SenderPosition | None] = no_place
     book: RateBook = Factory(RateBook)
     server_by_id: dict[str, ThrottledServer] = Factory(dict)
 
@@ -128,7 +128,7 @@
         return server
 
     def _wait_seconds(
-        self, server: ThrottledServer, place: Place | None, now: float
+        self, server: ThrottledServer, place: SenderPosition | None, now: float
     ) -> float:
         """Return the time until another request may be sent; no end without a part."""
         per_second = server.rate.per_second
--- a/catkinslip/throttling/shares.py
+++ b/catkinslip/throttling/shares.py
@@ -18,7 +18,7 @@
 
 from catkinslip.addresses.rendezvous import weight
 from catkinslip.warmup.quotas import SENDERS_PER_ZONE, Sender
-from catkinslip.warmup.senders import Place
+from catkinslip.warmup.senders import SenderPosition
 
 #: A server that names less, or nothing at all, is asked so often whether it still does.
 LEAST_PER_SECOND = 0.1
@@ -52,7 +52,7 @@
     return dict.fromkeys(senders, used / max(1, len(senders)))
 
 
-def own_rate(rate_by_sender: dict[Sender, float], place: Place | None) -> float:
+def own_rate(rate_by_sender: dict[Sender, float], place: SenderPosition | None) -> float:
     """Return the requests a second of the instance with a place; none has none."""
     if place is None:
         return 0.0
--- a/catkinslip/warmup/quotas.py
+++ b/catkinslip/warmup/quotas.py
@@ -47,21 +47,21 @@
     The sum is at most the bound; who is not named may send none.
     """
     used = max(bound * USED_SHARE, min(bound, 1.0))
-    left = int(used)
+    remaining = int(used)
     quota_by_sender: dict[Sender, int] = {}
     near = int(used * near_share) // SENDERS_PER_ZONE
     for rank in range(SENDERS_PER_ZONE):
         quota_by_sender[Sender(zone, rank)] = near
-        left -= near
-    turns = list(in_turn(backend_id, zone, zones, has_near=near == 0))
-    while left > 0:
-        for sender in turns[:left]:
+        remaining -= near
+    turns = list(senders_in_turn(backend_id, zone, zones, has_near=near == 0))
+    while remaining > 0:
+        for sender in turns[:remaining]:
             quota_by_sender[sender] = quota_by_sender.get(sender, 0) + 1
-        left -= len(turns)
+        remaining -= len(turns)
     return quota_by_sender
 
 
-def in_turn(
+def senders_in_turn(
     backend_id: str, zone: str, zones: Collection[str], *, has_near: bool
 ) -> Iterator[Sender]:
     """Yield the senders in the order in which they get what the near ones leave."""
--- a/catkinslip/warmup/senders.py
+++ b/catkinslip/warmup/senders.py
@@ -22,7 +22,7 @@
 
 
 @frozen
-class Place:
+class SenderPosition:
     """What an instance knows of its own place among the senders of its zone."""
 
     sender: Sender
@@ -40,7 +40,7 @@
     listed_since: float = inf
     has_left: bool = False
 
-    def read(self, asked_at: float, now: float, *, is_listed: bool) -> None:
+    def record_list(self, asked_at: float, now: float, *, is_listed: bool) -> None:
         """Take a list that the store told, which was asked for at a time."""
         self.read_at = asked_at
         if not is_listed:
@@ -60,7 +60,7 @@
             return None
         return Sender(zone, rank)
 
-    def place(self, zone: str, rank: int, now: float) -> Place | None:
+    def position(self, zone: str, rank: int, now: float) -> SenderPosition | None:
         """Return the place, also the one that the instance had in the last list.
 
         Who had it when it last read a list keeps it where it reads none: all such
@@ -68,8 +68,8 @@
         """
         sender = self.sender(zone, rank, now)
         if sender is not None:
-            return Place(sender, is_recent=True)
-        had_place = self.read_at - self.listed_since >= LISTED_SECONDS
-        if self.has_left or not had_place or rank >= SENDERS_PER_ZONE:
+            return SenderPosition(sender, is_recent=True)
+        had_position = self.read_at - self.listed_since >= LISTED_SECONDS
+        if self.has_left or not had_position or rank >= SENDERS_PER_ZONE:
             return None
-        return Place(Sender(zone, rank), is_recent=False)
+        return SenderPosition(Sender(zone, rank), is_recent=False)
--- a/tests/sender_builders.py
+++ b/tests/sender_builders.py
@@ -22,32 +22,32 @@
     now: float = 0.0
     count: int = 0
 
-    def come(self, zone: str, cores: float) -> None:
+    def start_instance(self, zone: str, cores: float) -> None:
         """Start an instance, which puts itself into the list."""
         self.count += 1
         entry = evolve(instance_entry(f'e{self.count}', zone), cores=cores)
         self.table_by_id[entry.instance_id] = InstanceTable(entry)
         self._write({**self.lists[-1][1], entry.instance_id: entry})
 
-    def leave(self, instance_id: str) -> None:
+    def stop_instance(self, instance_id: str) -> None:
         """Stop an instance; it serves its last callers on."""
         self.table_by_id[instance_id].leave()
-        names = dict(self.lists[-1][1])
-        del names[instance_id]
-        self._write(names)
+        entry_by_id = dict(self.lists[-1][1])
+        del entry_by_id[instance_id]
+        self._write(entry_by_id)
 
-    def _write(self, names: dict) -> None:
-        self.lists.append((self.now, names))
+    def _write(self, entry_by_id: dict) -> None:
+        self.lists.append((self.now, entry_by_id))
 
     def read(self, table: InstanceTable) -> None:
         """Let an instance read a list that may be old."""
         made_at = self.now - self.random.uniform(0, STALE_LIST_SECONDS)
-        at, names = [each for each in self.lists if each[0] <= made_at][-1]
-        table.take_list(names.values(), round(at * 1000) + 1)
-        is_listed = table.own.instance_id in names
+        at, entry_by_id = [each for each in self.lists if each[0] <= made_at][-1]
+        table.take_list(entry_by_id.values(), round(at * 1000) + 1)
+        is_listed = table.own.instance_id in entry_by_id
         table.read_list(trio.current_time(), is_own_listed=is_listed)
 
     def senders(self) -> list[Sender]:
         """Return the places that instances take themselves to have."""
-        places = [table.sender() for table in self.table_by_id.values()]
-        return [place for place in places if place is not None]
+        positions = [table.sender() for table in self.table_by_id.values()]
+        return [position for position in positions if position is not None]
--- a/tests/test_throttling_path.py
+++ b/tests/test_throttling_path.py
@@ -30,7 +30,7 @@
 from catkinslip.throttling.telling import MOST_TOLD, RateTeller
 from catkinslip.warmup.gate import ColdGate
 from catkinslip.warmup.quotas import Sender
-from catkinslip.warmup.senders import Place
+from catkinslip.warmup.senders import SenderPosition
 from catkinslip.wiring.entry import Entry
 from standins.workers import Fault
 from tests.small_platform import SmallPlatform, on_platform, wait_for
@@ -42,7 +42,7 @@
 def sender_gate(per_second: float) -> ThrottleGate:
     """Return the gate of an instance that may send so much to a server in need."""
     return ThrottleGate(
-        lambda *_: {SENDER: per_second}, lambda: Place(SENDER, is_recent=True)
+        lambda *_: {SENDER: per_second}, lambda: SenderPosition(SENDER, is_recent=True)
     )
 
 
@@ -193,7 +193,7 @@
         permits = gates.reserve(load, NOW)
         gate.book.told(load, RateSign(1.0), AnswerKind.ANSWER, NOW, NOW)
         self.assertFalse(gates.may_send(load, permits, NOW))
-        gate.place = lambda: Place(SENDER, is_recent=True)
+        gate.place = lambda: SenderPosition(SENDER, is_recent=True)
         self.assertTrue(gates.may_send(load, permits, NOW))
         self.assertFalse(gates.may_send(load, permits, NOW + 0.9))
 
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -254,7 +254,7 @@
             random = Random(seed)
             site = Site(random, lists=[(-100.0, {})], table_by_id={})
             for number in range(INSTANCES):
-                site.come(random.choice(ZONES), 2.15 if number < 9 else 0.43)
+                site.start_instance(random.choice(ZONES), 2.15 if number < 9 else 0.43)
             parted = set()
             for _ in range(steps):
                 passed = random.choice((0.2, 1.0, 5.0))
@@ -266,16 +266,16 @@
                         site.read(table)
                 if random.random() < 0.3:
                     # Strong ones that come take the place of those that send.
-                    site.come(random.choice(ZONES), random.choice((2.15, 4.0)))
+                    site.start_instance(random.choice(ZONES), random.choice((2.15, 4.0)))
                 if random.random() < 0.2:
-                    site.leave(random.choice(list(site.lists[-1][1])))
+                    site.stop_instance(random.choice(list(site.lists[-1][1])))
                 parted ^= {random.choice(list(site.table_by_id))}
-                places = site.senders()
+                positions = site.senders()
                 for zone in ZONES:
-                    count = sum(place.zone == zone for place in places)
+                    count = sum(position.zone == zone for position in positions)
                     most_senders = max(most_senders, count)
                     parts = divide(BOUND, 'i-1', zone, ZONES)
-                    total = sum(parts.get(place, 0) for place in places)
+                    total = sum(parts.get(position, 0) for position in positions)
                     greatest = max(greatest, total)
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
@@ -294,7 +294,7 @@
     def test_instance_that_leaves_or_reads_no_list_is_no_sender(self):
         async def run():
             site = Site(Random(1), lists=[(-100.0, {})], table_by_id={})
-            site.come('zone-a', 1.0)
+            site.start_instance('zone-a', 1.0)
             (table,) = site.table_by_id.values()
             self.assertIsNone(table.sender())
             for _ in range(round(LISTED_SECONDS + STALE_LIST_SECONDS) + 2):
