--- a/benchmarks/overload_instances.py
+++ b/benchmarks/overload_instances.py
@@ -160,7 +160,13 @@
     def probed(self, probe: tuple[Desk, BackendLoad, Server, float]) -> None:
         """Let a server tell its load."""
         desk, load, server, hop = probe
-        told = (desk, load, server.report(), self.world.now, load.selections_since_report)
+        told = (
+            desk,
+            load,
+            server.report(),
+            self.world.now,
+            load.selections_since_report,
+        )
         self.world.after(hop, self.learn, told)
 
     def learn(self, told: tuple) -> None:
--- a/benchmarks/overload_world.py
+++ b/benchmarks/overload_world.py
@@ -272,7 +272,9 @@
                 world, zone.name, Random(f'{seed} {zone.name} {number}')
             )
             if number < SENDERS_PER_ZONE:
-                instance.place = SenderPosition(Sender(zone.name, number), is_recent=True)
+                instance.place = SenderPosition(
+                    Sender(zone.name, number), is_recent=True
+                )
             world.instances.append(instance)
             world.furnish(instance)
             world.after(world.random.random() * FLUSH_SECONDS, instance.share, None)
--- a/benchmarks/throttling.py
+++ b/benchmarks/throttling.py
@@ -49,7 +49,9 @@
     }
     router.update(Service(SLOTS), backend_by_id, NOW)
     for number, load in enumerate(router.loads):
-        router.apply_peer_report(load.backend_id, LoadReport(random.randrange(SLOTS), 1.0), NOW)
+        router.apply_peer_report(
+            load.backend_id, LoadReport(random.randrange(SLOTS), 1.0), NOW
+        )
         if number < in_need:
             sign = RateSign(PER_SECOND)
             gate.book.told(load, sign, AnswerKind.ANSWER, NOW, NOW)
--- a/catkinslip/discovery/instances.py
+++ b/catkinslip/discovery/instances.py
@@ -19,7 +19,7 @@
 )
 from catkinslip.models import Address
 from catkinslip.warmup.quotas import SENDERS_PER_ZONE, Sender
-from catkinslip.warmup.senders import SenderPosition, SenderLease
+from catkinslip.warmup.senders import SenderLease, SenderPosition
 
 #: Instances of a zone that read the store for all of it: each change wakes every
 #: reader, and each call is priced.
--- a/catkinslip/health/sampler.py
+++ b/catkinslip/health/sampler.py
@@ -100,7 +100,9 @@
 
     def _ask_doubted(self, router: ServiceRouter) -> None:
         """Ask some of the servers that may have become cold; no call waits for them."""
-        doubted = map(router.load_by_id.get, list(router.cold.possible_restart_at_by_id))
+        doubted = map(
+            router.load_by_id.get, list(router.cold.possible_restart_at_by_id)
+        )
         usable = [each for each in doubted if router.accepts_requests(each)]
         self._ask_beside(router, usable, DOUBTED_AT_ONCE)
 
@@ -302,7 +304,9 @@
         now = self.clock.monotonic()
         answered_at = (sent_at + now) / 2
         if answer.report is not None:
-            router.apply_peer_report(load.backend_id, answer.report, answered_at, picks_before)
+            router.apply_peer_report(
+                load.backend_id, answer.report, answered_at, picks_before
+            )
         router.apply_signals(load, answer.words, AnswerKind.PROBE, sent_at, now)
         if answer.words.is_leaving:
             self.health.leaves(load.backend_id)
--- a/catkinslip/proxy/forwarder.py
+++ b/catkinslip/proxy/forwarder.py
@@ -104,6 +104,6 @@
             sampler=self.sampler,
             random=self.random,
             guard=self.guard,
-            servers_outside=self.directory.servers_outside(call.service, call.regions),
+            outside=self.directory.servers_outside(call.service, call.regions),
         )
         return await runner.run()
--- a/catkinslip/routing/delay.py
+++ b/catkinslip/routing/delay.py
@@ -25,9 +25,9 @@
 from catkinslip.routing.evidence import (
     HIGHEST_UNDERREPORT_SHARE,
     LEAST_SHED_SHARE,
+    ReportTrust,
     ServiceTime,
     ShedShares,
-    ReportTrust,
     count_failure,
     shed_share,
 )
@@ -183,7 +183,9 @@
 
     def finished(self, load: BackendLoad, result: AttemptResult, now: float) -> None:
         """Learn from an answer, its latency and its load report."""
-        expected = load.expected_by_selection.popleft() if load.expected_by_selection else 0.0
+        expected = (
+            load.expected_by_selection.popleft() if load.expected_by_selection else 0.0
+        )
         if result.kind is ResultKind.CANCELLED:
             return
         count_failure(load, result.kind, now)
@@ -206,7 +208,9 @@
             load.speed = load.mean_speed = self.speed.value / slowness
 
 
-def irregular_delay(load: BackendLoad, delay: float, now: float, sheds: ShedShares) -> float:
+def irregular_delay(
+    load: BackendLoad, delay: float, now: float, sheds: ShedShares
+) -> float:
     """Return the delay at a server that failed, shed or contradicts its reports."""
     if now - load.answered_at > SPEED_FORGET_SECONDS:
         load.slowness = 1.0
--- a/catkinslip/routing/directory.py
+++ b/catkinslip/routing/directory.py
@@ -144,7 +144,9 @@
         backend = self.document.register.backends.get(backend_id)
         return None if backend is None else self.router_by_service.get(backend.service)
 
-    def find_router_of_start(self, backend_id: str, start_tag: int) -> ServiceRouter | None:
+    def find_router_of_start(
+        self, backend_id: str, start_tag: int
+    ) -> ServiceRouter | None:
         """Return the router of a server, if it has not started again since."""
         router = self.find_router(backend_id)
         if router is None or router.load_by_id[backend_id].start_tag != start_tag:
--- a/catkinslip/routing/evidence.py
+++ b/catkinslip/routing/evidence.py
@@ -54,7 +54,9 @@
         surely_there = load.in_flight - load.selections_since_report
         if surely_there > 0:
             is_underreport = report.in_flight < surely_there
-            load.underreport_share += TRUST_WEIGHT * (is_underreport - load.underreport_share)
+            load.underreport_share += TRUST_WEIGHT * (
+                is_underreport - load.underreport_share
+            )
         elif load.report is None:
             load.underreport_share = 0.0
 
--- a/catkinslip/routing/router.py
+++ b/catkinslip/routing/router.py
@@ -291,7 +291,9 @@
             self.policy.reported(load, report, at)
             load.report = report
             load.reported_at = at
-            load.selections_since_report = max(0, load.selections_since_report - selections_before)
+            load.selections_since_report = max(
+                0, load.selections_since_report - selections_before
+            )
         return is_new
 
     def _end_silence(self, load: BackendLoad, now: float) -> None:
--- a/catkinslip/throttling/shares.py
+++ b/catkinslip/throttling/shares.py
@@ -52,7 +52,9 @@
     return dict.fromkeys(senders, used / max(1, len(senders)))
 
 
-def own_rate(rate_by_sender: dict[Sender, float], place: SenderPosition | None) -> float:
+def own_rate(
+    rate_by_sender: dict[Sender, float], place: SenderPosition | None
+) -> float:
     """Return the requests a second of the instance with a place; none has none."""
     if place is None:
         return 0.0
--- a/catkinslip/warmup/gate.py
+++ b/catkinslip/warmup/gate.py
@@ -74,7 +74,9 @@
         for server in self.server_by_id.values():
             server.quota_by_sender = self._quotas(server.load)
 
-    def mark_cold(self, load: BackendLoad, seconds: float, now: float, why: str) -> None:
+    def mark_cold(
+        self, load: BackendLoad, seconds: float, now: float, why: str
+    ) -> None:
         """Take that a server stays cold for so long from now, or longer."""
         if seconds <= 0 or now + seconds <= load.cold_until:
             return
@@ -87,7 +89,9 @@
             )
         self._set(load, now + seconds)
 
-    def mark_possibly_restarted(self, loads: Iterable[BackendLoad], now: float, why: str) -> None:
+    def mark_possibly_restarted(
+        self, loads: Iterable[BackendLoad], now: float, why: str
+    ) -> None:
         """Take servers as just started until a probe tells."""
         if self.start_seconds <= 0:
             return
--- a/tests/test_health_sharing.py
+++ b/tests/test_health_sharing.py
@@ -105,9 +105,13 @@
         async def check(first, second):
             now = second.clock.monotonic()
             second.router.record_report('limits-1', LoadReport(0, 1.0), now, 0)
-            second.router.apply_peer_silence('limits-1', now + PEER_SILENCE_MIN_AGE_SECONDS / 2)
+            second.router.apply_peer_silence(
+                'limits-1', now + PEER_SILENCE_MIN_AGE_SECONDS / 2
+            )
             self.assertFalse(second.load().is_silent)
-            second.router.apply_peer_silence('limits-1', now + PEER_SILENCE_MIN_AGE_SECONDS * 2)
+            second.router.apply_peer_silence(
+                'limits-1', now + PEER_SILENCE_MIN_AGE_SECONDS * 2
+            )
             self.assertTrue(second.load().is_silent)
 
         between_two(check)
--- a/tests/test_health_tracker.py
+++ b/tests/test_health_tracker.py
@@ -209,7 +209,9 @@
         self.assertEqual(load.report, LoadReport(7.0))
         self.assertEqual(load.reported_at, self.clock.now - 1)
         self.assertEqual(load.selections_since_report, 3)
-        router.apply_peer_report('limits-1', LoadReport(4.0), self.clock.now, selections_before=2)
+        router.apply_peer_report(
+            'limits-1', LoadReport(4.0), self.clock.now, selections_before=2
+        )
         self.assertEqual(load.selections_since_report, 1)
         router.apply_peer_report('limits-1', LoadReport(9.0), self.clock.now - 2)
         self.assertEqual(load.report, LoadReport(4.0))
--- a/tests/test_resting_registry.py
+++ b/tests/test_resting_registry.py
@@ -49,11 +49,15 @@
 
     def ask(self, seconds: float, now: float = NOW) -> None:
         """Take a refusal that asks for rest."""
-        self.registry.apply_signal(self.load, RestSignal(seconds), AnswerKind.REFUSAL, now, now)
+        self.registry.apply_signal(
+            self.load, RestSignal(seconds), AnswerKind.REFUSAL, now, now
+        )
 
     def test_rest_lasts_as_long_as_it_was_asked_for(self):
         self.ask(3.0)
-        self.assertAlmostEqual(self.registry.find(self.load, NOW + 1).remaining(NOW + 1), 2.0)
+        self.assertAlmostEqual(
+            self.registry.find(self.load, NOW + 1).remaining(NOW + 1), 2.0
+        )
         self.assertIsNotNone(self.registry.find(self.load, NOW + 2.99))
         self.assertIsNone(self.registry.find(self.load, NOW + 3))
 
@@ -72,7 +76,9 @@
         self.ask(3.0)
         with self.assertLogs('resting', 'WARNING') as logs:
             for _ in range(3):
-                self.registry.apply_signal(self.load, MALFORMED_REST, AnswerKind.REFUSAL, NOW, NOW)
+                self.registry.apply_signal(
+                    self.load, MALFORMED_REST, AnswerKind.REFUSAL, NOW, NOW
+                )
         self.assertEqual(len(logs.records), 1)
         self.assertEqual(self.registry.events['malformed'], 3)
         self.assertIsNotNone(self.registry.find(self.load, NOW + 2))
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -266,7 +266,9 @@
                         site.read(table)
                 if random.random() < 0.3:
                     # Strong ones that come take the place of those that send.
-                    site.start_instance(random.choice(ZONES), random.choice((2.15, 4.0)))
+                    site.start_instance(
+                        random.choice(ZONES), random.choice((2.15, 4.0))
+                    )
                 if random.random() < 0.2:
                     site.stop_instance(random.choice(list(site.lists[-1][1])))
                 parted ^= {random.choice(list(site.table_by_id))}
