--- a/catkinslip/resting/__init__.py
+++ b/catkinslip/resting/__init__.py
@@ -1,1 +1,1 @@
-"""Servers that ask this instance for rest: what they asked, and what follows."""
+"""Servers that request a rest period from this instance."""
--- a/catkinslip/resting/gate.py
+++ b/catkinslip/resting/gate.py
@@ -1,8 +1,9 @@
-"""Keep requests from servers that asked this instance for rest.
+"""Gate that stops requests to servers in a rest period.
 
-Each instance is asked by itself, so nothing is divided and nobody else is told. When a
-rest is over the server may still turn all away, and all that waited would come at once:
-one request after the other tries it until it takes one.
+A server requests a rest period from each instance separately, so nothing is divided
+among instances and no other instance is informed. When a rest period ends the server
+may still refuse all requests, and all waiting requests would arrive at once. Therefore
+one trial request after the other is sent until the server accepts one.
 """
 
 from attrs import Factory, define
@@ -14,24 +15,24 @@
 
 @define
 class RestingServer(RestrictedServer):
-    """A server whose rest lasts: it may get nothing."""
+    """A server in a rest period, which gets no requests."""
 
     rest: Rest
 
     def count_sent(self, now: float) -> None:
-        """Count nothing: no request is sent to it."""
+        """Do nothing, as no request is sent during a rest period."""
 
 
 @define
 class RestGate(Gate):
-    """Keep requests from the servers of one service whose rest lasts."""
+    """Gate that stops requests to the servers of one service in a rest period."""
 
     reason = RestrictionReason.REST
 
     registry: RestRegistry = Factory(RestRegistry)
 
     def closed(self, now: float) -> list[str]:
-        """Return the servers that rest, or are being tried after it."""
+        """Return the IDs of the servers in a rest period or with a trial after it."""
         return [
             backend_id
             for backend_id, rest in self.registry.rest_by_id.items()
@@ -39,30 +40,33 @@
         ]
 
     def find(self, load: BackendLoad | None, now: float) -> RestingServer | None:
-        """Return a server as it is guarded; None if it is not."""
+        """Return the restriction of a server in a rest period, or None."""
         rest = self.registry.find(load, now)
         return None if rest is None else RestingServer(rest.load, rest)
 
     def has_room(self, server: RestrictedServer, now: float) -> bool:
-        """Tell that a resting server may get no request."""
+        """Return False, as a server in a rest period may get no request."""
         return False
 
     def takes_full_share(self, load: BackendLoad, now: float) -> bool:
-        """Tell whether a server takes its usual share of the load."""
+        """Return whether a server takes its usual share of the load."""
         return self.registry.find(load, now) is None
 
     def wait_seconds(self, load: BackendLoad, now: float) -> float:
-        """Return the seconds until the rest of a server ends."""
+        """Return the seconds until the rest period of a server ends."""
         rest = self.registry.find(load, now)
         return 0.0 if rest is None else rest.remaining(now)
 
     def may_probe(self, load: BackendLoad, now: float) -> bool:
-        """Tell whether a server may be probed: it wants nothing from this instance."""
+        """Return whether a server may be probed, i.e. is not in a rest period."""
         return self.registry.find(load, now) is None
 
     def restore(self, load: BackendLoad) -> None:
-        """Take a server that is new here; one that was here before may rest."""
+        """Restore the rest period of a new server that was registered here before."""
         self.registry.restore(load)
 
     def forget(self, load: BackendLoad) -> None:
-        """Keep what a server asked for: its entry may lapse and be back."""
+        """Keep the rest period of a removed server.
+
+        The entry of the server may expire and return.
+        """
--- a/catkinslip/resting/registry.py
+++ b/catkinslip/resting/registry.py
@@ -1,8 +1,9 @@
-"""Which servers of a service asked this instance for rest, and until when.
+"""Registry of the rest periods that the servers of a service requested.
 
-No answer shortens what another one asked for, and a success ends nothing: its request
-was sent before. A server's next start ends it. What a server asked for outlasts its
-entry, as entries lapse while the store is away and are back.
+No answer shortens a rest period that another one requested, and a success does not end
+one, as its request was sent before. The server's next start ends it. A rest period
+outlasts the server's entry, as entries expire while the store is unavailable and return
+afterwards.
 """
 
 import logging
@@ -14,11 +15,13 @@
 from catkinslip.routing.base import NEVER, BackendLoad
 from catkinslip.throttling.signs import AnswerKind
 
-#: A rest that has been over for so long is forgotten, whether or not it was tried.
+#: Seconds after its end at which a rest period is forgotten, whether or not a trial
+#: request was sent.
 EXPIRED_REST_KEPT_SECONDS = 60.0
 MAX_MALFORMED_IDS = 1000
 
-#: A probe tells nothing: servers that turn all away answer it as well.
+#: Kinds of answers that show that a server accepts requests. Answers to probes do not,
+#: as servers that refuse all requests answer probes too.
 ACCEPTED_KINDS = frozenset({AnswerKind.ANSWER, AnswerKind.FAILURE})
 
 log = logging.getLogger('resting')
@@ -26,7 +29,7 @@
 
 @define
 class Rest:
-    """The rest that one server asked for; monotonic seconds."""
+    """The rest period that one server requested; times are monotonic seconds."""
 
     load: BackendLoad
     began_at: float = NEVER
@@ -34,33 +37,34 @@
 
     @property
     def is_on_trial(self) -> bool:
-        """Tell whether a request is there that was sent after the rest."""
+        """Return whether a request sent after the rest period is in flight."""
         return self.load.in_flight > 0 and self.load.selected_at >= self.until
 
     def remaining(self, now: float) -> float:
-        """Return the seconds that the rest still lasts."""
+        """Return the remaining seconds of the rest period."""
         return max(0.0, self.until - now)
 
 
 @define
 class RestRegistry:
-    """Keep what the servers of one service asked for."""
+    """Rest periods of the servers of one service."""
 
     rest_by_id: dict[str, Rest] = Factory(dict)
-    #: Servers whose unreadable times were told in the log.
+    #: Servers whose malformed rest periods have been logged.
     malformed_ids: set[str] = Factory(set)
-    #: How often servers asked for rest, took requests again, or asked unreadably.
+    #: Number of requested rest periods, of servers that accepted requests again
+    #: afterwards, and of malformed rest periods.
     events: Counter[str] = Factory(Counter)
 
     def find(self, load: BackendLoad | None, now: float) -> Rest | None:
-        """Return the rest of a server; None if it rests not."""
+        """Return the current rest period of a server, or None."""
         if load is None or not self.rest_by_id:
             return None
         rest = self.rest_by_id.get(load.backend_id)
         return rest if rest is not None and now < rest.until else None
 
     def resting(self, now: float) -> list[Rest]:
-        """Return the rests that last."""
+        """Return the rest periods that have not ended."""
         return [each for each in self.rest_by_id.values() if now < each.until]
 
     def apply_signal(
@@ -71,7 +75,7 @@
         sent_at: float,
         now: float,
     ) -> None:
-        """Take what an answer asks for to a request that was sent at a time."""
+        """Apply the rest signal of an answer to a request sent at a given time."""
         if signal.is_malformed:
             self._record_malformed(load)
         elif signal.seconds:
@@ -80,14 +84,14 @@
             self._end_trial(load, sent_at, now)
 
     def restore(self, load: BackendLoad) -> None:
-        """Take a server that is new here; one that was here before may rest."""
+        """Restore the rest period of a new server that was registered here before."""
         rest = self.rest_by_id.pop(load.backend_id, None)
         if rest is not None and rest.load.incarnation == load.incarnation:
             rest.load = load
             self.rest_by_id[load.backend_id] = rest
 
     def forget_old(self, now: float) -> None:
-        """Forget rests that were over long ago."""
+        """Forget rest periods that ended long ago."""
         for backend_id, rest in list(self.rest_by_id.items()):
             if now - rest.until > EXPIRED_REST_KEPT_SECONDS:
                 del self.rest_by_id[backend_id]
@@ -98,7 +102,7 @@
             self.malformed_ids.clear()
         if load.backend_id not in self.malformed_ids:
             self.malformed_ids.add(load.backend_id)
-            log.warning('resting: unreadable time of rest. backend=%s', load.backend_id)
+            log.warning('resting: malformed rest period. backend=%s', load.backend_id)
 
     def _extend_rest(
         self, load: BackendLoad, seconds: float, kind: AnswerKind, now: float
@@ -110,7 +114,7 @@
         rest.until = max(rest.until, now + seconds)
         self.events['asked'] += 1
         log.info(
-            'resting: %s asks for rest. seconds=%g left_s=%.1f by=%s',
+            'resting: %s requested a rest period. seconds=%g left_s=%.1f by=%s',
             load.backend_id,
             seconds,
             rest.remaining(now),
@@ -118,14 +122,14 @@
         )
 
     def _end_trial(self, load: BackendLoad, sent_at: float, now: float) -> None:
-        """Take that a server took a request; after its rest that ends the trial."""
+        """End the trial of a server that accepted a request after its rest period."""
         rest = self.rest_by_id.get(load.backend_id)
         if rest is None or sent_at < rest.until:
             return
         del self.rest_by_id[load.backend_id]
         self.events['taken'] += 1
         log.info(
-            'resting: %s takes requests again. after_s=%.1f',
+            'resting: %s accepts requests again. after_s=%.1f',
             load.backend_id,
             now - rest.began_at,
         )
--- a/catkinslip/resting/signals.py
+++ b/catkinslip/resting/signals.py
@@ -1,11 +1,11 @@
-"""What answers say of the rest that their server wants."""
+"""Signals in answers that request a rest period."""
 
 from attrs import frozen
 
 
 @frozen
 class RestSignal:
-    """What one answer says: seconds without a request from here, or nothing."""
+    """Requested seconds without requests from this instance, or None for no rest."""
 
     seconds: float | None = None
     is_malformed: bool = False
--- a/catkinslip/routing/__init__.py
+++ b/catkinslip/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The choice of a backend server for each request."""
+"""Selection of a backend server for each request."""
--- a/catkinslip/routing/base.py
+++ b/catkinslip/routing/base.py
@@ -1,4 +1,4 @@
-"""What every policy of choice knows and decides."""
+"""Data types shared by the selection policies, and their common interface."""
 
 from abc import ABC, abstractmethod
 from collections import deque
@@ -9,12 +9,14 @@
 from attrs import Factory, define, frozen
 
 NEVER = float('-inf')
-#: A free slot at usual speed, in times of work on an idle server; no other server
-#: could be worth waiting for.
+#: Expected delay at a free slot of usual speed, in service times of an idle server. A
+#: server up to this delay is accepted without looking at further servers.
 GOOD_DELAY = 1.3
-#: Starts of a server are told apart by their last digits, which take few bytes.
+#: Modulus of the start tag: a few digits of the incarnation distinguish the starts of a
+#: server and take few bytes in a datagram.
 START_TAGS = 1000
-#: More than any instance may send to one cold server in a second.
+#: Number of send times kept for each server; more than any instance may send to one
+#: cold server in a second.
 SENT_TIMES_KEPT = 16
 
 
@@ -28,7 +30,7 @@
 
 @unique
 class ResultKind(Enum):
-    """How an attempt ended, as far as it speaks about the backend server."""
+    """Result of an attempt, as far as it indicates the state of the backend server."""
 
     ANSWERED = 'answered'
     FAILED = 'failed'
@@ -38,7 +40,7 @@
 
 @frozen
 class AttemptResult:
-    """How an attempt ended, after how many seconds, and the load report."""
+    """Result, latency in seconds and load report of an attempt."""
 
     kind: ResultKind
     latency: float
@@ -47,12 +49,12 @@
 
 @define
 class BackendLoad:
-    """What one instance knows of one backend server; times are in seconds."""
+    """State of one backend server as seen by this instance; times are in seconds."""
 
     backend_id: str
     zone: str
     slots: int
-    #: The start of the server that all this is known of.
+    #: Incarnation of the server that the state belongs to; it changes with each start.
     incarnation: int = 0
     in_flight: int = 0
     draining: bool = False
@@ -73,79 +75,83 @@
     slowness: float = 1.0
     is_irregular: bool = False
     failure_share: float = 0.0
-    #: The share of requests that it shed, and when that was learned last.
+    #: Share of requests that the server shed, and the time of the last update.
     shed_share: float = 0.0
     shed_at: float = NEVER
     pauses: int = 0
     paused_until: float = NEVER
-    #: Whether it has not answered since a probe waited for it in vain.
+    #: Whether the server has not answered since a probe of it timed out.
     is_silent: bool = False
-    #: When the last requests were sent to it; those of before it turned cold count.
+    #: Times of the last requests sent to the server. Those sent before it turned cold
+    #: count towards the quota of a cold server.
     sent_at: deque[float] | None = None
-    #: Until when it is taken to be slow after its start.
+    #: Time until which the server is treated as cold.
     cold_until: float = NEVER
-    #: The same as it told when it was asked from here.
+    #: End of the cold period that the server itself reported to this instance.
     reported_cold_until: float = NEVER
 
     def record_sent(self, now: float) -> None:
-        """Remember that a request is sent to it."""
+        """Record the time of a request to the server."""
         if self.sent_at is None:
             self.sent_at = deque(maxlen=SENT_TIMES_KEPT)
         self.sent_at.append(now)
 
     @property
     def start_tag(self) -> int:
-        """Return what tells one start of the server from another in a datagram."""
+        """Return the number that identifies this start of the server in a datagram."""
         return self.incarnation % START_TAGS
 
     def is_cold(self, now: float) -> bool:
-        """Tell whether it is taken to be slow after its start."""
+        """Return whether the server is treated as cold, i.e. slow after its start."""
         return now < self.cold_until
 
 
 class Estimate(NamedTuple):
-    """What is expected at one candidate; a tuple, as it is made for each of them."""
+    """Expected delay and load of one candidate.
+
+    A named tuple, as one is created for each candidate of each request.
+    """
 
     load: BackendLoad
-    #: Expected time until an answer, in times of work on an idle server.
+    #: Expected time until an answer, in service times of an idle server.
     delay: float
     in_flight: float
 
 
 @frozen
 class Choice:
-    """A chosen backend server and why; the reason is formatted when printed."""
+    """A chosen backend server and the reason, which is formatted only when printed."""
 
     backend_id: str
     reason: object
-    #: Expected time until an answer, in times of work on an idle server.
+    #: Expected time until an answer, in service times of an idle server.
     delay: float = 1.0
 
 
 class Policy(ABC):
-    """Choose a backend server for each request of one service."""
+    """Policy that selects a backend server for each request of one service."""
 
     @abstractmethod
     def choose(self, candidates: Sequence[BackendLoad], now: float) -> Choice:
-        """Choose one of at least one candidate."""
+        """Return the choice among at least one candidate."""
 
     def rank(self, candidates: Sequence[BackendLoad], now: float) -> list[Estimate]:
-        """Return what is expected at each candidate, the best first."""
+        """Return the estimates of the candidates, the shortest delay first."""
         return [Estimate(load, 1.0, load.in_flight) for load in candidates]
 
     def choice_of(self, estimate: Estimate, now: float) -> Choice:
-        """Return a ranked candidate as a choice."""
+        """Return the choice of a ranked candidate."""
         return Choice(estimate.load.backend_id, 'ranked', estimate.delay)
 
     def started(self, load: BackendLoad, now: float) -> None:  # noqa: B027
-        """Learn that a request was sent."""
+        """Record that a request was sent to a server."""
 
     def finished(  # noqa: B027
         self, load: BackendLoad, result: AttemptResult, now: float
     ) -> None:
-        """Learn how a request ended."""
+        """Record how a request to a server ended."""
 
     def reported(  # noqa: B027
         self, load: BackendLoad, report: LoadReport, at: float
     ) -> None:
-        """Learn from a load report, before it replaces the last."""
+        """Record a load report of a server, before it replaces the previous one."""
--- a/catkinslip/routing/choices.py
+++ b/catkinslip/routing/choices.py
@@ -1,4 +1,4 @@
-"""Make the policy that the settings name."""
+"""Creation of the selection policy that the settings name."""
 
 from random import Random
 from typing import Protocol
@@ -21,7 +21,7 @@
 
 
 class PolicySettings(Protocol):
-    """What the choice takes from the daemon's settings."""
+    """The daemon's settings that the selection of servers uses."""
 
     zone: str
     policy: str
@@ -30,7 +30,7 @@
 
 
 def make_policy(settings: PolicySettings, random: Random) -> Policy:
-    """Return the policy of one service."""
+    """Return the selection policy of one service."""
     baseline = BASELINE_BY_NAME.get(settings.policy)
     if baseline is not None:
         return baseline(random)
--- a/catkinslip/routing/delay.py
+++ b/catkinslip/routing/delay.py
@@ -1,8 +1,9 @@
-"""The policy that chooses the shortest expected delay.
+"""Selection policy that minimizes the expected delay.
 
-A report in an answer is old when the next request comes. So its requests in
-flight decay to the mean of all reports, and its speed to the mean of the same
-server, while own picks since the report count in full.
+A load report is out of date when the next request arrives. The reported requests in
+flight therefore decay towards the mean over all reports, and the reported speed towards
+the mean of the same server. Requests that this instance sent since the report count in
+full.
 """
 
 from collections.abc import Sequence
@@ -39,7 +40,8 @@
 
 ZONE_HOP_SECONDS = 0.001
 REPORT_MEMORY_SECONDS = 0.03
-#: A hop weighs more where more servers than this are near, up to so many times.
+#: With more servers than this in the local zone, the delay of a hop to another zone
+#: weighs more, up to MOST_HOP_FACTOR times.
 FEW_NEAR_SERVERS = 12
 MOST_HOP_FACTOR = 4.0
 MOST_INFERRED_SLOWNESS = 1.2
@@ -49,7 +51,7 @@
 
 @frozen
 class DelayReason:
-    """Why a server has the shortest expected delay; delays in service times."""
+    """The load and delay that made a server the best; delays are in service times."""
 
     delay: float
     in_flight: float
@@ -72,7 +74,7 @@
 
 
 def choose_estimate(chosen: Estimate, following: Estimate | None, now: float) -> Choice:
-    """Choose a candidate, with the next best one as the reason."""
+    """Return the choice of an estimated candidate, with the next best in its reason."""
     chosen.load.expected_in_flight = chosen.in_flight
     reason = DelayReason(
         chosen.delay,
@@ -87,16 +89,17 @@
 
 @define
 class ExpectedDelay(Policy):
-    """Choose the shortest expected delay: queue ahead over slots, over speed."""
+    """Policy that minimizes the expected delay: queue length by slots, by speed."""
 
     random: Random
     zone: str = ''
     zone_hop: float = ZONE_HOP_SECONDS
     report_memory: float = REPORT_MEMORY_SECONDS
     weigh_speed: bool = True
-    #: Whether the share counts that a server sheds.
+    #: Whether a server's shed share increases its expected delay.
     weigh_sheds: bool = True
-    #: A server of which more than this share is in use takes so much longer.
+    #: Share of slots in use above which the expected delay of a server is multiplied by
+    #: nearly_full_slowness.
     nearly_full_share: float = 1.0
     nearly_full_slowness: float = 1.0
     in_flight: InFlightMean = Factory(InFlightMean)
@@ -106,17 +109,17 @@
     sheds: ShedShares = Factory(ShedShares)
 
     def choose(self, candidates: Sequence[BackendLoad], now: float) -> Choice:
-        """Choose one of at least one candidate."""
-        # Ties go to any of them: the estimates begin at a random candidate.
+        """Return the choice with the shortest expected delay."""
+        # The estimates begin at a random candidate, so ties are broken at random.
         first, *others = nsmallest(2, self._estimates(candidates, now), key=by_delay)
         return choose_estimate(first, others[0] if others else None, now)
 
     def choice_of(self, estimate: Estimate, now: float) -> Choice:
-        """Return a ranked candidate as a choice."""
+        """Return the choice of a ranked candidate."""
         return choose_estimate(estimate, None, now)
 
     def rank(self, candidates: Sequence[BackendLoad], now: float) -> list[Estimate]:
-        """Return what is expected at each candidate, the best first."""
+        """Return the estimates of the candidates, the shortest delay first."""
         return sorted(self._estimates(candidates, now), key=by_delay)
 
     def _estimates(
@@ -131,7 +134,7 @@
         zone = self.zone or candidates[0].zone
         far_delay = self._far_delay(candidates) if self.zone else 0.0
         estimates = []
-        # One pass almost without calls: it runs for each request.
+        # One pass almost without function calls, as it runs for each request.
         for load in (*candidates[start:], *candidates[:start]):
             age = now - load.reported_at
             excess = load.reported_in_flight - mean_in_flight
@@ -152,19 +155,19 @@
         return estimates
 
     def _far_delay(self, candidates: Sequence[BackendLoad]) -> float:
-        """Return what a server of another zone must be better by.
+        """Return the delay added to servers of other zones, in service times.
 
-        The more servers there are near, the sooner one of them is as good.
+        The more servers the local zone has, the sooner one of them is as good.
         """
         near = sum(load.zone == self.zone for load in candidates)
         if not near:
-            # What all have in common would only make each call look late.
+            # A delay that all candidates share would only make every call look late.
             return 0.0
         factor = min(max(near / FEW_NEAR_SERVERS, 1.0), MOST_HOP_FACTOR)
         return self.zone_hop * factor / self.service_time.mean
 
     def _delay_in_use(self, in_flight: float, slots: int) -> float:
-        """Return the delay at a server of usual speed with requests in flight."""
+        """Return the delay at a server of usual speed with some requests in flight."""
         delay = 1 + IDLE_SHARE * in_flight
         if in_flight + 1 > slots:
             delay += (in_flight + 1 - slots) / slots
@@ -178,11 +181,11 @@
         return local_estimate + (in_flight - local_estimate) * trust
 
     def started(self, load: BackendLoad, now: float) -> None:
-        """Remember what was expected when a request was sent."""
+        """Record the requests in flight expected when a request was sent."""
         load.expected_by_selection.append(load.expected_in_flight)
 
     def finished(self, load: BackendLoad, result: AttemptResult, now: float) -> None:
-        """Learn from an answer, its latency and its load report."""
+        """Record an answer, its latency and its load report."""
         expected = (
             load.expected_by_selection.popleft() if load.expected_by_selection else 0.0
         )
@@ -196,7 +199,7 @@
             self.service_time.record(load, result, expected, now)
 
     def reported(self, load: BackendLoad, report: LoadReport, at: float) -> None:
-        """Learn from a load report, before it replaces the last."""
+        """Record a load report of a server, before it replaces the previous one."""
         self.in_flight.record(load, report)
         load.reported_in_flight = report.in_flight
         if not self.weigh_speed:
--- a/catkinslip/routing/directory.py
+++ b/catkinslip/routing/directory.py
@@ -1,4 +1,4 @@
-"""The routers of all services, kept in step with the configuration."""
+"""The routers of all services, kept up to date with the configuration."""
 
 import logging
 from collections.abc import Callable, Collection, Mapping
@@ -23,13 +23,13 @@
 
 
 def no_bound(requests_per_second: float) -> float:
-    """Return that cold servers get as many requests as others."""
+    """Return infinity: cold servers get as many requests as others."""
     return inf
 
 
 @define
 class Directory:
-    """Hold one router per service and the address of each backend server."""
+    """The router of each service and the address of each backend server."""
 
     make_policy: Callable[[], Policy]
     router_by_service: dict[str, ServiceRouter] = Factory(dict)
@@ -37,27 +37,28 @@
     rest_by_service: dict[str, RestGate] = Factory(dict)
     address_by_backend: dict[str, Address] = Factory(dict)
     document: Document = Factory(Document)
-    #: Where each service's choice among many servers begins.
+    #: Factory of the sample of servers that a service's selection starts with.
     make_sample: Callable[[], Sample] = lambda: Sample(Random())
     on_load_change: Callable[[BackendLoad], None] = ignore_load_change
-    #: Makes what keeps requests from the cold servers of a service.
+    #: Factory of the gate that limits requests to the cold servers of a service.
     make_cold_gate: Callable[[], ColdGate] = ColdGate
-    #: Learns what answers say of the rates that servers name.
+    #: Callback for what answers report about the request rates that servers advertise.
     on_rate_seen: OnSeen = ignore_seen
-    #: Makes what keeps requests from servers of a service that name a rate.
+    #: Factory of the gate that limits requests to throttled servers of a service.
     make_throttle: Callable[[], ThrottleGate] = ThrottleGate
-    #: Requests to one cold server in any second, from what it bears in one.
+    #: Function from the requests that a cold server handles in a second to the bound on
+    #: requests to it in any second.
     cold_bound: Callable[[float], float] = no_bound
     clock: Clock = Factory(SystemClock)
-    #: Returns the region of each availability zone, as far as known.
+    #: Function that returns the known region of each availability zone.
     region_by_zone: Callable[[], Mapping[str, str]] = dict
-    #: Availability zones whose servers get nothing new.
+    #: Availability zones whose servers get no new requests.
     closed_zones: frozenset[str] = frozenset()
     #: Whether any configuration is in force.
     is_ready: bool = False
 
     def update(self, config: AcceptedConfig) -> None:
-        """Take over what a new configuration changes."""
+        """Apply the changes of a new configuration."""
         before, document = self.document, config.document
         difference = compare(before, document)
         self.document = document
@@ -101,14 +102,14 @@
                 closed_zones=self.closed_zones,
                 cold=self.make_cold_gate(),
                 throttle=throttle,
-                # What servers asked for, also of a service that is back.
+                # Rest periods survive the removal and return of a service.
                 rest=self.rest_by_service.setdefault(service, RestGate()),
             )
             self.router_by_service[service] = router
         return router
 
     def _throttle(self, service: str) -> ThrottleGate:
-        """Return what is known of servers in need, also of a service that is back."""
+        """Return the throttle gate of a service, which outlasts the router."""
         throttle = self.throttle_by_service.get(service)
         if throttle is None:
             throttle = self.make_throttle()
@@ -127,9 +128,9 @@
                 self.address_by_backend[backend_id] = address
 
     def servers_outside(self, service: str, regions: Collection[str]) -> frozenset[str]:
-        """Return the servers of a service that stand in none of some regions.
+        """Return the servers of a service whose zone is in none of some regions.
 
-        A zone whose region is not known is in none.
+        A zone whose region is unknown is in none of them.
         """
         router = self.router_by_service.get(service)
         if router is None or not regions:
@@ -140,28 +141,28 @@
         return router.servers_outside(zones)
 
     def find_router(self, backend_id: str) -> ServiceRouter | None:
-        """Return the router that chooses among a server and others."""
+        """Return the router of the service that a server belongs to."""
         backend = self.document.register.backends.get(backend_id)
         return None if backend is None else self.router_by_service.get(backend.service)
 
     def find_router_of_start(
         self, backend_id: str, start_tag: int
     ) -> ServiceRouter | None:
-        """Return the router of a server, if it has not started again since."""
+        """Return the router of a server, or None if the server restarted since."""
         router = self.find_router(backend_id)
         if router is None or router.load_by_id[backend_id].start_tag != start_tag:
             return None
         return router
 
     def set_draining(self, service: str, backend_id: str, draining: bool) -> None:
-        """Give a backend server new work, or none."""
+        """Set whether a backend server drains and gets no new requests."""
         router = self.router_by_service.get(service)
         if router is not None and backend_id in router.load_by_id:
             router.load_by_id[backend_id].draining = draining
 
 
 def backends_of(service: str, document: Document) -> dict[str, Backend]:
-    """Return the backend servers of a service."""
+    """Return the backend servers of a service, by ID."""
     return {
         backend_id: backend
         for backend_id, backend in document.register.backends.items()
@@ -172,7 +173,7 @@
 def changes_by_service(
     before: Document, after: Document, difference: DocumentDifference
 ) -> dict[str, dict[str, Backend | None]]:
-    """Return what changed for each service; None stands for a server that is gone."""
+    """Return the changed servers of each service; None marks a removed server."""
     changes: dict[str, dict[str, Backend | None]] = {}
     for backend_id in difference.backends:
         old = before.register.backends.get(backend_id)
--- a/catkinslip/routing/evidence.py
+++ b/catkinslip/routing/evidence.py
@@ -1,4 +1,4 @@
-"""What an instance's own answers say of a backend server, beside its reports."""
+"""Evidence about backend servers from answers, apart from their load reports."""
 
 from math import exp
 
@@ -23,30 +23,31 @@
 LONGEST_FAILURE_PAUSE_SECONDS = 30.0
 SHED_PAUSE_SECONDS = 0.05
 LONGEST_SHED_PAUSE_SECONDS = 1.0
-#: One request replaces so much of the share that a server is known to shed.
+#: Weight of one request in the moving average of a server's shed share.
 SHED_WEIGHT = 0.3
-#: What a server shed is half forgotten after some seconds without a request there.
+#: Time constant, in seconds, at which a server's shed share decays while it gets no
+#: requests.
 SHED_MEMORY_SECONDS = 4.0
-#: A smaller share is taken for none.
+#: Shed share up to which a server is treated as shedding nothing.
 LEAST_SHED_SHARE = 0.05
-#: One request replaces so much of the share that all servers shed.
+#: Weight of one request in the moving average of the shed share of all servers.
 SHED_MEAN_WEIGHT = 0.02
-#: A server that sheds everything is expected to take this share.
+#: Share of requests that a server which sheds everything is still expected to accept.
 LEAST_ACCEPTED_SHARE = 0.1
 
 
 @define
 class ReportTrust:
-    """Check reports against own requests in flight.
+    """Check of load reports against this instance's requests in flight.
 
-    A server that holds requests of this instance cannot hold fewer. Requests sent
-    since the last report may still be on their way and are not counted.
+    A server that holds some requests of this instance cannot report fewer. Requests
+    sent since the last report may not have arrived yet and are not counted.
     """
 
     mean_local: float = 0.0
 
     def record(self, load: BackendLoad, report: LoadReport | None) -> None:
-        """Take a report, or the lack of one, before it replaces the last."""
+        """Record a load report, or its absence as None, before it replaces the last."""
         self.mean_local += LOCAL_WEIGHT * (load.in_flight - self.mean_local)
         if report is None:
             load.underreport_share = 1.0
@@ -61,16 +62,16 @@
             load.underreport_share = 0.0
 
     def scale(self, mean_reported: float) -> float:
-        """Return requests in flight of all instances for each own one."""
+        """Return the ratio of all requests in flight to local ones, at least 1."""
         return max(1.0, mean_reported / max(self.mean_local, LEAST_LOCAL))
 
 
 @define
 class ServiceTime:
-    """Infer how slow a server is from latency without the expected queue.
+    """Estimate of each server's slowness from latency, less the expected queue.
 
-    A queue of n requests before c slots takes n / c service times, so a latency
-    over that is one service time. The mean over all servers is the yardstick.
+    A queue of n requests before c slots takes n / c service times, so the latency
+    divided by that is one service time. The mean over all servers is the reference.
     """
 
     mean: float = FIRST_SERVICE_SECONDS
@@ -79,7 +80,7 @@
     def record(
         self, load: BackendLoad, result: AttemptResult, expected: float, now: float
     ) -> None:
-        """Take an answer to a request that was expected to find some in flight."""
+        """Record an answer and the requests in flight expected before its request."""
         report = result.report
         sample = result.latency / max(1.0, (expected + 1) / load.slots)
         if report is not None and report.speed is not None:
@@ -102,20 +103,20 @@
 
 @define
 class ShedShares:
-    """Learn which share of its requests each server sheds, and all of them.
+    """Shed share of each server, and the mean over all servers.
 
-    Load: some servers refuse part of what comes, whatever room they have, and look idle
-    for that; a pause after each shed ends with the next answer. Where all servers do,
-    none is worse for it, and a call must not look late.
+    Some servers refuse part of their requests however many slots are free, and look
+    idle because of that; a pause after each shed request ends with the next answer.
+    Where all servers shed alike, none is worse for it, and a call must not look late.
 
-    While half of 297 servers shed 55 % of what comes callers get 0.931 of their worth
-    with it and 0.838 without (overload benchmark, three seeds).
+    While half of 297 servers shed 55 % of their requests, callers got 0.931 of the
+    total value of their requests with this estimate and 0.838 without (three seeds).
     """
 
     mean: float = 0.0
 
     def record(self, load: BackendLoad, kind: ResultKind, now: float) -> None:
-        """Take how a request ended at a server."""
+        """Record whether a request to a server was answered or shed."""
         if kind not in (ResultKind.SHED, ResultKind.ANSWERED):
             return
         is_shed = kind is ResultKind.SHED
@@ -126,19 +127,19 @@
         load.is_irregular = load.is_irregular or load.shed_share > LEAST_SHED_SHARE
 
     def factor(self, share: float) -> float:
-        """Return how many more sends a server needs until it takes one than others."""
+        """Return how often a request must be sent, relative to a typical server."""
         return max(1.0, (1 - self.mean) / max(1 - share, LEAST_ACCEPTED_SHARE))
 
 
 def shed_share(load: BackendLoad, now: float) -> float:
-    """Return the share that a server sheds; it is forgotten with time."""
+    """Return the current share of requests that a server sheds; it decays with time."""
     if not load.shed_share:
         return 0.0
     return load.shed_share * exp((load.shed_at - now) / SHED_MEMORY_SECONDS)
 
 
 def count_failure(load: BackendLoad, kind: ResultKind, now: float) -> None:
-    """Avoid a server that fails or sheds for a while, longer each time."""
+    """Pause a server that fails or sheds, longer each time."""
     failed = kind is ResultKind.FAILED
     load.failure_share += FAILURE_WEIGHT * (failed - load.failure_share)
     if kind is ResultKind.ANSWERED:
@@ -150,7 +151,7 @@
 
 
 def pause(load: BackendLoad, now: float, shortest: float, longest: float) -> None:
-    """Pause a server; answers to requests sent before do not count twice."""
+    """Pause a server unless it is paused, so that earlier requests count once."""
     if now < load.paused_until:
         return
     load.is_irregular = True
--- a/catkinslip/routing/gates.py
+++ b/catkinslip/routing/gates.py
@@ -1,14 +1,16 @@
-"""Servers that may get only so many requests, and leave to send them one.
+"""Gates that limit the requests to some servers, and permits for single requests.
 
-What narrows what a server may be sent, in the order in which it is asked right before
-the first byte (`ServiceRouter.may_send`):
+Restrictions are checked in this order right before the first byte of a request
+(`ServiceRouter.may_send`):
 
-1. its entry: gone, started again, draining; its own word that it leaves (`health/`);
+1. the server's entry: removed, restarted, draining, or leaving by its own signal
+   (`health/`);
 2. the operators: its availability zone is evacuated;
-3. it names a rate (`throttling/`), is cold (`warmup/`), wants rest (`resting/`): gates.
+3. the gates: the server advertises a rate (`throttling/`), is cold (`warmup/`) or is
+   in a rest period (`resting/`).
 
-Servers that requests end are looked at before the choice (`crashes/`), as that is about
-the request.
+Servers that a request may crash are excluded before the selection (`crashes/`), as that
+depends on the request.
 """
 
 from abc import ABC, abstractmethod
@@ -23,7 +25,7 @@
 
 @unique
 class RestrictionReason(Enum):
-    """Why a server may get only so many requests."""
+    """Reasons why requests to a server are limited."""
 
     COLD = 'cold'
     RATE = 'rate'
@@ -32,7 +34,7 @@
 
 @frozen
 class Closure:
-    """Servers that one gate keeps requests from; seconds until the first has room."""
+    """Servers closed by one gate, and the seconds until the first may get a request."""
 
     reason: RestrictionReason
     servers: int
@@ -41,10 +43,10 @@
 
 @define
 class RestrictedServer(ABC):
-    """A server that may get only so many requests."""
+    """A server that may get only a limited number of requests."""
 
     load: BackendLoad
-    #: Requests that were promised to it and are not sent yet.
+    #: Number of requests that hold a permit for the server and are not sent yet.
     reserved: int = field(default=0, kw_only=True)
 
     @abstractmethod
@@ -54,63 +56,66 @@
 
 @define(eq=False)
 class Permit:
-    """Leave to send one request to a guarded server."""
+    """Permit to send one request to a restricted server."""
 
     server: RestrictedServer
     is_open: bool = True
 
     def use(self, now: float) -> None:
-        """Count the request right before its first byte."""
+        """Use the permit and count its request, right before the first byte."""
         self.is_open = False
         self.server.reserved -= 1
         self.server.count_sent(now)
 
     def release(self) -> None:
-        """Send nothing; one that was used stays so."""
+        """Release the permit unused; a used permit stays used."""
         if self.is_open:
             self.is_open = False
             self.server.reserved -= 1
 
 
 class Gate(ABC):
-    """Keep requests from the guarded servers of one service, of one kind."""
+    """Limit on the requests to the servers of one service that have one restriction."""
 
     reason: ClassVar[RestrictionReason]
 
     @abstractmethod
     def closed(self, now: float) -> list[str]:
-        """Return the guarded servers that this instance may send nothing now."""
+        """Return the IDs of the restricted servers that may get no request now."""
 
     @abstractmethod
     def find(self, load: BackendLoad | None, now: float) -> RestrictedServer | None:
-        """Return a server as it is guarded; None if it is not."""
+        """Return the restriction of a server, or None if there is no restriction."""
 
     @abstractmethod
     def has_room(self, server: RestrictedServer, now: float) -> bool:
-        """Tell whether this instance may send another request."""
+        """Return whether this instance may send another request to a server."""
 
     @abstractmethod
     def forget(self, load: BackendLoad) -> None:
-        """Forget a server that is gone."""
+        """Forget the restriction of a removed server."""
 
     def restore(self, load: BackendLoad) -> None:
-        """Take a server that is new here; one that was here before may be guarded."""
+        """Restore the restriction of a new server that was registered here before."""
         return
 
     def takes_full_share(self, load: BackendLoad, now: float) -> bool:
-        """Tell whether a server takes its usual share of the load."""
+        """Return whether a server takes its usual share of the load."""
         return True
 
     def may_probe(self, load: BackendLoad, now: float) -> bool:
-        """Tell whether a server may be probed; most want requests to be few."""
+        """Return whether a server may be probed despite its restriction.
+
+        Most restrictions allow probes, as they only require requests to be few.
+        """
         return True
 
     def wait_seconds(self, load: BackendLoad, now: float) -> float:
-        """Return the seconds until a closed server may have room, as far as known."""
+        """Return the seconds until a closed server may get a request, if known."""
         return 0.0
 
     def reserve(self, load: BackendLoad | None, now: float) -> Permit | None:
-        """Return leave for one request; None where none is needed, or none is left."""
+        """Return a permit for one request, or None if none is needed or available."""
         server = self.find(load, now)
         if server is None or not self.has_room(server, now):
             return None
@@ -120,10 +125,10 @@
     def has_permit(
         self, load: BackendLoad | None, permit: Permit | None, now: float
     ) -> bool:
-        """Tell whether the first byte may be sent now."""
+        """Return whether the first byte of a request may be sent now."""
         if permit is not None and permit.is_open:
             return True
-        # It is guarded since the choice, or the request goes there once more.
+        # The restriction began after the selection, or the request is sent there again.
         server = self.find(load, now)
         return server is None or self.has_room(server, now)
 
@@ -141,7 +146,7 @@
     def may_send(
         self, load: BackendLoad | None, permit: Permit | None, now: float
     ) -> bool:
-        """Tell whether the first byte may be sent now, and count the request."""
+        """Return whether the first byte may be sent now; count the request if so."""
         if not self.has_permit(load, permit, now):
             return False
         self.count(load, permit, now)
@@ -153,38 +158,38 @@
 
 @define
 class Gates:
-    """The gates of one service; a request needs leave of each of them."""
+    """The gates of one service; a request must pass each of them."""
 
     gates: tuple[Gate, ...]
 
     def closed(self, now: float) -> list[str]:
-        """Return the servers that this instance may send nothing now."""
+        """Return the IDs of the servers that may get no request now."""
         return [each for gate in self.gates for each in gate.closed(now)]
 
     def forget(self, load: BackendLoad) -> None:
-        """Forget a server that is gone."""
+        """Forget the restrictions of a removed server."""
         for gate in self.gates:
             gate.forget(load)
 
     def restore(self, load: BackendLoad) -> None:
-        """Take a server that is new here; one that was here before may be guarded."""
+        """Restore the restrictions of a new server that was registered here before."""
         for gate in self.gates:
             gate.restore(load)
 
     def takes_full_share(self, load: BackendLoad, now: float) -> bool:
-        """Tell whether a server takes its usual share of the load."""
+        """Return whether a server takes its usual share of the load."""
         return all(gate.takes_full_share(load, now) for gate in self.gates)
 
     def may_probe(self, load: BackendLoad, now: float) -> bool:
-        """Tell whether a server may be probed."""
+        """Return whether a server may be probed."""
         return all(gate.may_probe(load, now) for gate in self.gates)
 
     def reserve(self, load: BackendLoad | None, now: float) -> Permits:
-        """Return leave for one request, one of each gate."""
+        """Return the permits for one request, one of each gate."""
         return [gate.reserve(load, now) for gate in self.gates]
 
     def may_send(self, load: BackendLoad | None, permits: Permits, now: float) -> bool:
-        """Tell whether the first byte may be sent now, and count the request."""
+        """Return whether the first byte may be sent now; count the request if so."""
         pairs = zip(self.gates, permits, strict=True)
         if not all(gate.has_permit(load, permit, now) for gate, permit in pairs):
             return False
@@ -194,7 +199,7 @@
 
 
 def release_permits(permits: Permits) -> None:
-    """Send nothing with these; those that were used stay so."""
+    """Release the permits of a request that is not sent; used permits stay used."""
     for permit in permits:
         if permit is not None:
             permit.release()
--- a/catkinslip/routing/policies.py
+++ b/catkinslip/routing/policies.py
@@ -1,4 +1,4 @@
-"""Policies of choice that use no load report."""
+"""Selection policies that use no load reports."""
 
 from collections.abc import Sequence
 from random import Random
@@ -10,24 +10,24 @@
 
 @define
 class RandomChoice(Policy):
-    """Choose at random."""
+    """Policy that selects a server at random."""
 
     random: Random
 
     def choose(self, candidates: Sequence[BackendLoad], now: float) -> Choice:
-        """Choose one of at least one candidate."""
+        """Return the choice of a random candidate."""
         return Choice(self.random.choice(candidates).backend_id, 'at random')
 
 
 @define
 class RoundRobin(Policy):
-    """Choose one after another."""
+    """Policy that selects one server after another."""
 
     random: Random
     position: int = -1
 
     def choose(self, candidates: Sequence[BackendLoad], now: float) -> Choice:
-        """Choose one of at least one candidate."""
+        """Return the choice of the candidate next in turn."""
         if self.position < 0:
             self.position = self.random.randrange(len(candidates))
         self.position = (self.position + 1) % len(candidates)
@@ -36,12 +36,12 @@
 
 @define
 class TwoChoices(Policy):
-    """Choose the fewer own requests in flight of two at random."""
+    """Policy that draws two servers and selects that with fewer local requests."""
 
     random: Random
 
     def choose(self, candidates: Sequence[BackendLoad], now: float) -> Choice:
-        """Choose one of at least one candidate."""
+        """Return the choice of the less loaded of two random candidates."""
         chosen = self.random.choice(candidates)
         other = self.random.choice(candidates)
         if other.in_flight < chosen.in_flight:
@@ -51,12 +51,12 @@
 
 @define
 class LeastInFlight(Policy):
-    """Choose the fewest own requests in flight; break ties at random."""
+    """Policy that selects a server with the fewest local requests in flight."""
 
     random: Random
 
     def choose(self, candidates: Sequence[BackendLoad], now: float) -> Choice:
-        """Choose one of at least one candidate."""
+        """Return the choice of the least loaded candidate; break ties at random."""
         least = min(candidate.in_flight for candidate in candidates)
         ties = [each for each in candidates if each.in_flight == least]
         chosen = self.random.choice(ties)
--- a/catkinslip/routing/report_means.py
+++ b/catkinslip/routing/report_means.py
@@ -1,4 +1,4 @@
-"""What the choice learns from successive load reports."""
+"""Means over successive load reports."""
 
 from math import exp, log
 
@@ -26,7 +26,7 @@
     value: float = 0.0
 
     def record(self, load: BackendLoad, report: LoadReport) -> None:
-        """Take a report; one server cannot pull the mean far."""
+        """Record a load report, limited so that one server cannot distort the mean."""
         highest = self.value + HIGHEST_REPORT_PER_SLOT * load.slots
         value = min(report.in_flight, highest)
         self.value += REPORT_WEIGHT * (value - self.value)
@@ -34,10 +34,10 @@
 
 @define
 class SpeedMean:
-    """Mean of the reported speeds, and for how long a speed persists.
+    """Mean of the reported speeds, and for how many seconds a speed persists.
 
-    The autocorrelation of successive reports of one server, over the gap between
-    them, gives the time constant: persistence = -gap / log(correlation).
+    The autocorrelation of successive reports of one server, over the gap between them,
+    gives the time constant: persistence = -gap / log(correlation).
     """
 
     value: float = 1.0
@@ -48,7 +48,7 @@
     gap: float = 0.03
 
     def record(self, load: BackendLoad, speed: float, now: float) -> None:
-        """Take a reported speed."""
+        """Record the reported speed of a server."""
         gap = now - load.reported_at
         weight = REPORT_WEIGHT if self.is_known else 1.0
         self.is_known = True
--- a/catkinslip/routing/reports.py
+++ b/catkinslip/routing/reports.py
@@ -1,4 +1,4 @@
-"""Read load reports from answers.
+"""Parser of the load reports in answers.
 
 The header is ORCA's `endpoint-load-metrics` in its TEXT form:
 https://github.com/envoyproxy/envoy/issues/6614
@@ -17,7 +17,7 @@
 
 
 def parse_report(value: bytes) -> LoadReport | None:
-    """Parse a load report; None for anything malformed or out of range."""
+    """Parse a load report; return None if it is malformed or out of range."""
     if len(value) > LONGEST_BYTES or not value.startswith(PREFIX):
         return None
     in_flight = speed = None
@@ -30,7 +30,7 @@
                 speed = float(number)
     except ValueError:
         return None
-    # Comparisons with NaN are false, so that it is refused too.
+    # Comparisons with NaN are false, so NaN is rejected too.
     if in_flight is None or not 0 <= in_flight <= MOST_IN_FLIGHT:
         return None
     if speed is not None and not LEAST_SPEED <= speed <= MOST_SPEED:
--- a/catkinslip/routing/router.py
+++ b/catkinslip/routing/router.py
@@ -1,4 +1,4 @@
-"""The state of the choice for one service."""
+"""Selection among the backend servers of one service, and their state."""
 
 from collections.abc import Callable, Collection, Mapping, Sequence
 from random import Random
@@ -26,46 +26,49 @@
 
 UNHEALTHY_PAUSE_SECONDS = 0.2
 LONGEST_UNHEALTHY_PAUSE_SECONDS = 2.0
-#: Another instance's word counts against a server that was not heard from so long.
+#: Minimum age, in seconds, of a server's last load report for a peer's report of its
+#: silence to count.
 PEER_SILENCE_MIN_AGE_SECONDS = 0.2
 
-#: A server that gets next to nothing is full no longer than a request takes.
+#: Seconds for which a report of a full server holds if the server gets hardly any
+#: requests: about as long as a request takes.
 FULL_SECONDS = 0.5
 
 
 def ignore_load_change(load: BackendLoad) -> None:
-    """Take no notice of a change."""
+    """Ignore a change of a server's load."""
 
 
 @define
 class ServiceRouter:
-    """Choose among the backend servers of one service."""
+    """Router that selects among the backend servers of one service."""
 
     policy: Policy
     load_by_id: dict[str, BackendLoad] = Factory(dict)
-    #: The servers of the open zones.
+    #: Servers of the zones that are not closed.
     loads: list[BackendLoad] = Factory(list)
     sample: Sample = Factory(lambda: Sample(Random()))
-    #: Keeps requests from servers that have just started.
+    #: Gate that limits requests to servers that have just started.
     cold: ColdGate = Factory(ColdGate)
-    #: Keeps requests from servers that name the rate that they take.
+    #: Gate that limits requests to servers that advertise a request rate.
     throttle: ThrottleGate = Factory(ThrottleGate)
-    #: Keeps requests from servers that asked for rest.
+    #: Gate that stops requests to servers in a rest period.
     rest: RestGate = Factory(RestGate)
     gates: Gates = Factory(
         lambda self: Gates((self.throttle, self.cold, self.rest)), takes_self=True
     )
-    #: Learns of each server whose load or own requests changed.
+    #: Callback for each server whose load or local requests changed.
     on_load_change: Callable[[BackendLoad], None] = ignore_load_change
-    #: What `outside` returned since the servers changed last; a few sets of zones.
+    #: Cached results of `servers_outside` since the last change of the servers, for a
+    #: few sets of zones.
     servers_outside_by_zones: dict[frozenset[str], frozenset[str]] = Factory(dict)
-    #: Availability zones whose servers get nothing new.
+    #: Availability zones whose servers get no new requests.
     closed_zones: frozenset[str] = frozenset()
 
     def update(
         self, service: Service, backend_by_id: Mapping[str, Backend], now: float = 0.0
     ) -> None:
-        """Take over all backend servers of a new configuration."""
+        """Replace the backend servers by those of a new configuration."""
         removed = dict.fromkeys(self.load_by_id.keys() - backend_by_id.keys())
         self.change(service, {**removed, **backend_by_id}, now)
 
@@ -75,7 +78,7 @@
         backend_by_id: Mapping[str, Backend | None],
         now: float = 0.0,
     ) -> None:
-        """Take over backend servers that changed; None stands for one that is gone."""
+        """Apply the changed backend servers; None marks a removed server."""
         for backend_id, backend in backend_by_id.items():
             load = self.load_by_id.get(backend_id)
             if load is not None and not is_same_start(load, backend):
@@ -105,21 +108,21 @@
     ) -> None:
         seconds = backend.cold_seconds
         if seconds is None:
-            # A server tells it only in its second call.
+            # A server reports its cold period only in its second call.
             seconds = self.cold.start_seconds if is_new else 0.0
-        self.cold.mark_cold(load, seconds, now, 'its entry')
+        self.cold.mark_cold(load, seconds, now, 'entry in the configuration')
 
     def close_zones(self, zones: frozenset[str], now: float) -> None:
-        """Give the servers of some zones nothing new, and those of all others work."""
+        """Stop new requests to the servers of some zones, and reopen the others."""
         reopened = self.closed_zones - zones
         back = [it for it in self.load_by_id.values() if it.zone in reopened]
-        self.cold.mark_possibly_restarted(back, now, 'its zone is back')
+        self.cold.mark_possibly_restarted(back, now, 'zone reopened')
         self.closed_zones = zones
         self._list_loads()
         self.sample.redraw()
 
     def servers_outside(self, zones: frozenset[str]) -> frozenset[str]:
-        """Return the servers that stand in none of some zones."""
+        """Return the IDs of the servers outside some zones."""
         known = self.servers_outside_by_zones.get(zones)
         if known is None:
             known = frozenset(
@@ -135,11 +138,11 @@
 
     @property
     def is_evacuated(self) -> bool:
-        """Tell whether there are servers, but all of them in closed zones."""
+        """Return whether there are servers and all of them are in closed zones."""
         return bool(self.load_by_id) and not self.loads
 
     def accepts_requests(self, load: BackendLoad | None) -> bool:
-        """Tell whether a chosen server may still be sent a request."""
+        """Return whether a chosen server may still be sent a request."""
         return (
             self.is_known(load)
             and not load.draining
@@ -147,7 +150,7 @@
         )
 
     def choose(self, now: float, excluded: Collection[str] = ()) -> Choice | None:
-        """Choose a backend server that takes new work; None when there is none."""
+        """Return the choice of a server that accepts new requests, or None."""
         excluded = self._with_closed(excluded, now)
         due = self._due(excluded, now)
         if due:
@@ -161,7 +164,7 @@
         return self.policy.choose(candidates, now) if candidates else None
 
     def rank(self, now: float, excluded: Collection[str] = ()) -> list[Estimate]:
-        """Return what is expected at backend servers with new work, best first."""
+        """Return the estimates of servers that accept new requests, the best first."""
         excluded = self._with_closed(excluded, now)
         due = self._due(excluded, now)
         if due:
@@ -178,18 +181,19 @@
         return self.policy.rank(candidates, now) if candidates else []
 
     def choice_of(self, estimate: Estimate, now: float) -> Choice:
-        """Return a ranked server as a choice."""
+        """Return the choice of a ranked server."""
         return self.policy.choice_of(estimate, now)
 
     def _with_closed(self, excluded: Collection[str], now: float) -> Collection[str]:
-        """Return the excluded servers and those that may get nothing now."""
-        # A server in need looks idle to every instance, and what each keeps for itself
-        # adds up: its rate is divided among few, and nobody else chooses it.
+        """Return the excluded servers and those that may get no request now."""
+        # A throttled server looks idle to every instance, and the requests that each
+        # instance allows itself add up. Its rate is therefore divided among few
+        # instances, and no other selects it.
         closed = self.gates.closed(now)
         return {*excluded, *closed} if closed else excluded
 
     def closure(self, now: float) -> Closure | None:
-        """Return why no server is left, by the first gate that closed some."""
+        """Return why no server is available, from the first gate that closed some."""
         for gate in self.gates.gates:
             loads = map(self.load_by_id.get, gate.closed(now))
             closed = [load for load in loads if self.accepts_requests(load)]
@@ -199,21 +203,22 @@
         return None
 
     def may_send(self, load: BackendLoad | None, permits: Permits, now: float) -> bool:
-        """Tell whether the first byte may be sent now, and count the request."""
+        """Return whether the first byte may be sent now; count the request if so."""
         return self.accepts_requests(load) and self.gates.may_send(load, permits, now)
 
     def may_probe(self, load: BackendLoad, now: float) -> bool:
-        """Tell whether a server may be probed."""
+        """Return whether a server may be probed."""
         return self.gates.may_probe(load, now)
 
     def takes_full_share(self, load: BackendLoad, now: float) -> bool:
-        """Tell whether a server of an open zone takes its usual share of the load."""
+        """Return whether a server of an open zone takes its usual share of the load."""
         return not load.draining and self.gates.takes_full_share(load, now)
 
     def _due(self, excluded: Collection[str], now: float) -> list[Estimate]:
-        """Return servers whose need may be over and that are likely idle, best first.
+        """Return servers, likely idle, that may be throttled no longer; best first.
 
-        What other servers report says nothing of them, as they get next to nothing.
+        The means over other servers' reports do not apply to them, as they get few
+        requests.
         """
         due = self.throttle.due(now)
         if not due:
@@ -225,19 +230,20 @@
         return [each._replace(delay=min(each.delay, GOOD_DELAY)) for each in ranked]
 
     def _sampled(self, excluded: Collection[str], now: float) -> list[BackendLoad]:
-        """Return the servers of the sample; none where it would hold all of them."""
+        """Return the sampled servers, or none if the sample would hold all servers."""
         if len(self.loads) <= self.sample.size:
             return []
         return available_servers(self.sample.get(self.loads, now), excluded)
 
     def reserve(self, backend_id: str, now: float) -> Permits:
-        """Return leave for one request to a chosen server."""
+        """Return the permits for one request to a chosen server."""
         return self.gates.reserve(self.load_by_id.get(backend_id), now)
 
     def started(self, backend_id: str, now: float) -> BackendLoad | None:
-        """Count a request sent to a backend server; return the server as it is known.
+        """Count a request sent to a backend server, and return the server's state.
 
-        After a start of the server another value stands for it.
+        Return None for an unknown server. A restarted server is represented by a new
+        object.
         """
         load = self.load_by_id.get(backend_id)
         if load is None:
@@ -251,11 +257,11 @@
         return load
 
     def is_known(self, load: BackendLoad | None) -> bool:
-        """Tell whether a server is still registered, and has not started again."""
+        """Return whether a server is still registered and has not restarted."""
         return load is not None and self.load_by_id.get(load.backend_id) is load
 
     def finished(self, backend_id: str, result: AttemptResult, now: float) -> None:
-        """Count a request that ended and take its load report."""
+        """Count a request that ended, and record its result and load report."""
         load = self.load_by_id.get(backend_id)
         if load is None:
             return
@@ -273,9 +279,10 @@
     def apply_peer_report(
         self, backend_id: str, report: LoadReport, at: float, selections_before: int = 0
     ) -> None:
-        """Take a report that a peer or a probe observed at an earlier time.
+        """Apply a load report that a peer or a probe observed, and publish the change.
 
-        Only the own picks known to be in the report are taken off their count.
+        Only the local requests known to be included in the report are subtracted from
+        the number sent since the last report.
         """
         if self.record_report(backend_id, report, at, selections_before):
             self.on_load_change(self.load_by_id[backend_id])
@@ -283,7 +290,7 @@
     def record_report(
         self, backend_id: str, report: LoadReport, at: float, selections_before: int
     ) -> bool:
-        """Take a report as `learned` does, but tell nobody; tell whether it is new."""
+        """Record a load report without publishing it, and return whether it is new."""
         load = self.load_by_id.get(backend_id)
         is_new = load is not None and at > load.reported_at
         if is_new:
@@ -297,10 +304,10 @@
         return is_new
 
     def _end_silence(self, load: BackendLoad, now: float) -> None:
-        """Stop to avoid a server that answers again; it may have started anew."""
+        """Mark a silent server as answering again; it may have restarted."""
         if load.is_silent:
             load.is_silent = False
-            self.cold.mark_possibly_restarted([load], now, 'it was silent')
+            self.cold.mark_possibly_restarted([load], now, 'answer after silence')
 
     def apply_signals(
         self,
@@ -310,12 +317,12 @@
         sent_at: float,
         now: float,
     ) -> None:
-        """Take what an answer asks for to a request that was sent at a time."""
+        """Apply the signals of an answer to a request that was sent at a given time."""
         self.throttle.book.told(load, signals.rate, kind, sent_at, now)
         self.rest.registry.apply_signal(load, signals.rest, kind, sent_at, now)
 
     def describe_restrictions(self, load: BackendLoad | None, now: float) -> str:
-        """Return which words of a server narrow what it may get, for the log."""
+        """Return the advertised rate and rest period of a server, for the log."""
         rate = self.throttle.book.find(load)
         rest = self.rest.registry.find(load, now)
         texts = []
@@ -326,59 +333,59 @@
         return ' '.join(texts)
 
     def mark_possibly_restarted(self, backend_id: str, now: float) -> None:
-        """Take that a server, which refused connections, may start anew."""
+        """Assume that a server that refused connections may have restarted."""
         load = self.load_by_id.get(backend_id)
         if load is not None:
-            self.cold.mark_possibly_restarted([load], now, 'it refused connections')
+            self.cold.mark_possibly_restarted([load], now, 'connection refused')
 
     def apply_cold_report(self, backend_id: str, seconds: float, at: float) -> None:
-        """Take how long a server says that it stays cold."""
+        """Apply the seconds for which a server reported that it stays cold."""
         load = self.load_by_id.get(backend_id)
         if load is not None:
             self.cold.apply_report(load, seconds, at)
 
     def mark_silent(self, backend_id: str) -> None:
-        """Avoid a server that did not answer a probe in time, until it answers."""
+        """Mark a server as silent after a timed-out probe, until it answers."""
         load = self.load_by_id.get(backend_id)
         if load is not None:
             load.is_silent = load.is_irregular = True
 
     def publish_silence(self, backend_id: str) -> None:
-        """Let others know of a server that does not answer."""
+        """Publish that a server is silent, if it is."""
         load = self.load_by_id.get(backend_id)
         if load is not None and load.is_silent:
             self.on_load_change(load)
 
     def apply_peer_silence(self, backend_id: str, now: float) -> None:
-        """Take what another instance tells of a server that nobody here heard from."""
+        """Apply a peer's report that a server without a recent report is silent."""
         load = self.load_by_id.get(backend_id)
         if load is not None and now - load.reported_at > PEER_SILENCE_MIN_AGE_SECONDS:
             self.mark_silent(backend_id)
 
     def mark_unhealthy(self, backend_id: str, now: float) -> None:
-        """Avoid a server that gave no good answer to a probe, for a while."""
+        """Mark a server as unhealthy for a while after a failed probe."""
         load = self.load_by_id.get(backend_id)
         if load is not None:
             pause(load, now, UNHEALTHY_PAUSE_SECONDS, LONGEST_UNHEALTHY_PAUSE_SECONDS)
 
     def is_silent(self, backend_id: str) -> bool:
-        """Tell whether a server has not answered since a probe waited in vain."""
+        """Return whether a server has not answered since a probe of it timed out."""
         load = self.load_by_id.get(backend_id)
         return load is not None and load.is_silent
 
     def selections_since_report(self, backend_id: str) -> int:
-        """Return the own picks since the last report of a backend server."""
+        """Return the local requests sent to a server since its last load report."""
         load = self.load_by_id.get(backend_id)
         return 0 if load is None else load.selections_since_report
 
 
 def is_same_start(load: BackendLoad, backend: Backend | None) -> bool:
-    """Tell whether what is known of a server holds for it as it is registered."""
+    """Return whether the state of a server belongs to the start in its entry."""
     return backend is not None and load.incarnation == backend.incarnation
 
 
 def is_likely_idle(load: BackendLoad, now: float) -> bool:
-    """Tell whether a server that gets next to nothing would answer at once."""
+    """Return whether a server that gets few requests would likely answer at once."""
     is_avoided = load.is_silent or now < load.paused_until
     is_full = (
         now - load.reported_at < FULL_SECONDS and load.reported_in_flight >= load.slots
@@ -389,7 +396,7 @@
 def available_servers(
     loads: Sequence[BackendLoad], excluded: Collection[str]
 ) -> list[BackendLoad]:
-    """Return the backend servers that take new work."""
+    """Return the backend servers that are neither draining nor excluded."""
     if not excluded:
         return [load for load in loads if not load.draining]
     return [
--- a/catkinslip/routing/routes.py
+++ b/catkinslip/routing/routes.py
@@ -1,4 +1,4 @@
-"""Find the route of a request and the service of the route that gets it."""
+"""Routes of requests, and the split of each route among its services."""
 
 from random import Random
 
@@ -9,9 +9,9 @@
 
 @define
 class RouteTurns:
-    """Share the requests of one route among its services by their weights.
+    """Division of the requests of one route among its services by weight.
 
-    Smooth weighted round robin: any run of requests is shared as the weights say,
+    This is smooth weighted round robin: any run of requests is divided by the weights
     to within one request of each service.
     """
 
@@ -20,7 +20,7 @@
     credit_by_service: dict[str, float] = Factory(dict)
 
     def next_service(self) -> str:
-        """Return the service whose turn it is."""
+        """Return the service of the next request."""
         parts = self.route.parts
         if len(parts) == 1:
             return parts[0].service
@@ -35,7 +35,7 @@
 
 
 def start_turns(name: str, route: Route, random: Random) -> RouteTurns:
-    """Return turns that begin anywhere, as many instances share one route."""
+    """Return turns with a random start, as many instances share one route."""
     total = sum(part.weight for part in route.parts)
     return RouteTurns(
         name, route, {part.service: random.uniform(0, total) for part in route.parts}
@@ -49,11 +49,11 @@
     random: Random
     document: Document = Factory(Document)
     turns_by_name: dict[str, RouteTurns] = Factory(dict)
-    #: Longest path prefix first.
+    #: Routes of each host, the longest path prefix first.
     turns_by_host: dict[str, list[RouteTurns]] = Factory(dict)
 
     def update(self, document: Document) -> None:
-        """Take over a configuration; an unchanged route keeps its turns."""
+        """Apply a configuration; an unchanged route keeps its turns."""
         if document is self.document:
             return
         self.document = document
@@ -70,7 +70,7 @@
             routes.sort(key=lambda each: len(each.route.path_prefix), reverse=True)
 
     def find(self, host: str, path: str) -> RouteTurns | None:
-        """Return the route with the longest prefix of a path."""
+        """Return the route with the longest matching prefix of a path, or None."""
         for turns in self.turns_by_host.get(host.lower(), ()):
             if path.startswith(turns.route.path_prefix):
                 return turns
--- a/catkinslip/routing/signals.py
+++ b/catkinslip/routing/signals.py
@@ -1,4 +1,4 @@
-"""What an answer says of its server, beside the answer itself."""
+"""Signals that a server sends along with an answer."""
 
 from attrs import frozen
 
@@ -8,11 +8,11 @@
 
 @frozen
 class ServerSignals:
-    """What one answer asks for in the name of its server."""
+    """The signals of one answer about its server."""
 
     rate: RateSign = NO_RATE
     rest: RestSignal = NO_REST
-    #: Whether it leaves and takes no new requests.
+    #: Whether the server is leaving and accepts no new requests.
     is_leaving: bool = False
 
 
--- a/catkinslip/warmup/__init__.py
+++ b/catkinslip/warmup/__init__.py
@@ -1,1 +1,1 @@
-"""Servers that are cold after a start: who may send them how many requests."""
+"""Limits on the requests to servers that are cold after a start."""
--- a/catkinslip/warmup/gate.py
+++ b/catkinslip/warmup/gate.py
@@ -1,4 +1,4 @@
-"""Which servers of a service are cold, and what this instance may still send them."""
+"""Gate that limits the requests of this instance to the cold servers of a service."""
 
 import logging
 from collections import deque
@@ -11,7 +11,8 @@
 from catkinslip.routing.gates import Gate, RestrictedServer, RestrictionReason
 from catkinslip.warmup.quotas import Sender
 
-#: The bound holds for any second; a little more, as clocks tick in steps.
+#: Seconds over which requests are counted. The bound holds for any second; the window
+#: is a little longer, as clocks tick in steps.
 WINDOW_SECONDS = 1.02
 
 log = logging.getLogger('warmup')
@@ -20,29 +21,29 @@
 
 
 def no_sender() -> Sender | None:
-    """Return no place: the instance sends nothing to cold servers."""
+    """Return None: the instance sends nothing to cold servers."""
     return None
 
 
 def no_quotas(load: BackendLoad, bound: float) -> Mapping[Sender, int]:
-    """Let nobody send to a cold server."""
+    """Return no quotas: no instance may send to a cold server."""
     return {}
 
 
 @define
 class ColdServer(RestrictedServer):
-    """A server that is cold, and what was sent to it; times are in seconds."""
+    """A cold server and the requests sent to it; times are in seconds."""
 
     quota_by_sender: Mapping[Sender, int]
-    #: When the own requests of the last second were sent.
+    #: Times of this instance's requests within the last second.
     sent_at: deque[float] = Factory(deque)
 
     def count_sent(self, now: float) -> None:
-        """Count a request right before its first byte."""
+        """Record a request right before its first byte."""
         self.sent_at.append(now)
 
     def has_room(self, sender: Sender | None, now: float) -> bool:
-        """Tell whether an instance may send another request."""
+        """Return whether a sender's quota allows another request to the server."""
         while self.sent_at and now - self.sent_at[0] >= WINDOW_SECONDS:
             self.sent_at.popleft()
         quota = self.quota_by_sender.get(sender, 0) if sender else 0
@@ -51,22 +52,23 @@
 
 @define
 class ColdGate(Gate):
-    """Keep requests from the cold servers of one service beyond the own quota."""
+    """Gate that keeps requests to cold servers within this instance's quotas."""
 
     reason = RestrictionReason.COLD
 
     divide: Divide = no_quotas
     sender: Callable[[], Sender | None] = no_sender
-    #: How long a server is cold after its start, where it does not tell.
+    #: Seconds for which a server is cold after its start if it does not report them.
     start_seconds: float = 0.0
-    #: Requests to one cold server in any second, from all instances.
+    #: Requests to one cold server in any second, from all instances together.
     bound: float = inf
     server_by_id: dict[str, ColdServer] = Factory(dict)
-    #: Servers that may have become cold, until a probe tells: when that was noticed.
+    #: Times since when servers may have restarted, until an answer to a probe shows
+    #: whether they are cold.
     possible_restart_at_by_id: dict[str, float] = Factory(dict)
 
     def configure(self, start_seconds: float, bound: float) -> None:
-        """Take over what a service says of its cold servers."""
+        """Apply a service's settings for its cold servers."""
         self.start_seconds = start_seconds
         if bound == self.bound:
             return
@@ -77,7 +79,7 @@
     def mark_cold(
         self, load: BackendLoad, seconds: float, now: float, why: str
     ) -> None:
-        """Take that a server stays cold for so long from now, or longer."""
+        """Mark a server as cold for at least some seconds from now."""
         if seconds <= 0 or now + seconds <= load.cold_until:
             return
         if not load.is_cold(now):
@@ -92,7 +94,7 @@
     def mark_possibly_restarted(
         self, loads: Iterable[BackendLoad], now: float, why: str
     ) -> None:
-        """Take servers as just started until a probe tells."""
+        """Mark servers as possibly restarted, and as cold until a probe answers."""
         if self.start_seconds <= 0:
             return
         for load in loads:
@@ -100,7 +102,7 @@
             self.possible_restart_at_by_id[load.backend_id] = now
 
     def apply_report(self, load: BackendLoad, seconds: float, at: float) -> None:
-        """Take what a server told when it was asked at a time."""
+        """Apply the cold period that a server reported when it was probed at a time."""
         if at < self.possible_restart_at_by_id.get(load.backend_id, NEVER):
             return
         self.possible_restart_at_by_id.pop(load.backend_id, None)
@@ -108,19 +110,19 @@
         if seconds > 0 or load.is_cold(at):
             if load.is_cold(at) != (seconds > 0):
                 log.info(
-                    'warmup: %s tells how long it stays cold. seconds=%.1f',
+                    'warmup: %s reported its remaining cold period. seconds=%.1f',
                     load.backend_id,
                     seconds,
                 )
             self._set(load, at + seconds)
 
     def forget(self, load: BackendLoad) -> None:
-        """Forget a server that is gone."""
+        """Forget a removed server."""
         self.server_by_id.pop(load.backend_id, None)
         self.possible_restart_at_by_id.pop(load.backend_id, None)
 
     def closed(self, now: float) -> list[str]:
-        """Return the cold servers that this instance may send nothing now."""
+        """Return the IDs of the cold servers to which nothing may be sent now."""
         if not self.server_by_id:
             return []
         for backend_id in list(self.server_by_id):
@@ -136,17 +138,17 @@
         ]
 
     def find(self, load: BackendLoad | None, now: float) -> ColdServer | None:
-        """Return a server as it is guarded; None if it is not."""
+        """Return a server that is cold and has a bound, or None."""
         if load is None or self.bound == inf or not load.is_cold(now):
             return None
         return self.server_by_id.get(load.backend_id)
 
     def has_room(self, server: ColdServer, now: float) -> bool:
-        """Tell whether this instance may send another request."""
+        """Return whether this instance may send another request to a cold server."""
         return server.has_room(self.sender(), now)
 
     def cold(self, now: float) -> list[str]:
-        """Return all cold servers."""
+        """Return the IDs of all cold servers."""
         servers = self.server_by_id.values()
         return [it.load.backend_id for it in servers if it.load.is_cold(now)]
 
--- a/catkinslip/warmup/quotas.py
+++ b/catkinslip/warmup/quotas.py
@@ -1,12 +1,13 @@
-"""Divide what a cold server bears among the instances.
+"""Division of the requests that a cold server can handle among the instances.
 
-Load: a server that has just started is slow and ends where too many requests come in a
-second, from all instances together. An idle server looks best to all of them: 118
-instances that each send it one request send 118. So only few instances may send to a
-cold server, each a fixed number in any second, and the numbers add up to the bound.
-They follow from the server's name, the zones in the settings and the instance's place
-in its own zone, not from who is thought to live: instances that are parted from each
-other, from the store or from both still keep the bound together.
+A server that has just started is slow and crashes if too many requests arrive in a
+second, from all instances together. An idle server looks best to each instance: if each
+of 118 instances sends one request, 118 arrive. Therefore only few instances may send to
+a cold server, each a fixed number in any second, and these numbers add up to the bound.
+They follow from the server's ID, the zones in the settings and the instance's position
+in its own zone, not from which instances are thought to be alive. So the bound also
+holds between instances that are partitioned from each other, from the store or from
+both.
 """
 
 from collections.abc import Collection, Iterator
@@ -15,21 +16,22 @@
 
 from catkinslip.addresses.rendezvous import weight
 
-#: Instances of a zone that may send to cold servers: one may be away.
+#: Instances of a zone that may send to cold servers; one of them may be unavailable.
 SENDERS_PER_ZONE = 2
-#: Share of the bound that the senders of the server's own zone have; they are the ones
-#: that choose it, as requests to other zones cost more.
+#: Share of the bound for the senders of the server's own zone, which are those that
+#: select it, as requests to other zones cost more.
 NEAR_SHARE = 0.6
-#: The rest of the bound is kept for what was sent before anybody knew that the server
-#: had turned cold, and for requests that come together as some were held up: with all
-#: of it given out 11 came where 10 may, with 0.85 of it 11 once (one busy loop). A cold
-#: server of three slots that takes 0.36 s a request answers 8 of its 10 a second.
+#: Share of the bound that is divided. The remainder is for requests sent before any
+#: instance detected that the server had turned cold, and for requests that arrive
+#: together because some were delayed. With the whole bound divided, 11 arrived where 10
+#: are allowed; with 0.85 of it, 11 arrived once (in one busy event loop). A cold server
+#: with three slots that takes 0.36 s for a request answers 8 of its 10 a second.
 USED_SHARE = 0.7
 
 
 @frozen
 class Sender:
-    """The place of an instance among those of its zone that send to cold servers."""
+    """Position of an instance among the senders of its zone to cold servers."""
 
     zone: str
     rank: int
@@ -44,7 +46,7 @@
 ) -> dict[Sender, int]:
     """Return how many requests in any second each sender may send to a cold server.
 
-    The sum is at most the bound; who is not named may send none.
+    The sum is at most the bound. A sender that is not in the result may send none.
     """
     used = max(bound * USED_SHARE, min(bound, 1.0))
     remaining = int(used)
@@ -64,7 +66,7 @@
 def senders_in_turn(
     backend_id: str, zone: str, zones: Collection[str], *, has_near: bool
 ) -> Iterator[Sender]:
-    """Yield the senders in the order in which they get what the near ones leave."""
+    """Yield the senders in the order in which they share what remains of the bound."""
     others = [each for each in zones if each != zone]
     others.sort(key=lambda each: weight(backend_id, each))
     if has_near or not others:
--- a/catkinslip/warmup/senders.py
+++ b/catkinslip/warmup/senders.py
@@ -1,10 +1,10 @@
-"""Whether this instance may send to cold servers, whoever else it can reach.
+"""Whether this instance may send to cold servers, whichever peers it can reach.
 
-Each instance decides it alone, from the list of instances in the store. No more than
-SENDERS_PER_ZONE of a zone do at a time, though lists are old and instances are parted:
-whoever sends has read a list lately, and has been in the list for longer than any list
-that is still used may be old. So of any that send, each one's list names all others,
-and their order is the same in all lists.
+Each instance decides this by itself, from the list of instances in the store. At most
+SENDERS_PER_ZONE instances of a zone send at a time, although lists may be old and
+instances partitioned: each sender has read a list recently, and has been in the list
+for longer than the greatest age of any list in use. So the list of each sender contains
+all other senders, and their order is the same in all lists.
 """
 
 from math import inf
@@ -13,35 +13,36 @@
 
 from catkinslip.warmup.quotas import SENDERS_PER_ZONE, Sender
 
-#: The list is read each 6 s at the slowest.
+#: Seconds for which a list is used; it is read every 6 s at the slowest.
 LIST_SECONDS = 8.0
-#: A list from the store may be so old when it comes.
+#: Greatest age, in seconds, of a list when it arrives from the store.
 STALE_LIST_SECONDS = 7.0
-#: Time for which an instance must have been listed.
+#: Seconds for which an instance must have been listed.
 LISTED_SECONDS = LIST_SECONDS + STALE_LIST_SECONDS
 
 
 @frozen
 class SenderPosition:
-    """What an instance knows of its own place among the senders of its zone."""
+    """This instance's position among the senders of its zone."""
 
     sender: Sender
-    #: Whether it rests on a list of late; others may have come since an older one.
+    #: Whether the position is from a recent list; other instances may have been added
+    #: since an older one.
     is_recent: bool
 
 
 @define
 class SenderLease:
-    """What this instance knows of its own place in the list; monotonic seconds."""
+    """This instance's presence in the instance list; times are monotonic seconds."""
 
-    #: When it last asked for a list that it got from the store itself.
+    #: Time of the last request for a list that was answered by the store itself.
     read_at: float = -inf
-    #: Since when each of these lists named it.
+    #: Time since which each of these lists has contained this instance.
     listed_since: float = inf
     has_left: bool = False
 
     def record_list(self, asked_at: float, now: float, *, is_listed: bool) -> None:
-        """Take a list that the store told, which was asked for at a time."""
+        """Record a list that the store returned, requested at a given time."""
         self.read_at = asked_at
         if not is_listed:
             self.listed_since = inf
@@ -49,11 +50,11 @@
             self.listed_since = now
 
     def leave(self) -> None:
-        """Stop to send for good: others may take this instance's place from now on."""
+        """Stop sending for good, as other instances may now take this position."""
         self.has_left = True
 
     def sender(self, zone: str, rank: int, now: float) -> Sender | None:
-        """Return the place of the instance with a rank in its zone; None if none."""
+        """Return the sender position for a rank in a zone, or None if there is none."""
         is_read = now - self.read_at <= LIST_SECONDS
         is_listed = now - self.listed_since >= LISTED_SECONDS
         if self.has_left or not (is_read and is_listed) or rank >= SENDERS_PER_ZONE:
@@ -61,10 +62,11 @@
         return Sender(zone, rank)
 
     def position(self, zone: str, rank: int, now: float) -> SenderPosition | None:
-        """Return the place, also the one that the instance had in the last list.
+        """Return the current position, or else the one from the last list.
 
-        Who had it when it last read a list keeps it where it reads none: all such
-        read of each other, so no more than SENDERS_PER_ZONE of a zone do.
+        An instance that had a position when it last read a list keeps it while it
+        cannot read one. All such instances were in each other's lists, so at most
+        SENDERS_PER_ZONE of a zone have one.
         """
         sender = self.sender(zone, rank, now)
         if sender is not None:
--- a/tests/sender_builders.py
+++ b/tests/sender_builders.py
@@ -1,4 +1,4 @@
-"""Instances that each read the list of instances when and as old as it happens."""
+"""Simulated instances that read the list of instances at random times."""
 
 from random import Random
 
@@ -13,24 +13,25 @@
 
 @define
 class Site:
-    """Instances that each read the list when and as old as it happens."""
+    """Simulated instances that read the list of instances, late and at random times."""
 
     random: Random
-    #: The lists of the past, the newest last: when each began, and whom it names.
+    #: The successive lists, the newest last: time of creation and entries by instance
+    #: ID.
     lists: list
     table_by_id: dict[str, InstanceTable]
     now: float = 0.0
     count: int = 0
 
     def start_instance(self, zone: str, cores: float) -> None:
-        """Start an instance, which puts itself into the list."""
+        """Start an instance and add it to the list."""
         self.count += 1
         entry = evolve(instance_entry(f'e{self.count}', zone), cores=cores)
         self.table_by_id[entry.instance_id] = InstanceTable(entry)
         self._write({**self.lists[-1][1], entry.instance_id: entry})
 
     def stop_instance(self, instance_id: str) -> None:
-        """Stop an instance; it serves its last callers on."""
+        """Remove an instance from the list; it still serves its last callers."""
         self.table_by_id[instance_id].leave()
         entry_by_id = dict(self.lists[-1][1])
         del entry_by_id[instance_id]
@@ -48,6 +49,6 @@
         table.read_list(trio.current_time(), is_own_listed=is_listed)
 
     def senders(self) -> list[Sender]:
-        """Return the places that instances take themselves to have."""
+        """Return the positions that instances consider theirs."""
         positions = [table.sender() for table in self.table_by_id.values()]
         return [position for position in positions if position is not None]
--- a/tests/test_resting_incident.py
+++ b/tests/test_resting_incident.py
@@ -1,4 +1,7 @@
-"""A server that had asked an instance for rest went on to get its requests."""
+"""A server keeps getting requests after it requested a rest period.
+
+The instance ignored the rest period, and its requests kept the server overloaded.
+"""
 
 import unittest
 from collections import Counter
@@ -11,14 +14,14 @@
 CALLERS = 12
 WORK_SECONDS = 0.02
 REST_SECONDS = 3.0
-#: What was on its way as the server asked does not count.
+#: Seconds in which requests that were already on their way may still arrive.
 ON_THE_WAY_SECONDS = 0.5
 MOST_IN_REST = 2
 PLAY_SECONDS = 5.0
 
 
 async def call_always(platform: SmallPlatform, statuses: Counter, name: str) -> None:
-    """Send one request after the other."""
+    """Send one request after the other without end."""
     count = 0
     while True:
         count += 1
@@ -27,7 +30,7 @@
 
 
 async def call_for(platform: SmallPlatform, seconds: float) -> Counter:
-    """Let some callers call for a while; return the statuses."""
+    """Send requests from several callers for some seconds, and return the statuses."""
     statuses: Counter = Counter()
     async with trio.open_nursery() as nursery:
         for number in range(CALLERS):
@@ -39,7 +42,7 @@
 
 
 def most_in_rest(came_at: list[float]) -> int:
-    """Return the most requests that came in the rest that one of them asked for."""
+    """Return the greatest number of arrivals in the rest period after an arrival."""
     return max(
         sum(at + ON_THE_WAY_SECONDS <= other < at + REST_SECONDS for other in came_at)
         for at in came_at
@@ -47,7 +50,7 @@
 
 
 class IncidentTest(unittest.TestCase):
-    """What a server that turns all away and asks for rest gets from an instance."""
+    """Requests to a server that refuses all of them and requests a rest period."""
 
     def test_server_that_asked_for_rest_is_left_alone_while_it_lasts(self):
         async def check(platform):
@@ -62,7 +65,7 @@
             came_at = [at for at in worker.arrived_at if at >= began]
             self.assertGreaterEqual(len(came_at), 1)
             self.assertLessEqual(most_in_rest(came_at), MOST_IN_REST)
-            # The others carry the rest.
+            # The other servers answer the remaining requests.
             self.assertGreater(statuses[200], statuses.total() * 0.9)
 
         on_platform(check)
--- a/tests/test_resting_path.py
+++ b/tests/test_resting_path.py
@@ -1,4 +1,4 @@
-"""Servers that ask for rest, on the users' platform, in one loop."""
+"""Servers that request rest periods, on an emulated platform in one event loop."""
 
 import unittest
 from functools import partial
@@ -32,7 +32,7 @@
 
 
 def router_of(*server_ids: str) -> ServiceRouter:
-    """Return the choice among some servers."""
+    """Return a router of some servers."""
     router = ServiceRouter(LeastInFlight(Random(1)))
     router.update(Service(), servers(*server_ids), NOW)
     return router
@@ -49,21 +49,21 @@
 
 
 def ask_for_rest(router: ServiceRouter, server_id: str, now: float = NOW) -> None:
-    """Take a refusal that asks for rest."""
+    """Apply a refusal that requests a rest period."""
     signals = ServerSignals(rest=RestSignal(REST_SECONDS))
     load = router.load_by_id[server_id]
     router.apply_signals(load, signals, AnswerKind.REFUSAL, now, now)
 
 
 def take(router: ServiceRouter, server_id: str, sent_at: float, now: float) -> None:
-    """Take a success that asks for nothing."""
+    """Apply a success without a rest period."""
     signals = ServerSignals(rest=NO_REST)
     load = router.load_by_id[server_id]
     router.apply_signals(load, signals, AnswerKind.ANSWER, sent_at, now)
 
 
 async def resting(platform: SmallPlatform, *server_ids: str) -> None:
-    """Start servers that have just asked the one instance for rest."""
+    """Start servers that have just requested a rest period from the only instance."""
     for server_id in server_ids:
         await platform.add_worker(server_id, fault=Fault.SHED, rest=b'60')
     entry = await platform.add_entry()
@@ -76,13 +76,13 @@
 
 
 def arrived(platform: SmallPlatform, server_id: str) -> tuple[int, int]:
-    """Return how many requests and probes came to a server."""
+    """Return how many requests and probes arrived at a server."""
     worker = platform.worker_by_id[server_id]
     return len(worker.arrived_at), worker.probes
 
 
 class SightTest(unittest.TestCase):
-    """What an operator sees of a server that asks for rest."""
+    """Logs and metrics of a server that requests a rest period."""
 
     def test_lines_and_metrics_tell_what_a_server_asks_for(self):
         async def check(platform):
@@ -93,7 +93,9 @@
                 answer = await platform.ask('POST', '/p/x')
             self.assertEqual(answer.status_code, 503)
             text = '\n'.join(record.getMessage() for record in logs.records)
-            self.assertIn('i-1 asks for rest. seconds=3 left_s=3.0 by=refusal', text)
+            self.assertIn(
+                'i-1 requested a rest period. seconds=3 left_s=3.0 by=refusal', text
+            )
             self.assertIn('r1 one may go elsewhere, i-1 ended as not run, shed.', text)
             self.assertIn('r1 one is refused, 1 servers that asked for rest', text)
             page = (await metrics_page(entry, '')).body.decode()
@@ -104,7 +106,7 @@
 
 
 class KindsOfSendTest(unittest.TestCase):
-    """No kind of send passes by a rest."""
+    """No kind of request is sent to a server in a rest period."""
 
     def test_second_send_after_a_refusal_and_probes(self):
         async def check(platform):
@@ -179,7 +181,7 @@
 
 
 class EndTest(unittest.TestCase):
-    """What ends a rest, and what does not."""
+    """Events that end a rest period, and events that do not."""
 
     def test_one_request_after_the_other_tries_a_server_until_it_takes_one(self):
         router = router_of('a')
@@ -189,7 +191,7 @@
         self.assertEqual(router.choose(back).backend_id, 'a')
         router.started('a', back)
         self.assertIsNone(router.choose(back))
-        # It failed: the next one tries.
+        # The trial request failed, so the next request is the trial.
         router.finished('a', AttemptResult(ResultKind.FAILED, 0.1), back + 0.1)
         self.assertEqual(router.choose(back + 0.2).backend_id, 'a')
         router.started('a', back + 0.2)
@@ -236,7 +238,7 @@
 
 
 class UnreadableTest(unittest.TestCase):
-    """A time of rest that cannot be read."""
+    """A rest period that cannot be parsed."""
 
     def test_it_neither_rests_a_server_nor_puts_it_on_trial(self):
         router = router_of('a')
@@ -248,10 +250,10 @@
 
 
 class RetryTest(unittest.TestCase):
-    """When callers come back that found only resting servers."""
+    """Retry time of calls that found only servers in rest periods."""
 
     def retry(self, wait: float, *, is_late: bool = False) -> float:
-        """Return when a call with 0.4 s for its answer may come back."""
+        """Return the retry time of a call with 0.4 s until its deadline."""
         closure = Closure(RestrictionReason.REST, 1, wait)
         waiting = WaitingCall(
             AdmissionSettings(), NOW, NOW + 0.4, NOW + 3, NOW + 3, 0.4, is_late=is_late
@@ -271,7 +273,7 @@
 
 
 class TakenBackTest(unittest.TestCase):
-    """What is known of a server belongs to one start of it."""
+    """A rest period belongs to one start of a server."""
 
     def test_rest_holds_for_the_server_as_it_is_known_now(self):
         router = router_of('a')
--- a/tests/test_resting_registry.py
+++ b/tests/test_resting_registry.py
@@ -1,4 +1,4 @@
-"""What answers say of rest, and what is believed of it."""
+"""Parsing of rest periods in answers, and the registry of rest periods."""
 
 import unittest
 
@@ -12,12 +12,12 @@
 
 
 def signal_of(*values: bytes, status: int = 503) -> RestSignal:
-    """Return what a refusal with some headers of the name says."""
+    """Return the signal of a refusal with some `retry-after` headers."""
     return read_rest(status, [(b'retry-after', value) for value in values])
 
 
 class SignTest(unittest.TestCase):
-    """How the header is read."""
+    """Parsing of the header."""
 
     def test_seconds_and_fractions_are_read(self):
         self.assertEqual(signal_of(b'3'), RestSignal(3.0))
@@ -41,14 +41,14 @@
 
 
 class BookTest(unittest.TestCase):
-    """What is believed of one server."""
+    """The rest period of one server."""
 
     def setUp(self):
         self.registry = RestRegistry()
         self.load = BackendLoad('a', 'zone-a', 2)
 
     def ask(self, seconds: float, now: float = NOW) -> None:
-        """Take a refusal that asks for rest."""
+        """Apply a refusal that requests a rest period."""
         self.registry.apply_signal(
             self.load, RestSignal(seconds), AnswerKind.REFUSAL, now, now
         )
--- a/tests/test_routing_policies.py
+++ b/tests/test_routing_policies.py
@@ -1,4 +1,4 @@
-"""Properties of the policies of choice and of load reports."""
+"""Properties of the selection policies and of load reports."""
 
 import unittest
 from collections import Counter
@@ -36,7 +36,7 @@
 
 
 def pick(router: ServiceRouter, now: float) -> str:
-    """Choose a server and send a request to it."""
+    """Choose a server and start a request to it."""
     backend_id = router.choose(now).backend_id
     router.started(backend_id, now)
     return backend_id
@@ -50,13 +50,13 @@
     kind: ResultKind = ResultKind.ANSWERED,
     latency: float = 0.02,
 ) -> None:
-    """Send a request to a server and end it."""
+    """Start a request to a server and end it."""
     router.started(backend_id, now - latency)
     router.finished(backend_id, AttemptResult(kind, latency, report), now)
 
 
 def selections_by_id(router: ServiceRouter, count: int, now: float) -> dict[str, int]:
-    """Return how many of some requests at one time go to each server."""
+    """Return how many of some simultaneous requests go to each server."""
     before = {each: load.in_flight for each, load in router.load_by_id.items()}
     for _ in range(count):
         pick(router, now)
@@ -64,7 +64,7 @@
 
 
 class ExpectedDelayTest(unittest.TestCase):
-    """The shortest expected delay, from aged reports."""
+    """Selection by the shortest expected delay, from reports that age."""
 
     def test_own_picks_since_the_report_count(self):
         router = make_router(4)
@@ -192,7 +192,7 @@
 
 
 class RouterTest(unittest.TestCase):
-    """What the router offers to a policy."""
+    """Selection of servers by the router."""
 
     def test_a_draining_server_gets_nothing(self):
         router = make_router(3)
@@ -232,7 +232,7 @@
         router = make_router(3 * SAMPLE_SIZE)
         selections = Counter()
         for number in range(200):
-            # A choice of now is even among the servers of its sample.
+            # At one time, requests are spread evenly over the servers of the sample.
             now = 1.0 + number * SAMPLE_SECONDS
             chosen = [pick(router, now) for _ in range(SAMPLE_SIZE)]
             self.assertEqual(len(set(chosen)), SAMPLE_SIZE)
@@ -272,7 +272,7 @@
 
 
 class ReportTest(unittest.TestCase):
-    """Load reports in a header."""
+    """Parsing of load reports from a header."""
 
     def test_a_report_is_read(self):
         value = b'TEXT cpu_utilization=0.3, named_metrics.in_flight=3'
--- a/tests/test_routing_restart.py
+++ b/tests/test_routing_restart.py
@@ -1,4 +1,4 @@
-"""A server that starts again under its ID is another one to every part."""
+"""All parts treat a server that restarts under its ID as a new server."""
 
 import unittest
 from random import Random
@@ -31,14 +31,14 @@
 
 
 def config(incarnation: int) -> AcceptedConfig:
-    """Return a configuration with one server at a start of its own."""
+    """Return a configuration with one server of some incarnation."""
     backend = Backend('limits', 'zone-a', '10.0.0.1', 80, incarnation=incarnation)
     register = Register({'limits': Service(2)}, {'limits-1': backend})
     return AcceptedConfig(document=Document(register))
 
 
 class RestartTest(unittest.TestCase):
-    """What was known of the earlier start is gone."""
+    """The state of the earlier start is discarded."""
 
     def setUp(self):
         self.clock = SystemClock()
@@ -109,7 +109,7 @@
 
 
 class PoolTest(unittest.TestCase):
-    """Kept connections to the earlier start are not used again."""
+    """Idle connections to the earlier start are not reused."""
 
     def test_idle_connections_are_dropped_and_closed(self):
         async def check():
@@ -129,7 +129,7 @@
 
 
 class ClosingWire:
-    """A connection that only closes."""
+    """A connection that can only be closed."""
 
     is_closed = False
 
@@ -138,7 +138,7 @@
 
 
 class LateAnswerTest(unittest.TestCase):
-    """An answer of the earlier start, on the whole path."""
+    """A late answer of the earlier start, on the whole path."""
 
     def test_it_reaches_its_caller_and_says_nothing_of_the_new_start(self):
         async def check(platform):
--- a/tests/test_routing_routes.py
+++ b/tests/test_routing_routes.py
@@ -22,7 +22,7 @@
 
 
 class RouteTableTest(unittest.TestCase):
-    """Which route a request has."""
+    """Which route applies to a request."""
 
     def test_longest_prefix_of_the_host_wins(self):
         table = table_of(
@@ -54,7 +54,7 @@
 
 
 class RouteChecksTest(unittest.TestCase):
-    """Mistakes in routes are told with their place."""
+    """Mistakes in routes are reported with their location."""
 
     def mistakes(self, **fields: object) -> list[str]:
         plain = {
--- a/tests/test_routing_sheds.py
+++ b/tests/test_routing_sheds.py
@@ -1,4 +1,4 @@
-"""Servers that refuse part of what comes, whatever room they have."""
+"""Servers that refuse part of their requests although they have free slots."""
 
 import unittest
 from random import Random
@@ -25,21 +25,21 @@
 
 
 def ended(policy: ExpectedDelay, load: BackendLoad, kind: ResultKind, now: float):
-    """Let a request end, with a report that tells of room."""
+    """End a request with a report of an idle server."""
     policy.finished(load, AttemptResult(kind, 0.01, IDLE), now)
     policy.reported(load, IDLE, now)
     load.report, load.reported_at = IDLE, now
 
 
 class ShedShareTest(unittest.TestCase):
-    """What is learned of one server."""
+    """Estimate of the share that one server sheds."""
 
     def setUp(self):
         self.policy = ExpectedDelay(Random(1))
         self.loads = [BackendLoad(name, 'zone-a', 3) for name in ('good', 'grey')]
 
     def play(self, seconds: float) -> float:
-        """Let one server shed each second request; return when it ended."""
+        """Let one server shed every second request, and return the end time."""
         good, grey = self.loads
         now = NOW
         while now < NOW + seconds:
@@ -54,7 +54,7 @@
         now = self.play(2.0) + 0.2
         good, grey = self.policy.rank(self.loads, now)
         self.assertEqual(good.load.backend_id, 'good')
-        # One of two sends is taken there, three of four on average.
+        # The server accepts one of two requests; on average three of four are accepted.
         self.assertGreater(grey.delay, 1.2 * good.delay)
         self.assertLess(grey.delay, 3 * good.delay)
 
@@ -85,7 +85,7 @@
 
 
 class GreyHalfTest(unittest.TestCase):
-    """Half of the servers refuse half of what comes."""
+    """Half of the servers refuse half of their requests."""
 
     def worth(self, *, weighs_sheds: bool) -> float:
         grey = Event('grey', at=0.5, for_s=5.5, share=0.5, x=0.55, service='register')
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -1,4 +1,4 @@
-"""Cold servers: who may send them how much, and what is known of them."""
+"""Limits on the requests to cold servers, and detection of cold servers."""
 
 import unittest
 from random import Random
@@ -25,7 +25,7 @@
 from tests.sender_builders import Site
 
 NOW = 100.0
-#: What the users' cold servers bear: 4.5 requests a second, 1.5 times that and 8 more.
+#: Requests a second that a cold server handles: 4.5, times 1.5 and 8 more.
 BOUND = 4.5 * 1.5 + 8
 ZONES = ('zone-a', 'zone-b', 'zone-c')
 INSTANCES = 118
@@ -33,7 +33,7 @@
 
 
 class QuotaTest(unittest.TestCase):
-    """The parts add up to the bound, whatever it is."""
+    """The quotas of all senders add up to the bound."""
 
     def test_parts_add_up_to_at_most_the_bound(self):
         for zones in (ZONES[:1], ZONES, tuple(f'z{n}' for n in range(16))):
@@ -63,7 +63,7 @@
 
 
 def gate(sender: Sender | None = None, bound: float = BOUND) -> ColdGate:
-    """Return a gate of an instance with a place among the senders."""
+    """Return the gate of an instance with a sender position."""
     made = ColdGate(
         lambda load, bound: divide(bound, load.backend_id, load.zone, ZONES),
         lambda: sender,
@@ -73,12 +73,12 @@
 
 
 def load(backend_id: str = 'i-1', zone: str = 'zone-a') -> BackendLoad:
-    """Return a server of which nothing is known."""
+    """Return the initial state of a server."""
     return BackendLoad(backend_id, zone, 3)
 
 
 class GateTest(unittest.TestCase):
-    """What one instance sends to one cold server."""
+    """Requests of one instance to one cold server."""
 
     def test_quota_holds_in_any_second(self):
         own, server = gate(Sender('zone-a', 0)), load()
@@ -100,13 +100,13 @@
         self.assertEqual(own.closed(NOW), ['i-1'])
         permits[0].release()
         self.assertEqual(own.closed(NOW), [])
-        # A connection was waited for: the second counts from the first byte.
+        # A connection took 5 s: the second is counted from the first byte.
         self.assertTrue(own.may_send(server, permits[1], NOW + 5))
         permits[1].release()
         self.assertTrue(own.may_send(server, permits[2], NOW + 5))
         self.assertTrue(own.may_send(server, None, NOW + 5))
         self.assertFalse(own.may_send(server, None, NOW + 5.5))
-        # The same permit is no leave for a second request.
+        # A used permit does not allow a second request.
         self.assertFalse(own.may_send(server, permits[1], NOW + 5.5))
 
     def test_who_is_no_sender_sends_nothing(self):
@@ -148,7 +148,7 @@
 
 
 class KnowledgeTest(unittest.TestCase):
-    """How a server is known to be cold."""
+    """Detection of cold servers."""
 
     def setUp(self):
         self.router = ServiceRouter(LeastInFlight(Random(1)), cold=gate())
@@ -193,7 +193,7 @@
         self.assertIsNone(self.router.choose(NOW))
         self.router.close_zones(frozenset(), NOW + 9)
         self.assertIsNone(self.router.choose(NOW + 9))
-        # What was told before the zone was back says nothing.
+        # A report from before the zone was reopened is ignored.
         self.router.apply_cold_report('i-1', 0.0, NOW + 8.9)
         self.assertTrue(self.cold(NOW + 9))
         self.router.apply_cold_report('i-1', 0.0, NOW + 9.1)
@@ -223,7 +223,7 @@
 
 
 class ListTest(unittest.TestCase):
-    """Who reads the list of instances, as a place among the senders rests on it."""
+    """Which instances read the list of instances, which sender positions depend on."""
 
     def test_strongest_of_a_zone_read_it_though_callers_are_sent_to_others_first(self):
         entries = [
@@ -243,10 +243,10 @@
 
 
 class SiteTest(unittest.TestCase):
-    """All instances of a site together, whatever each of them knows."""
+    """All instances of a site together, with different lists of instances."""
 
     def play(self, seed: int, readers: float, steps: int) -> tuple[int, float]:
-        """Play a site; return the most senders of a zone and the greatest sum."""
+        """Simulate a site; return the most senders of a zone and the greatest sum."""
         most_senders, greatest = 0, 0.0
 
         async def run():
@@ -265,7 +265,7 @@
                     if name not in parted and random.random() < readers:
                         site.read(table)
                 if random.random() < 0.3:
-                    # Strong ones that come take the place of those that send.
+                    # A stronger new instance takes the position of a sender.
                     site.start_instance(
                         random.choice(ZONES), random.choice((2.15, 4.0))
                     )
@@ -290,7 +290,7 @@
             self.assertLessEqual(senders, SENDERS_PER_ZONE)
             self.assertLessEqual(total, BOUND)
             reached = max(reached, total)
-        # The cold servers do get work meanwhile.
+        # The cold servers do get requests.
         self.assertGreater(reached, BOUND / 2)
 
     def test_instance_that_leaves_or_reads_no_list_is_no_sender(self):
--- a/tests/test_warmup_path.py
+++ b/tests/test_warmup_path.py
@@ -1,4 +1,4 @@
-"""Cold servers on the users' platform, in one loop: what they get, and from whom."""
+"""Requests to cold servers, on an emulated platform in one event loop."""
 
 import unittest
 from collections.abc import Callable
@@ -16,7 +16,7 @@
     wait_for,
 )
 
-#: What a cold server bears in a second: 4 * 1.5 + 4.
+#: Requests a second that a cold server handles: 4 * 1.5 + 4.
 BOUND = 10
 BOUNDS = ',"cold_excess=1.5","cold_slack=4"'
 COLD_SECONDS = 4.0
@@ -24,19 +24,19 @@
 
 
 def always() -> bool:
-    """Wait for nothing."""
+    """Return True, for no condition."""
     return True
 
 
 async def warm_and_cold(platform: SmallPlatform, instances: int = 1) -> list[Worker]:
-    """Start a warm server, one that will be cold, and instances that know both."""
+    """Start two servers, the second to turn cold later, and some instances."""
     platform.bounds = BOUNDS
     platform.store.put('config', 'main', config_spec(cold_per_s=4.0))
     for server_id in ('i-1', 'i-2'):
         await platform.add_worker(server_id, cold_bound=BOUND, work_seconds=0.01)
     for _ in range(instances):
         entry = await platform.add_entry()
-        # Nobody else could be taken for a sender in these tests.
+        # Make the instances senders at once; no other instance can be one here.
         await wait_for(
             lambda entry=entry: entry.instances.sender_lease.listed_since < 1e9
         )
@@ -52,7 +52,7 @@
     seconds: float,
     until: Callable[[], object] = always,
 ) -> set[int]:
-    """Send requests from several callers for a while, and until a condition holds.
+    """Send requests for some seconds and until a condition holds.
 
     Return the statuses.
     """
@@ -78,7 +78,7 @@
 
 
 class ColdPathTest(unittest.TestCase):
-    """What a cold server sees."""
+    """Requests that arrive at a cold server."""
 
     def test_server_that_turns_cold_in_mid_life_gets_at_most_what_it_bears(self):
         async def check(platform):
@@ -109,7 +109,7 @@
             )
             for worker in (near, cold):
                 self.assertLessEqual(worker.most_cold_arrivals(), BOUND)
-            # The others are told at once to come back.
+            # The other calls are refused at once and may be retried.
             self.assertLessEqual(statuses, {200, 503})
 
         on_platform(check)
@@ -126,7 +126,7 @@
             self.assertEqual(len(router.cold.cold(CLOCK.monotonic())), 2)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(rush, platform, COLD_SECONDS)
-                # Without an answer of theirs they would be cold for 3 s.
+                # Without a probe's answer the servers would stay cold for 3 s.
                 is_known = await wait_at_most(
                     1.5, lambda: not router.cold.cold(CLOCK.monotonic())
                 )
@@ -189,7 +189,7 @@
                         for worker in platform.worker_by_id.values()
                     )
                 )
-            # Its next copies warm nobody, and none of them is refused as guilty.
+            # Retries are not sent to cold servers, and no request gets a verdict.
             self.assertEqual(ended, [1, 1, 1, 1])
             self.assertEqual(entry.book.verdicts, 0)
 
