--- a/catkinslip/routing/evidence.py
+++ b/catkinslip/routing/evidence.py
@@ -52,9 +52,9 @@
         if report is None:
             load.underreport_share = 1.0
             return
-        surely_there = load.in_flight - load.selections_since_report
-        if surely_there > 0:
-            is_underreport = report.in_flight < surely_there
+        min_in_flight = load.in_flight - load.selections_since_report
+        if min_in_flight > 0:
+            is_underreport = report.in_flight < min_in_flight
             load.underreport_share += TRUST_WEIGHT * (
                 is_underreport - load.underreport_share
             )
--- a/catkinslip/routing/router.py
+++ b/catkinslip/routing/router.py
@@ -115,8 +115,10 @@
     def close_zones(self, zones: frozenset[str], now: float) -> None:
         """Stop new requests to the servers of some zones, and reopen the others."""
         reopened = self.closed_zones - zones
-        back = [it for it in self.load_by_id.values() if it.zone in reopened]
-        self.cold.mark_possibly_restarted(back, now, 'zone reopened')
+        reopened_servers = [
+            it for it in self.load_by_id.values() if it.zone in reopened
+        ]
+        self.cold.mark_possibly_restarted(reopened_servers, now, 'zone reopened')
         self.closed_zones = zones
         self._list_loads()
         self.sample.redraw()
--- a/tests/test_resting_incident.py
+++ b/tests/test_resting_incident.py
@@ -17,10 +17,12 @@
 #: Seconds in which requests that were already on their way may still arrive.
 ON_THE_WAY_SECONDS = 0.5
 MOST_IN_REST = 2
-PLAY_SECONDS = 5.0
+LOAD_SECONDS = 5.0
 
 
-async def call_always(platform: SmallPlatform, statuses: Counter, name: str) -> None:
+async def call_repeatedly(
+    platform: SmallPlatform, statuses: Counter, name: str
+) -> None:
     """Send one request after the other without end."""
     count = 0
     while True:
@@ -35,17 +37,19 @@
     async with trio.open_nursery() as nursery:
         for number in range(CALLERS):
             name = f'r{number}-{trio.current_time():.3f}'
-            nursery.start_soon(call_always, platform, statuses, name)
+            nursery.start_soon(call_repeatedly, platform, statuses, name)
         await trio.sleep(seconds)
         nursery.cancel_scope.cancel()
     return statuses
 
 
-def most_in_rest(came_at: list[float]) -> int:
+def most_in_rest(arrived_at: list[float]) -> int:
     """Return the greatest number of arrivals in the rest period after an arrival."""
     return max(
-        sum(at + ON_THE_WAY_SECONDS <= other < at + REST_SECONDS for other in came_at)
-        for at in came_at
+        sum(
+            at + ON_THE_WAY_SECONDS <= other < at + REST_SECONDS for other in arrived_at
+        )
+        for at in arrived_at
     )
 
 
@@ -61,10 +65,10 @@
             worker = platform.worker_by_id['i-0']
             worker.fault, worker.rest = Fault.SHED, b'%g' % REST_SECONDS
             began = trio.current_time()
-            statuses = await call_for(platform, PLAY_SECONDS)
-            came_at = [at for at in worker.arrived_at if at >= began]
-            self.assertGreaterEqual(len(came_at), 1)
-            self.assertLessEqual(most_in_rest(came_at), MOST_IN_REST)
+            statuses = await call_for(platform, LOAD_SECONDS)
+            arrived_at = [at for at in worker.arrived_at if at >= began]
+            self.assertGreaterEqual(len(arrived_at), 1)
+            self.assertLessEqual(most_in_rest(arrived_at), MOST_IN_REST)
             # The other servers answer the remaining requests.
             self.assertGreater(statuses[200], statuses.total() * 0.9)
 
--- a/tests/test_resting_path.py
+++ b/tests/test_resting_path.py
@@ -48,14 +48,16 @@
     }
 
 
-def ask_for_rest(router: ServiceRouter, server_id: str, now: float = NOW) -> None:
+def request_rest(router: ServiceRouter, server_id: str, now: float = NOW) -> None:
     """Apply a refusal that requests a rest period."""
     signals = ServerSignals(rest=RestSignal(REST_SECONDS))
     load = router.load_by_id[server_id]
     router.apply_signals(load, signals, AnswerKind.REFUSAL, now, now)
 
 
-def take(router: ServiceRouter, server_id: str, sent_at: float, now: float) -> None:
+def apply_success(
+    router: ServiceRouter, server_id: str, sent_at: float, now: float
+) -> None:
     """Apply a success without a rest period."""
     signals = ServerSignals(rest=NO_REST)
     load = router.load_by_id[server_id]
@@ -81,10 +83,10 @@
     return len(worker.arrived_at), worker.probes
 
 
-class SightTest(unittest.TestCase):
+class ObservabilityTest(unittest.TestCase):
     """Logs and metrics of a server that requests a rest period."""
 
-    def test_lines_and_metrics_tell_what_a_server_asks_for(self):
+    def test_log_and_metrics_show_the_rest_period(self):
         async def check(platform):
             await platform.add_worker('i-1', fault=Fault.SHED, rest=b'3')
             entry = await platform.add_entry()
@@ -149,7 +151,7 @@
 
         on_platform(check)
 
-    def test_all_servers_resting_is_a_true_refusal_at_once(self):
+    def test_call_is_refused_at_once_if_all_servers_rest(self):
         async def check(platform):
             await resting(platform, 'i-1', 'i-2')
             before = arrived(platform, 'i-1'), arrived(platform, 'i-2')
@@ -168,14 +170,14 @@
         router = router_of('a')
         permits = router.reserve('a', NOW)
         load = router.started('a', NOW)
-        ask_for_rest(router, 'a')
+        request_rest(router, 'a')
         self.assertFalse(router.may_send(load, permits, NOW + 0.1))
         self.assertTrue(router.may_send(load, permits, NOW + REST_SECONDS))
 
-    def test_resting_server_is_no_room(self):
+    def test_resting_server_takes_no_share(self):
         router = router_of('a', 'b')
         load = router.load_by_id['a']
-        ask_for_rest(router, 'a')
+        request_rest(router, 'a')
         self.assertFalse(router.takes_full_share(load, NOW + 1))
         self.assertTrue(router.takes_full_share(load, NOW + REST_SECONDS))
 
@@ -185,35 +187,35 @@
 
     def test_one_request_after_the_other_tries_a_server_until_it_takes_one(self):
         router = router_of('a')
-        ask_for_rest(router, 'a')
+        request_rest(router, 'a')
         self.assertIsNone(router.choose(NOW + 2.9))
-        back = NOW + REST_SECONDS
-        self.assertEqual(router.choose(back).backend_id, 'a')
-        router.started('a', back)
-        self.assertIsNone(router.choose(back))
+        rest_ended_at = NOW + REST_SECONDS
+        self.assertEqual(router.choose(rest_ended_at).backend_id, 'a')
+        router.started('a', rest_ended_at)
+        self.assertIsNone(router.choose(rest_ended_at))
         # The trial request failed, so the next request is the trial.
-        router.finished('a', AttemptResult(ResultKind.FAILED, 0.1), back + 0.1)
-        self.assertEqual(router.choose(back + 0.2).backend_id, 'a')
-        router.started('a', back + 0.2)
-        take(router, 'a', back + 0.2, back + 0.3)
-        self.assertEqual(router.choose(back + 0.3).backend_id, 'a')
+        router.finished('a', AttemptResult(ResultKind.FAILED, 0.1), rest_ended_at + 0.1)
+        self.assertEqual(router.choose(rest_ended_at + 0.2).backend_id, 'a')
+        router.started('a', rest_ended_at + 0.2)
+        apply_success(router, 'a', rest_ended_at + 0.2, rest_ended_at + 0.3)
+        self.assertEqual(router.choose(rest_ended_at + 0.3).backend_id, 'a')
 
     def test_answer_to_a_request_of_before_ends_nothing(self):
         router = router_of('a')
         router.started('a', NOW - 1)
-        ask_for_rest(router, 'a')
-        take(router, 'a', NOW - 1, NOW + 0.2)
+        request_rest(router, 'a')
+        apply_success(router, 'a', NOW - 1, NOW + 0.2)
         self.assertIsNone(router.choose(NOW + 1))
 
     def test_request_of_before_that_still_runs_is_no_trial(self):
         router = router_of('a')
         router.started('a', NOW - 1)
-        ask_for_rest(router, 'a')
+        request_rest(router, 'a')
         self.assertEqual(router.choose(NOW + REST_SECONDS).backend_id, 'a')
 
-    def test_entry_that_lapses_and_is_back_ends_no_rest(self):
+    def test_entry_that_expires_and_returns_ends_no_rest(self):
         router = router_of('a')
-        ask_for_rest(router, 'a')
+        request_rest(router, 'a')
         router.update(Service(), {}, NOW)
         router.update(Service(), servers('a'), NOW + 0.5)
         self.assertIsNone(router.choose(NOW + 1))
@@ -221,23 +223,23 @@
 
     def test_next_start_of_a_server_does_not_rest(self):
         router = router_of('a')
-        ask_for_rest(router, 'a')
+        request_rest(router, 'a')
         router.update(Service(), servers('a', incarnation=7), NOW)
         self.assertIsNotNone(router.choose(NOW + 1))
 
-    def test_service_that_is_gone_and_back_ends_no_rest(self):
+    def test_service_that_is_removed_and_returns_ends_no_rest(self):
         directory = Directory(lambda: LeastInFlight(Random(1)))
         document = Document(Register({'one': Service()}, servers('a')))
         directory.update(AcceptedConfig(document=document))
         router = directory.router_by_service['one']
-        ask_for_rest(router, 'a', directory.clock.monotonic())
+        request_rest(router, 'a', directory.clock.monotonic())
         directory.update(AcceptedConfig())
         directory.update(AcceptedConfig(document=document))
         router = directory.router_by_service['one']
         self.assertIsNone(router.choose(directory.clock.monotonic()))
 
 
-class UnreadableTest(unittest.TestCase):
+class MalformedTest(unittest.TestCase):
     """A rest period that cannot be parsed."""
 
     def test_it_neither_rests_a_server_nor_puts_it_on_trial(self):
@@ -272,12 +274,12 @@
         self.assertGreater(self.retry(2.0, is_late=True), 0.5)
 
 
-class TakenBackTest(unittest.TestCase):
+class RestoredTest(unittest.TestCase):
     """A rest period belongs to one start of a server."""
 
     def test_rest_holds_for_the_server_as_it_is_known_now(self):
         router = router_of('a')
-        ask_for_rest(router, 'a')
+        request_rest(router, 'a')
         router.update(Service(), {}, NOW)
         router.update(Service(), servers('a'), NOW)
         rest = router.rest.registry.rest_by_id['a']
--- a/tests/test_resting_registry.py
+++ b/tests/test_resting_registry.py
@@ -16,7 +16,7 @@
     return read_rest(status, [(b'retry-after', value) for value in values])
 
 
-class SignTest(unittest.TestCase):
+class SignalTest(unittest.TestCase):
     """Parsing of the header."""
 
     def test_seconds_and_fractions_are_read(self):
@@ -27,12 +27,12 @@
         for status in (200, 408, 421, 500, 504):
             self.assertEqual(signal_of(b'3', status=status), NO_REST)
 
-    def test_nothing_else_than_seconds_is_believed(self):
+    def test_nothing_else_than_seconds_is_accepted(self):
         dated = b'Wed, 21 Oct 2026 07:28:00 GMT'
         for value in (b'', b'-1', b'x', b'1e9', b'inf', b'nan', b'1234567890', dated):
             self.assertEqual(signal_of(value), MALFORMED_REST, value)
 
-    def test_longest_of_several_counts_and_one_unreadable_spoils_all(self):
+    def test_longest_of_several_counts_unless_one_is_malformed(self):
         self.assertEqual(signal_of(b'1', b'4'), RestSignal(4.0))
         self.assertEqual(signal_of(b'1', b'soon'), MALFORMED_REST)
 
@@ -40,21 +40,21 @@
         self.assertEqual(signal_of(b'999999999'), RestSignal(MOST_REST_SECONDS))
 
 
-class BookTest(unittest.TestCase):
+class RegistryTest(unittest.TestCase):
     """The rest period of one server."""
 
     def setUp(self):
         self.registry = RestRegistry()
         self.load = BackendLoad('a', 'zone-a', 2)
 
-    def ask(self, seconds: float, now: float = NOW) -> None:
+    def request_rest(self, seconds: float, now: float = NOW) -> None:
         """Apply a refusal that requests a rest period."""
         self.registry.apply_signal(
             self.load, RestSignal(seconds), AnswerKind.REFUSAL, now, now
         )
 
     def test_rest_lasts_as_long_as_it_was_asked_for(self):
-        self.ask(3.0)
+        self.request_rest(3.0)
         self.assertAlmostEqual(
             self.registry.find(self.load, NOW + 1).remaining(NOW + 1), 2.0
         )
@@ -62,18 +62,18 @@
         self.assertIsNone(self.registry.find(self.load, NOW + 3))
 
     def test_rest_grows_and_never_shrinks(self):
-        self.ask(3.0)
-        self.ask(1.0, NOW + 0.1)
+        self.request_rest(3.0)
+        self.request_rest(1.0, NOW + 0.1)
         self.assertAlmostEqual(self.registry.find(self.load, NOW).until, NOW + 3)
-        self.ask(4.0, NOW + 0.2)
+        self.request_rest(4.0, NOW + 0.2)
         self.assertAlmostEqual(self.registry.find(self.load, NOW).until, NOW + 4.2)
 
     def test_zero_asks_for_nothing(self):
-        self.ask(0.0)
+        self.request_rest(0.0)
         self.assertIsNone(self.registry.find(self.load, NOW))
 
-    def test_unreadable_rest_changes_nothing_and_is_logged_once(self):
-        self.ask(3.0)
+    def test_malformed_rest_changes_nothing_and_is_logged_once(self):
+        self.request_rest(3.0)
         with self.assertLogs('resting', 'WARNING') as logs:
             for _ in range(3):
                 self.registry.apply_signal(
--- a/tests/test_routing_policies.py
+++ b/tests/test_routing_policies.py
@@ -21,7 +21,7 @@
 from catkinslip.routing.sample import SAMPLE_SECONDS, SAMPLE_SIZE
 from catkinslip.settings.daemon_options import POLICIES
 
-HONEST = LoadReport(0, 1.0)
+IDLE = LoadReport(0, 1.0)
 
 
 def make_router(size: int, slots: int = 2, zone: str = '') -> ServiceRouter:
@@ -35,7 +35,7 @@
     return router
 
 
-def pick(router: ServiceRouter, now: float) -> str:
+def select_server(router: ServiceRouter, now: float) -> str:
     """Choose a server and start a request to it."""
     backend_id = router.choose(now).backend_id
     router.started(backend_id, now)
@@ -46,7 +46,7 @@
     router: ServiceRouter,
     backend_id: str,
     now: float,
-    report: LoadReport | None = HONEST,
+    report: LoadReport | None = IDLE,
     kind: ResultKind = ResultKind.ANSWERED,
     latency: float = 0.02,
 ) -> None:
@@ -59,14 +59,14 @@
     """Return how many of some simultaneous requests go to each server."""
     before = {each: load.in_flight for each, load in router.load_by_id.items()}
     for _ in range(count):
-        pick(router, now)
+        select_server(router, now)
     return {each: router.load_by_id[each].in_flight - n for each, n in before.items()}
 
 
 class ExpectedDelayTest(unittest.TestCase):
     """Selection by the shortest expected delay, from reports that age."""
 
-    def test_own_picks_since_the_report_count(self):
+    def test_local_selections_since_the_report_count(self):
         router = make_router(4)
         for backend_id in router.load_by_id:
             answer(router, backend_id, 1.0, LoadReport(4, 1.0))
@@ -78,17 +78,17 @@
             router.started('limits-0', 1.0)
         answer(router, 'limits-0', 1.001, LoadReport(0, 1.0))
         answer(router, 'limits-1', 1.001, LoadReport(4, 1.0))
-        self.assertEqual(pick(router, 1.001), 'limits-1')
+        self.assertEqual(select_server(router, 1.001), 'limits-1')
 
     def test_a_report_ages(self):
         router = make_router(2)
         answer(router, 'limits-0', 1.0, LoadReport(9, 1.0))
         answer(router, 'limits-1', 1.0, LoadReport(1, 1.0))
-        self.assertEqual(pick(router, 1.001), 'limits-1')
+        self.assertEqual(select_server(router, 1.001), 'limits-1')
         selections = selections_by_id(router, 6, 2.0)
         self.assertGreater(selections['limits-0'], 1)
 
-    def test_a_slow_server_gets_less_and_is_forgiven_with_time(self):
+    def test_a_slow_server_gets_less_and_recovers_with_time(self):
         router = make_router(4)
         for n in range(400):
             slow = LoadReport(0, 0.05)
@@ -111,7 +111,7 @@
                 answer(router, backend_id, 1 + n / 50, report, latency=latency)
         self.assertEqual(selections_by_id(router, 10, 5.0)['limits-0'], 0)
 
-    def test_a_report_below_own_requests_in_flight_is_a_lie(self):
+    def test_a_report_below_local_requests_in_flight_is_an_underreport(self):
         router = make_router(2)
         for _ in range(3):
             router.started('limits-0', 0.5)
@@ -121,7 +121,7 @@
             answer(router, 'limits-0', 1.1 + n / 100, LoadReport(0, 1.0))
         self.assertGreater(router.load_by_id['limits-0'].underreport_share, 0.5)
 
-    def test_a_lying_server_is_judged_by_own_requests_in_flight(self):
+    def test_an_underreporting_server_is_rated_by_local_requests_in_flight(self):
         router = make_router(3)
         for _ in range(3):
             router.started('limits-0', 0.5)
@@ -131,7 +131,7 @@
             answer(router, 'limits-0', now, LoadReport(0, 1.0))
             answer(router, 'limits-1', now, LoadReport(4, 1.0))
             answer(router, 'limits-2', now, LoadReport(6, 1.0))
-        self.assertEqual(pick(router, now), 'limits-1')
+        self.assertEqual(select_server(router, now), 'limits-1')
 
     def test_latency_that_contradicts_the_reported_speed_counts(self):
         router = make_router(6)
@@ -152,7 +152,7 @@
         router = make_router(3)
         for n in range(4):
             failed = ResultKind.FAILED
-            answer(router, 'limits-0', 1 + n / 1000, HONEST, failed, 0.001)
+            answer(router, 'limits-0', 1 + n / 1000, IDLE, failed, 0.001)
         self.assertEqual(selections_by_id(router, 9, 1.1)['limits-0'], 0)
         self.assertGreater(selections_by_id(router, 9, 4.0)['limits-0'], 0)
 
@@ -160,13 +160,13 @@
         router = make_router(2)
         for n in range(20):
             kind = ResultKind.FAILED if n == 10 else ResultKind.ANSWERED
-            answer(router, 'limits-0', 1 + n / 100, HONEST, kind)
+            answer(router, 'limits-0', 1 + n / 100, IDLE, kind)
             answer(router, 'limits-1', 1 + n / 100)
         self.assertEqual(set(selections_by_id(router, 4, 1.2).values()), {2})
 
     def test_a_server_that_sheds_is_left_alone_for_a_moment(self):
         router = make_router(2)
-        answer(router, 'limits-0', 1.0, HONEST, ResultKind.SHED, 0.001)
+        answer(router, 'limits-0', 1.0, IDLE, ResultKind.SHED, 0.001)
         self.assertEqual(selections_by_id(router, 6, 1.01)['limits-0'], 0)
 
     def test_pauses_never_empty_the_pool(self):
@@ -203,7 +203,7 @@
         router = make_router(2)
         router.apply_peer_report('limits-0', LoadReport(5, 1.0), 1.0)
         router.apply_peer_report('limits-1', LoadReport(1, 1.0), 1.0)
-        self.assertEqual(pick(router, 1.001), 'limits-1')
+        self.assertEqual(select_server(router, 1.001), 'limits-1')
 
     def test_each_named_policy_chooses(self):
         loads = make_router(3).loads
@@ -215,7 +215,7 @@
             policy = make_policy(settings, Random(1))
             self.assertIn(policy.choose(loads, 1.0).backend_id, ids)
 
-    def test_outcomes_speak_about_the_server(self):
+    def test_outcomes_map_to_result_kinds(self):
         for outcome, kind in (
             (Answered(200), ResultKind.ANSWERED),
             (Answered(404), ResultKind.ANSWERED),
@@ -234,10 +234,10 @@
         for number in range(200):
             # At one time, requests are spread evenly over the servers of the sample.
             now = 1.0 + number * SAMPLE_SECONDS
-            chosen = [pick(router, now) for _ in range(SAMPLE_SIZE)]
+            chosen = [select_server(router, now) for _ in range(SAMPLE_SIZE)]
             self.assertEqual(len(set(chosen)), SAMPLE_SIZE)
             selections.update(chosen)
-            result = AttemptResult(ResultKind.ANSWERED, 0.02, HONEST)
+            result = AttemptResult(ResultKind.ANSWERED, 0.02, IDLE)
             for backend_id in chosen:
                 router.finished(backend_id, result, now)
         self.assertEqual(len(selections), 3 * SAMPLE_SIZE)
@@ -247,19 +247,19 @@
 
     def test_all_servers_are_looked_at_where_a_sample_has_no_room(self):
         router = make_router(3 * SAMPLE_SIZE, slots=1)
-        chosen = [pick(router, 1.0) for _ in range(3 * SAMPLE_SIZE)]
+        chosen = [select_server(router, 1.0) for _ in range(3 * SAMPLE_SIZE)]
         self.assertEqual(len(set(chosen)), 3 * SAMPLE_SIZE)
 
     def test_servers_of_the_own_zone_are_chosen_while_they_have_room(self):
         router = make_router(4 * SAMPLE_SIZE, slots=1)
         router.sample.zone = 'zone-1'
         near = {each.backend_id for each in router.loads if each.zone == 'zone-1'}
-        chosen = [pick(router, 1.0) for _ in range(SAMPLE_SIZE)]
+        chosen = [select_server(router, 1.0) for _ in range(SAMPLE_SIZE)]
         self.assertLessEqual(set(chosen), near)
 
     def test_removed_server_leaves_the_sample(self):
         router = make_router(3 * SAMPLE_SIZE)
-        pick(router, 1.0)
+        select_server(router, 1.0)
         removed = router.sample.loads[0].backend_id
         router.change(Service(2), {removed: None})
         self.assertNotIn(removed, selections_by_id(router, 3 * SAMPLE_SIZE, 1.0))
@@ -268,7 +268,7 @@
         router = make_router(3 * SAMPLE_SIZE)
         for load in router.loads[:-1]:
             load.draining = True
-        self.assertEqual(pick(router, 1.0), router.loads[-1].backend_id)
+        self.assertEqual(select_server(router, 1.0), router.loads[-1].backend_id)
 
 
 class ReportTest(unittest.TestCase):
--- a/tests/test_routing_restart.py
+++ b/tests/test_routing_restart.py
@@ -75,7 +75,7 @@
         self.assertTrue(self.router.is_known(before))
         self.assertEqual(self.router.load_by_id['limits-1'].in_flight, 1)
 
-    def test_signs_of_leaving_and_refused_connections_end(self):
+    def test_drain_signals_and_refused_connections_end(self):
         now = self.clock.monotonic()
         key = self.health.key_by_id['limits-1']
         self.health.drain.sign(key, DrainSign.OWN, now)
@@ -86,24 +86,27 @@
         self.assertIsNotNone(self.router.choose(now))
         self.assertEqual(self.health.reachability.avoided(now), [])
 
-    def test_datagram_on_the_earlier_start_is_not_believed(self):
+    def test_datagram_on_the_earlier_start_is_ignored(self):
         self.update(8)
-        told = {'reports': [['limits-1', 7, 2.0, 0.1, 0]], 'silent': [['limits-1', 7]]}
-        self.sharer.take(orjson.dumps(told))
+        datagram = {
+            'reports': [['limits-1', 7, 2.0, 0.1, 0]],
+            'silent': [['limits-1', 7]],
+        }
+        self.sharer.take(orjson.dumps(datagram))
         load = self.router.load_by_id['limits-1']
         self.assertIsNone(load.report)
         self.assertFalse(load.is_silent)
-        told['reports'][0][1] = 8
-        self.sharer.take(orjson.dumps(told))
+        datagram['reports'][0][1] = 8
+        self.sharer.take(orjson.dumps(datagram))
         self.assertEqual(load.report, FULL)
 
     def test_datagram_names_the_start(self):
         self.router.apply_peer_report('limits-1', FULL, self.clock.monotonic())
         self.sharer.note(self.router.load_by_id['limits-1'])
-        told = orjson.loads(self.sharer.encode())
-        self.assertEqual(told['reports'][0][:2], ['limits-1', 7])
+        datagram = orjson.loads(self.sharer.encode())
+        self.assertEqual(datagram['reports'][0][:2], ['limits-1', 7])
 
-    def test_start_is_left_out_of_a_document_that_tells_none(self):
+    def test_unknown_incarnation_is_left_out_of_a_document(self):
         plain = to_plain(config(0).document)
         self.assertNotIn('incarnation', plain['register']['backends']['limits-1'])
 
@@ -140,7 +143,7 @@
 class LateAnswerTest(unittest.TestCase):
     """A late answer of the earlier start, on the whole path."""
 
-    def test_it_reaches_its_caller_and_says_nothing_of_the_new_start(self):
+    def test_it_reaches_its_caller_and_does_not_affect_the_new_start(self):
         async def check(platform):
             port = await platform.add_worker('i-1', work_seconds=0.3)
             entry = await platform.add_entry()
--- a/tests/test_routing_sheds.py
+++ b/tests/test_routing_sheds.py
@@ -24,7 +24,7 @@
 SEED = 3
 
 
-def ended(policy: ExpectedDelay, load: BackendLoad, kind: ResultKind, now: float):
+def end_request(policy: ExpectedDelay, load: BackendLoad, kind: ResultKind, now: float):
     """End a request with a report of an idle server."""
     policy.finished(load, AttemptResult(kind, 0.01, IDLE), now)
     policy.reported(load, IDLE, now)
@@ -38,7 +38,7 @@
         self.policy = ExpectedDelay(Random(1))
         self.loads = [BackendLoad(name, 'zone-a', 3) for name in ('good', 'grey')]
 
-    def play(self, seconds: float) -> float:
+    def simulate(self, seconds: float) -> float:
         """Let one server shed every second request, and return the end time."""
         good, grey = self.loads
         now = NOW
@@ -47,11 +47,11 @@
             for number, load in enumerate((good, grey)):
                 sheds = number and round(now / 0.05) % 2
                 kind = ResultKind.SHED if sheds else ResultKind.ANSWERED
-                ended(self.policy, load, kind, now)
+                end_request(self.policy, load, kind, now)
         return now
 
     def test_server_that_sheds_looks_slower_than_one_that_does_not(self):
-        now = self.play(2.0) + 0.2
+        now = self.simulate(2.0) + 0.2
         good, grey = self.policy.rank(self.loads, now)
         self.assertEqual(good.load.backend_id, 'good')
         # The server accepts one of two requests; on average three of four are accepted.
@@ -59,12 +59,12 @@
         self.assertLess(grey.delay, 3 * good.delay)
 
     def test_it_is_forgotten_with_time_and_with_answers(self):
-        now = self.play(2.0)
+        now = self.simulate(2.0)
         grey = self.loads[1]
         self.assertGreater(shed_share(grey, now), 0.25)
         self.assertLess(shed_share(grey, now + 20), LEAST_SHED_SHARE)
         for step in range(10):
-            ended(self.policy, grey, ResultKind.ANSWERED, now + step / 100)
+            end_request(self.policy, grey, ResultKind.ANSWERED, now + step / 100)
         self.assertLess(shed_share(grey, now + 0.1), LEAST_SHED_SHARE)
 
     def test_where_all_shed_alike_no_call_looks_late(self):
@@ -73,14 +73,14 @@
             now = NOW + step / 20
             for load in self.loads:
                 kind = ResultKind.SHED if step % 2 else ResultKind.ANSWERED
-                ended(self.policy, load, kind, now)
+                end_request(self.policy, load, kind, now)
         best, _ = self.policy.rank(self.loads, now + 1.5)
         self.assertLess(best.delay, GOOD_DELAY)
 
     def test_failures_and_given_up_requests_are_no_sheds(self):
         grey = self.loads[1]
         for kind in (ResultKind.FAILED, ResultKind.CANCELLED):
-            ended(self.policy, grey, kind, NOW)
+            end_request(self.policy, grey, kind, NOW)
         self.assertEqual(shed_share(grey, NOW), 0.0)
 
 
@@ -95,8 +95,11 @@
         return share_of_worth([each for each in world.run() if each.asked_at > 1.5])
 
     def test_callers_are_served_by_the_other_half(self):
-        learned, paused = self.worth(weighs_sheds=True), self.worth(weighs_sheds=False)
-        self.assertGreater(learned, paused + 0.03)
+        with_estimate, without_estimate = (
+            self.worth(weighs_sheds=True),
+            self.worth(weighs_sheds=False),
+        )
+        self.assertGreater(with_estimate, without_estimate + 0.03)
 
 
 if __name__ == '__main__':
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -81,73 +81,73 @@
     """Requests of one instance to one cold server."""
 
     def test_quota_holds_in_any_second(self):
-        own, server = gate(Sender('zone-a', 0)), load()
-        own.mark_cold(server, 60.0, NOW, 'test')
+        cold_gate, server = gate(Sender('zone-a', 0)), load()
+        cold_gate.mark_cold(server, 60.0, NOW, 'test')
         sent = []
         for step in range(3000):
             now = NOW + step / 200
-            if not own.closed(now) and own.may_send(server, None, now):
+            if not cold_gate.closed(now) and cold_gate.may_send(server, None, now):
                 sent.append(now)
         for first, fourth in zip(sent, sent[3:], strict=False):
             self.assertGreater(fourth - first, 1.0)
         self.assertGreaterEqual(len(sent), 3 * 14)
 
     def test_promised_requests_count_until_they_are_given_up(self):
-        own, server = gate(Sender('zone-a', 0)), load()
-        own.mark_cold(server, 60.0, NOW, 'test')
-        permits = [own.reserve(server, NOW) for _ in range(4)]
+        cold_gate, server = gate(Sender('zone-a', 0)), load()
+        cold_gate.mark_cold(server, 60.0, NOW, 'test')
+        permits = [cold_gate.reserve(server, NOW) for _ in range(4)]
         self.assertEqual([permit is None for permit in permits], [False] * 3 + [True])
-        self.assertEqual(own.closed(NOW), ['i-1'])
+        self.assertEqual(cold_gate.closed(NOW), ['i-1'])
         permits[0].release()
-        self.assertEqual(own.closed(NOW), [])
+        self.assertEqual(cold_gate.closed(NOW), [])
         # A connection took 5 s: the second is counted from the first byte.
-        self.assertTrue(own.may_send(server, permits[1], NOW + 5))
+        self.assertTrue(cold_gate.may_send(server, permits[1], NOW + 5))
         permits[1].release()
-        self.assertTrue(own.may_send(server, permits[2], NOW + 5))
-        self.assertTrue(own.may_send(server, None, NOW + 5))
-        self.assertFalse(own.may_send(server, None, NOW + 5.5))
+        self.assertTrue(cold_gate.may_send(server, permits[2], NOW + 5))
+        self.assertTrue(cold_gate.may_send(server, None, NOW + 5))
+        self.assertFalse(cold_gate.may_send(server, None, NOW + 5.5))
         # A used permit does not allow a second request.
-        self.assertFalse(own.may_send(server, permits[1], NOW + 5.5))
+        self.assertFalse(cold_gate.may_send(server, permits[1], NOW + 5.5))
 
-    def test_who_is_no_sender_sends_nothing(self):
+    def test_instance_that_is_no_sender_sends_nothing(self):
         for sender in (None, Sender('zone-x', 0), Sender('zone-a', SENDERS_PER_ZONE)):
-            own, server = gate(sender), load()
-            own.mark_cold(server, 3.0, NOW, 'test')
-            self.assertEqual(own.closed(NOW), ['i-1'])
-            self.assertFalse(own.may_send(server, None, NOW))
-            self.assertEqual(own.closed(NOW + 3), [])
-            self.assertTrue(own.may_send(server, None, NOW + 3))
+            cold_gate, server = gate(sender), load()
+            cold_gate.mark_cold(server, 3.0, NOW, 'test')
+            self.assertEqual(cold_gate.closed(NOW), ['i-1'])
+            self.assertFalse(cold_gate.may_send(server, None, NOW))
+            self.assertEqual(cold_gate.closed(NOW + 3), [])
+            self.assertTrue(cold_gate.may_send(server, None, NOW + 3))
 
     def test_what_was_sent_before_it_turned_cold_counts(self):
-        own, server = gate(Sender('zone-a', 0)), load()
+        cold_gate, server = gate(Sender('zone-a', 0)), load()
         for step in range(20):
             server.record_sent(NOW + step / 10)
-        own.mark_cold(server, 60.0, NOW + 2, 'test')
-        self.assertEqual(own.closed(NOW + 2), ['i-1'])
-        self.assertEqual(own.closed(NOW + 3.2), [])
+        cold_gate.mark_cold(server, 60.0, NOW + 2, 'test')
+        self.assertEqual(cold_gate.closed(NOW + 2), ['i-1'])
+        self.assertEqual(cold_gate.closed(NOW + 3.2), [])
 
     def test_server_that_turned_cold_since_the_choice_is_not_sent_to(self):
-        own, server = gate(), load()
-        self.assertIsNone(own.reserve(server, NOW))
-        own.apply_report(server, 3.0, NOW)
-        self.assertFalse(own.may_send(server, None, NOW))
+        cold_gate, server = gate(), load()
+        self.assertIsNone(cold_gate.reserve(server, NOW))
+        cold_gate.apply_report(server, 3.0, NOW)
+        self.assertFalse(cold_gate.may_send(server, None, NOW))
 
     def test_without_a_bound_nothing_is_kept_back(self):
-        own, server = gate(None, float('inf')), load()
-        own.mark_cold(server, 3.0, NOW, 'test')
-        self.assertEqual(own.closed(NOW), [])
-        self.assertTrue(own.may_send(server, None, NOW))
+        cold_gate, server = gate(None, float('inf')), load()
+        cold_gate.mark_cold(server, 3.0, NOW, 'test')
+        self.assertEqual(cold_gate.closed(NOW), [])
+        self.assertTrue(cold_gate.may_send(server, None, NOW))
         self.assertTrue(server.is_cold(NOW))
 
     def test_bound_that_changes_holds_at_once(self):
-        own, server = gate(Sender('zone-a', 0)), load()
-        own.mark_cold(server, 60.0, NOW, 'test')
-        own.configure(3.0, 2.0)
-        self.assertTrue(own.may_send(server, None, NOW))
-        self.assertFalse(own.may_send(server, None, NOW))
+        cold_gate, server = gate(Sender('zone-a', 0)), load()
+        cold_gate.mark_cold(server, 60.0, NOW, 'test')
+        cold_gate.configure(3.0, 2.0)
+        self.assertTrue(cold_gate.may_send(server, None, NOW))
+        self.assertFalse(cold_gate.may_send(server, None, NOW))
 
 
-class KnowledgeTest(unittest.TestCase):
+class DetectionTest(unittest.TestCase):
     """Detection of cold servers."""
 
     def setUp(self):
@@ -163,18 +163,18 @@
     def cold(self, at: float = NOW) -> bool:
         return self.router.load_by_id['i-1'].is_cold(at)
 
-    def test_entry_tells(self):
+    def test_entry_marks_a_server_as_cold(self):
         self.assertFalse(self.cold())
         self.change(cold_seconds=2.0)
         self.assertEqual((self.cold(NOW + 1.9), self.cold(NOW + 2)), (True, False))
         self.assertIsNone(self.router.choose(NOW))
         self.assertEqual(self.router.choose(NOW + 2).backend_id, 'i-1')
 
-    def test_new_server_that_has_not_told_is_taken_as_cold(self):
+    def test_new_server_without_a_report_is_cold(self):
         load = self.change(incarnation=7, cold_seconds=None)
         self.assertEqual(load.cold_until, NOW + SERVICE.cold_seconds)
 
-    def test_entry_without_news_makes_no_server_cold_again(self):
+    def test_entry_without_a_cold_period_makes_no_server_cold_again(self):
         self.change(at=NOW + 60, cold_seconds=None, slots=4)
         self.assertFalse(self.cold(NOW + 60))
 
@@ -182,13 +182,13 @@
         self.change(incarnation=8, cold_seconds=3.0)
         self.assertTrue(self.cold())
 
-    def test_probe_tells_also_in_mid_life(self):
+    def test_probe_reports_a_cold_period_at_any_time(self):
         self.router.apply_cold_report('i-1', 2.5, NOW)
         self.assertTrue(self.cold(NOW + 2.4))
         self.router.apply_cold_report('i-1', 0.0, NOW + 1)
         self.assertFalse(self.cold(NOW + 1))
 
-    def test_zone_that_is_back_is_cold_until_its_servers_tell(self):
+    def test_reopened_zone_is_cold_until_its_servers_report(self):
         self.router.close_zones(frozenset({'zone-a'}), NOW)
         self.assertIsNone(self.router.choose(NOW))
         self.router.close_zones(frozenset(), NOW + 9)
@@ -215,7 +215,7 @@
         self.assertTrue(self.cold())
         self.assertIn('i-1', self.router.cold.possible_restart_at_by_id)
 
-    def test_server_that_is_gone_is_forgotten(self):
+    def test_removed_server_is_forgotten(self):
         self.router.mark_possibly_restarted('i-1', NOW)
         self.router.change(SERVICE, {'i-1': None}, NOW)
         self.assertEqual(self.router.cold.closed(NOW), [])
@@ -245,7 +245,7 @@
 class SiteTest(unittest.TestCase):
     """All instances of a site together, with different lists of instances."""
 
-    def play(self, seed: int, readers: float, steps: int) -> tuple[int, float]:
+    def simulate(self, seed: int, readers: float, steps: int) -> tuple[int, float]:
         """Simulate a site; return the most senders of a zone and the greatest sum."""
         most_senders, greatest = 0, 0.0
 
@@ -255,14 +255,14 @@
             site = Site(random, lists=[(-100.0, {})], table_by_id={})
             for number in range(INSTANCES):
                 site.start_instance(random.choice(ZONES), 2.15 if number < 9 else 0.43)
-            parted = set()
+            partitioned = set()
             for _ in range(steps):
                 passed = random.choice((0.2, 1.0, 5.0))
                 await trio.sleep(passed)
                 site.now += passed
                 for table in list(site.table_by_id.values()):
                     name = table.own.instance_id
-                    if name not in parted and random.random() < readers:
+                    if name not in partitioned and random.random() < readers:
                         site.read(table)
                 if random.random() < 0.3:
                     # A stronger new instance takes the position of a sender.
@@ -271,7 +271,7 @@
                     )
                 if random.random() < 0.2:
                     site.stop_instance(random.choice(list(site.lists[-1][1])))
-                parted ^= {random.choice(list(site.table_by_id))}
+                partitioned ^= {random.choice(list(site.table_by_id))}
                 positions = site.senders()
                 for zone in ZONES:
                     count = sum(position.zone == zone for position in positions)
@@ -286,7 +286,7 @@
     def test_bound_holds_with_118_instances_and_any_partition(self):
         reached = 0.0
         for seed in range(6):
-            senders, total = self.play(seed, readers=0.6, steps=120)
+            senders, total = self.simulate(seed, readers=0.6, steps=120)
             self.assertLessEqual(senders, SENDERS_PER_ZONE)
             self.assertLessEqual(total, BOUND)
             reached = max(reached, total)
--- a/tests/test_warmup_path.py
+++ b/tests/test_warmup_path.py
@@ -47,7 +47,7 @@
     return list(platform.worker_by_id.values())
 
 
-async def rush(
+async def send_load(
     platform: SmallPlatform,
     seconds: float,
     until: Callable[[], object] = always,
@@ -80,18 +80,18 @@
 class ColdPathTest(unittest.TestCase):
     """Requests that arrive at a cold server."""
 
-    def test_server_that_turns_cold_in_mid_life_gets_at_most_what_it_bears(self):
+    def test_server_that_turns_cold_later_gets_at_most_what_it_handles(self):
         async def check(platform):
             _, cold = await warm_and_cold(platform, instances=3)
-            await rush(platform, 0.5, lambda: cold.heads)
+            await send_load(platform, 0.5, lambda: cold.heads)
             cold.turn_cold(GENEROUS_SECONDS)
-            await rush(platform, 2.5, lambda: cold.cold_arrivals)
+            await send_load(platform, 2.5, lambda: cold.cold_arrivals)
             self.assertLessEqual(cold.most_cold_arrivals(), BOUND)
             self.assertFalse(cold.process.cancel_called)
 
         on_platform(check)
 
-    def test_zone_that_is_back_cold_is_warmed(self):
+    def test_reopened_zone_with_cold_servers_gets_requests(self):
         async def check(platform):
             near, cold = await warm_and_cold(platform, instances=2)
             platform.store.put('evacuations', 'zone-a', {})
@@ -104,7 +104,7 @@
             await wait_for(
                 lambda: not any(e.assembler.evacuated_zones for e in platform.entries)
             )
-            statuses = await rush(
+            statuses = await send_load(
                 platform, 2.5, lambda: near.cold_arrivals and cold.cold_arrivals
             )
             for worker in (near, cold):
@@ -114,7 +114,7 @@
 
         on_platform(check)
 
-    def test_zone_that_is_back_warm_is_known_as_such_by_its_first_calls(self):
+    def test_reopened_zone_with_warm_servers_is_detected_by_its_first_calls(self):
         async def check(platform):
             await warm_and_cold(platform)
             entry = platform.entries[0]
@@ -125,7 +125,7 @@
             await wait_for(lambda: not platform.entries[0].assembler.evacuated_zones)
             self.assertEqual(len(router.cold.cold(CLOCK.monotonic())), 2)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(rush, platform, COLD_SECONDS)
+                nursery.start_soon(send_load, platform, COLD_SECONDS)
                 # Without a probe's answer the servers would stay cold for 3 s.
                 is_known = await wait_at_most(
                     1.5, lambda: not router.cold.cold(CLOCK.monotonic())
@@ -135,7 +135,7 @@
 
         on_platform(check)
 
-    def test_server_that_has_not_told_that_it_is_cold_is_taken_as_such(self):
+    def test_new_server_without_a_cold_report_is_treated_as_cold(self):
         async def check(platform):
             await warm_and_cold(platform)
             entry = platform.entries[0]
@@ -144,13 +144,13 @@
             platform.register('i-3', 'one', port, cold_left_s=None)
             router = entry.sampler.health.directory.router_by_service['one']
             await wait_for(lambda: 'i-3' in router.load_by_id)
-            await rush(platform, 1.5)
+            await send_load(platform, 1.5)
             worker = platform.worker_by_id['i-3']
             self.assertLessEqual(worker.most_cold_arrivals(), BOUND)
 
         on_platform(check)
 
-    def test_only_cold_servers_and_nobody_to_warm_them_is_a_true_refusal(self):
+    def test_call_is_refused_if_all_servers_are_cold_and_no_instance_is_a_sender(self):
         async def check(platform):
             workers = await warm_and_cold(platform)
             entry = platform.entries[0]
@@ -166,7 +166,7 @@
 
         on_platform(check)
 
-    def test_end_of_a_cold_server_condemns_no_request(self):
+    def test_crash_of_a_cold_server_leads_to_no_verdict(self):
         async def check(platform):
             for number in range(4):
                 await platform.add_worker(f'i-{number}', cold_bound=0)
