--- a/catkinslip/resting/gate.py
+++ b/catkinslip/resting/gate.py
@@ -32,7 +32,7 @@
     registry: RestRegistry = Factory(RestRegistry)
 
     def closed(self, now: float) -> list[str]:
-        """Return the IDs of the servers in a rest period or with a trial after it."""
+        """Return the IDs of the servers in a rest period or on trial after it."""
         return [
             backend_id
             for backend_id, rest in self.registry.rest_by_id.items()
@@ -62,7 +62,7 @@
         return self.registry.find(load, now) is None
 
     def restore(self, load: BackendLoad) -> None:
-        """Restore the rest period of a new server that was registered here before."""
+        """Restore the rest period of a server that is registered again."""
         self.registry.restore(load)
 
     def forget(self, load: BackendLoad) -> None:
--- a/catkinslip/resting/registry.py
+++ b/catkinslip/resting/registry.py
@@ -84,7 +84,7 @@
             self._end_trial(load, sent_at, now)
 
     def restore(self, load: BackendLoad) -> None:
-        """Restore the rest period of a new server that was registered here before."""
+        """Restore the rest period of a server that is registered again."""
         rest = self.rest_by_id.pop(load.backend_id, None)
         if rest is not None and rest.load.incarnation == load.incarnation:
             rest.load = load
--- a/catkinslip/routing/base.py
+++ b/catkinslip/routing/base.py
@@ -30,7 +30,7 @@
 
 @unique
 class ResultKind(Enum):
-    """Result of an attempt, as far as it indicates the state of the backend server."""
+    """Kind of result of an attempt, as far as it concerns the backend server."""
 
     ANSWERED = 'answered'
     FAILED = 'failed'
@@ -133,7 +133,7 @@
 
     @abstractmethod
     def choose(self, candidates: Sequence[BackendLoad], now: float) -> Choice:
-        """Return the choice among at least one candidate."""
+        """Return the choice of a server among at least one candidate."""
 
     def rank(self, candidates: Sequence[BackendLoad], now: float) -> list[Estimate]:
         """Return the estimates of the candidates, the shortest delay first."""
--- a/catkinslip/routing/delay.py
+++ b/catkinslip/routing/delay.py
@@ -51,7 +51,7 @@
 
 @frozen
 class DelayReason:
-    """The load and delay that made a server the best; delays are in service times."""
+    """Estimates of a chosen server and of the next best; delays are in service times."""
 
     delay: float
     in_flight: float
@@ -74,7 +74,7 @@
 
 
 def choose_estimate(chosen: Estimate, following: Estimate | None, now: float) -> Choice:
-    """Return the choice of an estimated candidate, with the next best in its reason."""
+    """Return the choice of a candidate; its reason compares it to the next best."""
     chosen.load.expected_in_flight = chosen.in_flight
     reason = DelayReason(
         chosen.delay,
@@ -89,7 +89,10 @@
 
 @define
 class ExpectedDelay(Policy):
-    """Policy that minimizes the expected delay: queue length by slots, by speed."""
+    """Policy that selects the server with the shortest expected delay.
+
+    The delay is the queue length divided by the number of slots and by the speed.
+    """
 
     random: Random
     zone: str = ''
--- a/catkinslip/routing/evidence.py
+++ b/catkinslip/routing/evidence.py
@@ -121,13 +121,13 @@
             return
         is_shed = kind is ResultKind.SHED
         self.mean += SHED_MEAN_WEIGHT * (is_shed - self.mean)
-        known = shed_share(load, now)
-        load.shed_share = known + SHED_WEIGHT * (is_shed - known)
+        share = shed_share(load, now)
+        load.shed_share = share + SHED_WEIGHT * (is_shed - share)
         load.shed_at = now
         load.is_irregular = load.is_irregular or load.shed_share > LEAST_SHED_SHARE
 
     def factor(self, share: float) -> float:
-        """Return how often a request must be sent, relative to a typical server."""
+        """Return the sends per accepted request, relative to the average server."""
         return max(1.0, (1 - self.mean) / max(1 - share, LEAST_ACCEPTED_SHARE))
 
 
--- a/catkinslip/routing/gates.py
+++ b/catkinslip/routing/gates.py
@@ -75,7 +75,7 @@
 
 
 class Gate(ABC):
-    """Limit on the requests to the servers of one service that have one restriction."""
+    """Gate that limits requests to the servers of a service with one restriction."""
 
     reason: ClassVar[RestrictionReason]
 
@@ -96,7 +96,7 @@
         """Forget the restriction of a removed server."""
 
     def restore(self, load: BackendLoad) -> None:
-        """Restore the restriction of a new server that was registered here before."""
+        """Restore the restriction of a server that is registered again."""
         return
 
     def takes_full_share(self, load: BackendLoad, now: float) -> bool:
@@ -172,7 +172,7 @@
             gate.forget(load)
 
     def restore(self, load: BackendLoad) -> None:
-        """Restore the restrictions of a new server that was registered here before."""
+        """Restore the restrictions of a server that is registered again."""
         for gate in self.gates:
             gate.restore(load)
 
--- a/catkinslip/routing/router.py
+++ b/catkinslip/routing/router.py
@@ -125,13 +125,13 @@
 
     def servers_outside(self, zones: frozenset[str]) -> frozenset[str]:
         """Return the IDs of the servers outside some zones."""
-        known = self.servers_outside_by_zones.get(zones)
-        if known is None:
-            known = frozenset(
+        cached = self.servers_outside_by_zones.get(zones)
+        if cached is None:
+            cached = frozenset(
                 load.backend_id for load in self.loads if load.zone not in zones
             )
-            self.servers_outside_by_zones[zones] = known
-        return known
+            self.servers_outside_by_zones[zones] = cached
+        return cached
 
     def _list_loads(self) -> None:
         self.servers_outside_by_zones.clear()
--- a/catkinslip/routing/routes.py
+++ b/catkinslip/routing/routes.py
@@ -35,7 +35,10 @@
 
 
 def start_turns(name: str, route: Route, random: Random) -> RouteTurns:
-    """Return turns with a random start, as many instances share one route."""
+    """Return the turns of a route from a random start.
+
+    Many instances share one route, and would otherwise all start with one service.
+    """
     total = sum(part.weight for part in route.parts)
     return RouteTurns(
         name, route, {part.service: random.uniform(0, total) for part in route.parts}
@@ -57,11 +60,11 @@
         if document is self.document:
             return
         self.document = document
-        known = self.turns_by_name
+        turns_before = self.turns_by_name
         self.turns_by_name = {}
         self.turns_by_host = {}
         for name, route in document.rules.routes.items():
-            turns = known.get(name)
+            turns = turns_before.get(name)
             if turns is None or turns.route != route:
                 turns = start_turns(name, route, self.random)
             self.turns_by_name[name] = turns
--- a/catkinslip/warmup/gate.py
+++ b/catkinslip/warmup/gate.py
@@ -138,7 +138,7 @@
         ]
 
     def find(self, load: BackendLoad | None, now: float) -> ColdServer | None:
-        """Return a server that is cold and has a bound, or None."""
+        """Return a cold server to which a bound applies, or None."""
         if load is None or self.bound == inf or not load.is_cold(now):
             return None
         return self.server_by_id.get(load.backend_id)
--- a/tests/test_routing_restart.py
+++ b/tests/test_routing_restart.py
@@ -26,7 +26,7 @@
 from catkinslip.routing.router import ServiceRouter
 from tests.small_platform import on_platform, wait_for
 
-OWN = Address('127.0.0.1', 9)
+LOCAL_ADDRESS = Address('127.0.0.1', 9)
 FULL = LoadReport(2, 0.1)
 
 
@@ -44,7 +44,7 @@
         self.clock = SystemClock()
         self.directory = Directory(lambda: ExpectedDelay(Random(1)))
         self.health = make_tracker(self.directory, self.clock, Random(1), 1)
-        self.sharer = ReportSharer(OWN, list, self.directory, self.clock)
+        self.sharer = ReportSharer(LOCAL_ADDRESS, list, self.directory, self.clock)
         self.update(7)
 
     def update(self, incarnation: int) -> None:
