--- a/catkinslip/routing/delay.py
+++ b/catkinslip/routing/delay.py
@@ -51,7 +51,7 @@
 
 @frozen
 class DelayReason:
-    """Estimates of a chosen server and of the next best; delays are in service times."""
+    """Estimates of a chosen server and the next best; delays are in service times."""
 
     delay: float
     in_flight: float
