--- a/tests/test_throttling_fleet.py
+++ b/tests/test_throttling_fleet.py
@@ -117,7 +117,7 @@
     site = Site(random, lists=[(-100.0, {})], table_by_id={})
     for number in range(size):
         zone = ZONES[number % len(ZONES)]
-        site.come(zone, 2.15 if number < 3 * len(ZONES) else 0.43)
+        site.start_instance(zone, 2.15 if number < 3 * len(ZONES) else 0.43)
     for _ in range(WARM_SECONDS // 4):
         await pass_time(site, 4.0)
         for table in site.table_by_id.values():
@@ -147,10 +147,10 @@
                     site.read(table)
             if 'come' in changes and random.random() < 0.5:
                 # Strong ones take the places of those that send.
-                site.come(random.choice(ZONES), 4.0)
+                site.start_instance(random.choice(ZONES), 4.0)
                 fleet.take_in()
             if 'leave' in changes and random.random() < 0.3:
-                site.leave(random.choice(list(site.lists[-1][1])))
+                site.stop_instance(random.choice(list(site.lists[-1][1])))
         fleet.tick()
 
 
