--- a/tests/test_resting_incident.py
+++ b/tests/test_resting_incident.py
@@ -1,7 +1,4 @@
-"""A server keeps getting requests after it requested a rest period.
-
-The instance ignored the rest period, and its requests kept the server overloaded.
-"""
+"""An instance kept sending requests to a server that had requested a rest period."""
 
 import unittest
 from collections import Counter
--- a/tests/test_warmup_path.py
+++ b/tests/test_warmup_path.py
@@ -189,7 +189,7 @@
                         for worker in platform.worker_by_id.values()
                     )
                 )
-            # Retries are not sent to cold servers, and no request gets a verdict.
+            # Later copies of the request go to no cold server, and none gets a verdict.
             self.assertEqual(ended, [1, 1, 1, 1])
             self.assertEqual(entry.book.verdicts, 0)
 
