--- a/benchmarks/overload_instances.py
+++ b/benchmarks/overload_instances.py
@@ -34,13 +34,17 @@
     ResultKind,
 )
 from catkinslip.routing.router import ServiceRouter
-from catkinslip.routing.words import ServerWords
+from catkinslip.routing.signals import (
+    ServerSignals,
+)
 from catkinslip.store.budget import TokenBucket
 from catkinslip.throttling.book import NamedRate
 from catkinslip.throttling.messages import ToldRate
 from catkinslip.throttling.signs import AnswerKind
 from catkinslip.throttling.telling import REFRESH_SECONDS, told_of
-from catkinslip.warmup.senders import Place
+from catkinslip.warmup.senders import (
+    SenderPosition,
+)
 
 if TYPE_CHECKING:
     from benchmarks.overload_world import World
@@ -91,7 +95,7 @@
     bucket_by_id: dict[str, TokenBucket] = Factory(dict)
     spent: SpentTimes = Factory(lambda: SpentTimes(0.0))
     #: Its place among the senders of its zone to guarded servers.
-    place: Place | None = None
+    place: SenderPosition | None = None
     is_up: bool = True
     #: In the order of their arrival; a set would order them by their addresses.
     open_calls: dict[Call, None] = Factory(dict)
@@ -160,14 +164,20 @@
     def probed(self, probe: tuple[Desk, BackendLoad, Server, float]) -> None:
         """Let a server tell its load."""
         desk, load, server, hop = probe
-        told = (desk, load, server.report(), self.world.now, load.picks_since_report)
+        told = (
+            desk,
+            load,
+            server.report(),
+            self.world.now,
+            load.selections_since_report,
+        )
         self.world.after(hop, self.learn, told)
 
     def learn(self, told: tuple) -> None:
         """Take the answer to a probe."""
         desk, load, report, at, picks = told
         if load.backend_id in desk.router.load_by_id:
-            desk.router.learned(load.backend_id, report, at, picks)
+            desk.router.apply_peer_report(load.backend_id, report, at, picks)
 
     def silent(self, load: BackendLoad) -> None:
         """Take a probe that was not answered."""
@@ -270,7 +280,7 @@
             CLIENT_SECONDS, self.world.refused, (call.request, retry_after)
         )
 
-    def answered(self, told: tuple[Run, ResultKind, LoadReport, ServerWords]) -> None:
+    def answered(self, told: tuple[Run, ResultKind, LoadReport, ServerSignals]) -> None:
         """Take a server's answer."""
         run, kind, report, words = told
         call, now = run.call, self.world.now
@@ -285,7 +295,7 @@
         if load is not None:
             answer_kind = KIND_BY_RESULT[kind]
             words = self.world.heeded(words)
-            desk.router.take_words(load, words, answer_kind, run.sent_at, now)
+            desk.router.apply_signals(load, words, answer_kind, run.sent_at, now)
         run.is_gone = True
         if kind is ResultKind.SHED:
             call.run = None
@@ -342,7 +352,7 @@
                     or now - load.reported_at > MAX_REPORT_AGE_SECONDS
                 ):
                     continue
-                in_flight = load.reported_in_flight + load.picks_since_report
+                in_flight = load.reported_in_flight + load.selections_since_report
                 report = LoadReport(in_flight, load.speed)
                 told = (service, load.backend_id, report, load.reported_at)
                 for other in self.world.instances:
@@ -378,9 +388,9 @@
         load = router.load_by_id.get(backend_id)
         if load is None:
             return
-        in_report = load.picked_at < at - REQUEST_TRANSIT_SECONDS
-        picks = load.picks_since_report if in_report else 0
-        router.heard(backend_id, report, at, picks)
+        in_report = load.selected_at < at - REQUEST_TRANSIT_SECONDS
+        picks = load.selections_since_report if in_report else 0
+        router.record_report(backend_id, report, at, picks)
 
     def stop(self) -> None:
         """End without a word: connections break."""
--- a/benchmarks/overload_world.py
+++ b/benchmarks/overload_world.py
@@ -19,17 +19,17 @@
 from catkinslip.admission.waiting import AdmissionSettings
 from catkinslip.config.documents import Backend, Service
 from catkinslip.health.sharing import FLUSH_SECONDS
-from catkinslip.resting.signs import NO_REST
+from catkinslip.resting.signals import NO_REST
 from catkinslip.routing.base import BackendLoad
 from catkinslip.routing.delay import REPORT_MEMORY_SECONDS, ExpectedDelay
 from catkinslip.routing.router import ServiceRouter
 from catkinslip.routing.sample import SAMPLE_SIZE, Sample
-from catkinslip.routing.words import ServerWords
+from catkinslip.routing.signals import ServerSignals
 from catkinslip.throttling.gate import ThrottleGate
 from catkinslip.throttling.shares import divide_rate
 from catkinslip.throttling.signs import NO_RATE
 from catkinslip.warmup.quotas import SENDERS_PER_ZONE, Sender
-from catkinslip.warmup.senders import Place
+from catkinslip.warmup.senders import SenderPosition
 from catkinslip.wiring.entry import (
     NEARLY_FULL_SHARE,
     NEARLY_FULL_SLOWNESS,
@@ -119,16 +119,16 @@
             throttle.book.on_seen = partial(instance.tell_rate, name)
             router = ServiceRouter(policy, sample=sample, throttle=throttle)
             desk = Desk(router)
-            router.on_news = lambda load, desk=desk: desk.news.__setitem__(
+            router.on_load_change = lambda load, desk=desk: desk.news.__setitem__(
                 load.backend_id, load
             )
             instance.desk_by_service[name] = desk
             self.list_servers(instance, name, group)
 
-    def heeded(self, words: ServerWords) -> ServerWords:
+    def heeded(self, words: ServerSignals) -> ServerSignals:
         """Return what instances heed of what an answer asks for."""
         rate = words.rate if self.mechanisms.throttles else NO_RATE
-        return ServerWords(rate, words.rest if self.mechanisms.rests else NO_REST)
+        return ServerSignals(rate, words.rest if self.mechanisms.rests else NO_REST)
 
     def divide_named(self, load: BackendLoad, per_second: float) -> dict[Sender, float]:
         """Return what each sender may send to a server in need."""
@@ -272,7 +272,9 @@
                 world, zone.name, Random(f'{seed} {zone.name} {number}')
             )
             if number < SENDERS_PER_ZONE:
-                instance.place = Place(Sender(zone.name, number), is_recent=True)
+                instance.place = SenderPosition(
+                    Sender(zone.name, number), is_recent=True
+                )
             world.instances.append(instance)
             world.furnish(instance)
             world.after(world.random.random() * FLUSH_SECONDS, instance.share, None)
--- a/catkinslip/health/prober.py
+++ b/catkinslip/health/prober.py
@@ -133,7 +133,7 @@
         tracker, key = self.tracker, target.key
         limits = tracker.probe_limits_by_service.get(target.service)
         router = tracker.router(key)
-        picks_before = router.picks_since_report(key.backend_id) if router else 0
+        picks_before = router.selections_since_report(key.backend_id) if router else 0
         sent_at = self.clock.monotonic()
         if limits is None or not tracker.budget.spend(
             key.address, target.service, limits, sent_at
--- a/catkinslip/health/sampler.py
+++ b/catkinslip/health/sampler.py
@@ -109,9 +109,9 @@
     def _probe_possibly_restarted(self, router: ServiceRouter) -> None:
         """Probe some possibly restarted servers in the background."""
         possibly_restarted = map(
-            router.load_by_id.get, list(router.cold.doubted_at_by_id)
+            router.load_by_id.get, list(router.cold.possible_restart_at_by_id)
         )
-        usable = [each for each in possibly_restarted if router.takes_requests(each)]
+        usable = [each for each in possibly_restarted if router.accepts_requests(each)]
         self._probe_in_background(router, usable, POSSIBLY_RESTARTED_AT_ONCE)
 
     def _probe_throttled(self, router: ServiceRouter) -> None:
@@ -120,7 +120,7 @@
         No instance has had an answer from them since they advertised the rate.
         """
         stale = router.throttle.unheard(self.clock.monotonic())
-        usable = [each for each in stale if router.takes_requests(each)]
+        usable = [each for each in stale if router.accepts_requests(each)]
         self._probe_in_background(router, usable, THROTTLED_AT_ONCE)
 
     def _probe_in_background(
@@ -186,7 +186,7 @@
         # the other instances only if another server answered.
         if any(probe.is_answered for probe in started):
             for probe in started:
-                router.tell_silence(probe.load.backend_id)
+                router.publish_silence(probe.load.backend_id)
 
     def _start(self, router: ServiceRouter, load: BackendLoad) -> Probe:
         probe = Probe(load)
@@ -201,7 +201,7 @@
             return
         if not probe.load.is_silent:
             log.info('health: probe unanswered. backend=%s', backend_id)
-        router.unanswered(backend_id)
+        router.mark_silent(backend_id)
 
     def _probe_rate(self) -> float:
         """Return this instance's share of the probes of one server per second."""
@@ -296,7 +296,7 @@
             return False
         service = self.health.document.register.services[backend.service]
         request = self.dialect.probe_request(backend.service, service.health_path)
-        picks_before = load.picks_since_report
+        picks_before = load.selections_since_report
         sent_at = self.clock.monotonic()
         if not router.may_probe(load, sent_at):
             # A rest period began while the probe waited for a connection.
@@ -313,8 +313,10 @@
         now = self.clock.monotonic()
         answered_at = (sent_at + now) / 2
         if answer.report is not None:
-            router.learned(load.backend_id, answer.report, answered_at, picks_before)
-        router.take_words(load, answer.words, AnswerKind.PROBE, sent_at, now)
+            router.apply_peer_report(
+                load.backend_id, answer.report, answered_at, picks_before
+            )
+        router.apply_signals(load, answer.words, AnswerKind.PROBE, sent_at, now)
         if answer.words.is_leaving:
             self.health.mark_leaving(load.backend_id)
         if answer.cold_seconds is None:
@@ -324,7 +326,7 @@
             # is treated as cold for at least as long as the answer states.
             way_back = now - answered_at if answer.cold_seconds > 0 else 0.0
             cold_seconds = answer.cold_seconds + way_back
-            router.told_cold(load.backend_id, cold_seconds, answered_at)
+            router.apply_cold_report(load.backend_id, cold_seconds, answered_at)
         if not answer.is_well:
-            router.unwell(load.backend_id, now)
+            router.mark_unhealthy(load.backend_id, now)
         return True
--- a/catkinslip/health/sharing.py
+++ b/catkinslip/health/sharing.py
@@ -107,10 +107,10 @@
             [
                 load.backend_id,
                 load.start_tag,
-                load.reported_in_flight + load.picks_since_report,
+                load.reported_in_flight + load.selections_since_report,
                 load.speed,
                 round((now - load.reported_at) * 1e3),
-                round(max(0.0, load.told_cold_until - now) * 1e3),
+                round(max(0.0, load.reported_cold_until - now) * 1e3),
             ]
             for load in loads
             if load.report is not None
@@ -170,9 +170,9 @@
         raise ValueError(f'datagram has no known topic, its keys are {sorted(message)}')
 
     def _apply_silence(self, backend_id: str, start: int, now: float) -> None:
-        router = self.directory.find_started(backend_id, start)
+        router = self.directory.find_router_of_start(backend_id, start)
         if router is not None:
-            router.heard_silence(backend_id, now)
+            router.apply_peer_silence(backend_id, now)
 
     def _apply_report(
         self,
@@ -182,13 +182,13 @@
         at: float,
         cold_seconds: float,
     ) -> None:
-        router = self.directory.find_started(backend_id, start)
+        router = self.directory.find_router_of_start(backend_id, start)
         if router is None:
             return
         load = router.load_by_id[backend_id]
-        in_report = load.picked_at < at - REQUEST_TRANSIT_SECONDS
-        picks_before = load.picks_since_report if in_report else 0
-        router.heard(backend_id, report, at, picks_before)
+        in_report = load.selected_at < at - REQUEST_TRANSIT_SECONDS
+        picks_before = load.selections_since_report if in_report else 0
+        router.record_report(backend_id, report, at, picks_before)
         now = self.clock.monotonic()
-        router.cold.begin(load, cold_seconds, now, 'reported by another instance')
+        router.cold.mark_cold(load, cold_seconds, now, 'reported by another instance')
         self.received += 1
--- a/catkinslip/health/tracker.py
+++ b/catkinslip/health/tracker.py
@@ -163,7 +163,7 @@
     def _mark_possibly_restarted(self, key: BackendKey, now: float) -> None:
         router = self.router(key)
         if router is not None:
-            router.doubt(key.backend_id, now)
+            router.mark_possibly_restarted(key.backend_id, now)
 
     def choose(self, router: ServiceRouter, tried: Collection[str]) -> Choice | None:
         """Return a choice; a server that refuses connections is the last resort."""
@@ -196,7 +196,7 @@
         """Apply a newer report from a peer or a probe to the router of its server."""
         router = self.router(key)
         if router is not None and self.reports.apply(key, known):
-            router.learned(
+            router.apply_peer_report(
                 key.backend_id, known.report, known.observed_at, picks_before
             )
 
--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -36,9 +36,13 @@
 from catkinslip.proxy.server_wait import ServerWait
 from catkinslip.proxy.wire import Wire
 from catkinslip.routing.base import BackendLoad, Choice, LoadReport
-from catkinslip.routing.gates import give_back
+from catkinslip.routing.gates import (
+    release_permits,
+)
 from catkinslip.routing.router import ServiceRouter
-from catkinslip.routing.words import ServerWords
+from catkinslip.routing.signals import (
+    ServerSignals,
+)
 from catkinslip.throttling.signs import AnswerKind
 
 ANSWER_GRACE_SECONDS = 1.0
@@ -114,7 +118,7 @@
         # Before the request counts as sent, which it is not yet.
         permits = self.router.reserve(choice.backend_id, now)
         load = self.router.started(choice.backend_id, now)
-        narrowed = self.router.narrowed(load, now)
+        narrowed = self.router.describe_restrictions(load, now)
         if narrowed:
             reason = f'{reason} {narrowed}'
         log.info(
@@ -160,13 +164,13 @@
     def _take_words(
         self,
         load: BackendLoad | None,
-        words: ServerWords,
+        words: ServerSignals,
         kind: AnswerKind,
         sent_at: float,
     ) -> None:
         if self.router.is_known(load):
             now = self.clock.monotonic()
-            self.router.take_words(load, words, kind, sent_at, now)
+            self.router.apply_signals(load, words, kind, sent_at, now)
             if words.is_leaving:
                 self.health.mark_leaving(load.backend_id)
 
@@ -338,7 +342,7 @@
     def _finish(self, launch: Launch, outcome: Outcome) -> None:
         now = self.clock.monotonic()
         launch.is_open = False
-        give_back(launch.permits)
+        release_permits(launch.permits)
         # A slow caller's share of the time says nothing of the server.
         ended = now if launch.answered_at is None else launch.answered_at
         result = attempt_result(outcome, ended - launch.began)
--- a/catkinslip/routing/delay.py
+++ b/catkinslip/routing/delay.py
@@ -1,8 +1,9 @@
-"""The policy that chooses the shortest expected delay.
+"""Selection policy that minimizes the expected delay.
 
-A report in an answer is old when the next request comes. So its requests in
-flight decay to the mean of all reports, and its speed to the mean of the same
-server, while own picks since the report count in full.
+A load report is out of date when the next request arrives. The reported requests in
+flight therefore decay towards the mean over all reports, and the reported speed towards
+the mean of the same server. Requests that this instance sent since the report count in
+full.
 """
 
 from collections.abc import Sequence
@@ -23,19 +24,24 @@
     ResultKind,
 )
 from catkinslip.routing.evidence import (
-    HIGHEST_LIE_SHARE,
+    HIGHEST_UNDERREPORT_SHARE,
     LEAST_SHED_SHARE,
+    ReportTrust,
     ServiceTime,
-    Sheds,
-    Trust,
+    ShedShares,
     count_failure,
     shed_share,
 )
-from catkinslip.routing.learning import SPEED_FORGET_SECONDS, InFlightMean, SpeedMean
+from catkinslip.routing.report_means import (
+    SPEED_FORGET_SECONDS,
+    InFlightMean,
+    SpeedMean,
+)
 
 ZONE_HOP_SECONDS = 0.001
 REPORT_MEMORY_SECONDS = 0.03
-#: A hop weighs more where more servers than this are near, up to so many times.
+#: With more servers than this in the local zone, the delay of a hop to another zone
+#: weighs more, up to MOST_HOP_FACTOR times.
 FEW_NEAR_SERVERS = 12
 MOST_HOP_FACTOR = 4.0
 MOST_INFERRED_SLOWNESS = 1.2
@@ -45,7 +51,7 @@
 
 @frozen
 class DelayReason:
-    """Why a server has the shortest expected delay; delays in service times."""
+    """Estimates of a chosen server and the next best; delays are in service times."""
 
     delay: float
     in_flight: float
@@ -68,7 +74,7 @@
 
 
 def choose_estimate(chosen: Estimate, following: Estimate | None, now: float) -> Choice:
-    """Choose a candidate, with the next best one as the reason."""
+    """Return the choice of a candidate; its reason compares it to the next best."""
     chosen.load.expected_in_flight = chosen.in_flight
     reason = DelayReason(
         chosen.delay,
@@ -83,36 +89,40 @@
 
 @define
 class ExpectedDelay(Policy):
-    """Choose the shortest expected delay: queue ahead over slots, over speed."""
+    """Policy that selects the server with the shortest expected delay.
+
+    The delay is the queue length divided by the number of slots and by the speed.
+    """
 
     random: Random
     zone: str = ''
     zone_hop: float = ZONE_HOP_SECONDS
     report_memory: float = REPORT_MEMORY_SECONDS
     weigh_speed: bool = True
-    #: Whether the share counts that a server sheds.
+    #: Whether a server's shed share increases its expected delay.
     weigh_sheds: bool = True
-    #: A server of which more than this share is in use takes so much longer.
+    #: Share of slots in use above which the expected delay of a server is multiplied by
+    #: nearly_full_slowness.
     nearly_full_share: float = 1.0
     nearly_full_slowness: float = 1.0
     in_flight: InFlightMean = Factory(InFlightMean)
     speed: SpeedMean = Factory(SpeedMean)
-    trust: Trust = Factory(Trust)
+    trust: ReportTrust = Factory(ReportTrust)
     service_time: ServiceTime = Factory(ServiceTime)
-    sheds: Sheds = Factory(Sheds)
+    sheds: ShedShares = Factory(ShedShares)
 
     def choose(self, candidates: Sequence[BackendLoad], now: float) -> Choice:
-        """Choose one of at least one candidate."""
-        # Ties go to any of them: the estimates begin at a random candidate.
+        """Return the choice with the shortest expected delay."""
+        # The estimates begin at a random candidate, so ties are broken at random.
         first, *others = nsmallest(2, self._estimates(candidates, now), key=by_delay)
         return choose_estimate(first, others[0] if others else None, now)
 
-    def choice_of(self, place: Estimate, now: float) -> Choice:
-        """Return a ranked candidate as a choice."""
-        return choose_estimate(place, None, now)
+    def choice_of(self, estimate: Estimate, now: float) -> Choice:
+        """Return the choice of a ranked candidate."""
+        return choose_estimate(estimate, None, now)
 
     def rank(self, candidates: Sequence[BackendLoad], now: float) -> list[Estimate]:
-        """Return what is expected at each candidate, the best first."""
+        """Return the estimates of the candidates, the shortest delay first."""
         return sorted(self._estimates(candidates, now), key=by_delay)
 
     def _estimates(
@@ -127,14 +137,14 @@
         zone = self.zone or candidates[0].zone
         far_delay = self._far_delay(candidates) if self.zone else 0.0
         estimates = []
-        # One pass almost without calls: it runs for each request.
+        # One pass almost without function calls, as it runs for each request.
         for load in (*candidates[start:], *candidates[:start]):
             age = now - load.reported_at
             excess = load.reported_in_flight - mean_in_flight
             in_flight = mean_in_flight + excess * exp(age * report_rate)
-            in_flight += load.picks_since_report
-            if load.lie_share:
-                in_flight = self._distrusted(load, in_flight)
+            in_flight += load.selections_since_report
+            if load.underreport_share:
+                in_flight = self._discounted_in_flight(load, in_flight)
             if in_flight < load.in_flight:
                 in_flight = load.in_flight
             delay = self._delay_in_use(in_flight, load.slots)
@@ -148,19 +158,19 @@
         return estimates
 
     def _far_delay(self, candidates: Sequence[BackendLoad]) -> float:
-        """Return what a server of another zone must be better by.
+        """Return the delay added to servers of other zones, in service times.
 
-        The more servers there are near, the sooner one of them is as good.
+        The more servers the local zone has, the sooner one of them is as good.
         """
         near = sum(load.zone == self.zone for load in candidates)
         if not near:
-            # What all have in common would only make each call look late.
+            # A delay that all candidates share would only make every call look late.
             return 0.0
         factor = min(max(near / FEW_NEAR_SERVERS, 1.0), MOST_HOP_FACTOR)
         return self.zone_hop * factor / self.service_time.mean
 
     def _delay_in_use(self, in_flight: float, slots: int) -> float:
-        """Return the delay at a server of usual speed with requests in flight."""
+        """Return the delay at a server of usual speed with some requests in flight."""
         delay = 1 + IDLE_SHARE * in_flight
         if in_flight + 1 > slots:
             delay += (in_flight + 1 - slots) / slots
@@ -168,41 +178,45 @@
             delay *= self.nearly_full_slowness
         return delay
 
-    def _distrusted(self, load: BackendLoad, in_flight: float) -> float:
-        trust = max(0.0, 1 - load.lie_share / HIGHEST_LIE_SHARE)
-        own = load.in_flight * self.trust.scale(self.in_flight.value)
-        return own + (in_flight - own) * trust
+    def _discounted_in_flight(self, load: BackendLoad, in_flight: float) -> float:
+        trust = max(0.0, 1 - load.underreport_share / HIGHEST_UNDERREPORT_SHARE)
+        local_estimate = load.in_flight * self.trust.scale(self.in_flight.value)
+        return local_estimate + (in_flight - local_estimate) * trust
 
     def started(self, load: BackendLoad, now: float) -> None:
-        """Remember what was expected when a request was sent."""
-        load.expected_by_pick.append(load.expected_in_flight)
+        """Record the requests in flight expected when a request was sent."""
+        load.expected_by_selection.append(load.expected_in_flight)
 
     def finished(self, load: BackendLoad, result: AttemptResult, now: float) -> None:
-        """Learn from an answer, its latency and its load report."""
-        expected = load.expected_by_pick.popleft() if load.expected_by_pick else 0.0
+        """Record an answer, its latency and its load report."""
+        expected = (
+            load.expected_by_selection.popleft() if load.expected_by_selection else 0.0
+        )
         if result.kind is ResultKind.CANCELLED:
             return
         count_failure(load, result.kind, now)
         if self.weigh_sheds:
-            self.sheds.learn(load, result.kind, now)
+            self.sheds.record(load, result.kind, now)
         if result.kind is ResultKind.ANSWERED:
-            self.trust.learn(load, result.report)
-            self.service_time.learn(load, result, expected, now)
+            self.trust.record(load, result.report)
+            self.service_time.record(load, result, expected, now)
 
     def reported(self, load: BackendLoad, report: LoadReport, at: float) -> None:
-        """Learn from a load report, before it replaces the last."""
-        self.in_flight.learn(load, report)
+        """Record a load report of a server, before it replaces the previous one."""
+        self.in_flight.record(load, report)
         load.reported_in_flight = report.in_flight
         if not self.weigh_speed:
             return
         if report.speed is not None:
-            self.speed.learn(load, report.speed, at)
+            self.speed.record(load, report.speed, at)
         elif load.slowness == 1:
             slowness = min(sqrt(load.inferred_slowness), MOST_INFERRED_SLOWNESS)
             load.speed = load.mean_speed = self.speed.value / slowness
 
 
-def irregular_delay(load: BackendLoad, delay: float, now: float, sheds: Sheds) -> float:
+def irregular_delay(
+    load: BackendLoad, delay: float, now: float, sheds: ShedShares
+) -> float:
     """Return the delay at a server that failed, shed or contradicts its reports."""
     if now - load.answered_at > SPEED_FORGET_SECONDS:
         load.slowness = 1.0
--- a/catkinslip/routing/evidence.py
+++ b/catkinslip/routing/evidence.py
@@ -1,4 +1,4 @@
-"""What an instance's own answers say of a backend server, beside its reports."""
+"""Evidence about backend servers from answers, apart from their load reports."""
 
 from math import exp
 
@@ -7,77 +7,80 @@
 from catkinslip.routing.base import AttemptResult, BackendLoad, LoadReport, ResultKind
 
 TRUST_WEIGHT = 0.1
-HIGHEST_LIE_SHARE = 0.1
-OWN_WEIGHT = 0.02
-LEAST_OWN = 0.05
+HIGHEST_UNDERREPORT_SHARE = 0.1
+LOCAL_WEIGHT = 0.02
+LEAST_LOCAL = 0.05
 SERVICE_WEIGHT = 0.01
 FIRST_SERVICE_SECONDS = 0.02
 SERVICE_MEMORY_SECONDS = 0.5
 PRIOR_ANSWERS = 4.0
 LEAST_SLOWNESS = 0.33
 MOST_SLOWNESS = 20.0
-PLAIN_CONTRADICTION = 3.0
+CONTRADICTING_SLOWNESS = 3.0
 FAILURE_WEIGHT = 0.3
 EJECTING_FAILURE_SHARE = 0.5
 FAILURE_PAUSE_SECONDS = 1.0
 LONGEST_FAILURE_PAUSE_SECONDS = 30.0
 SHED_PAUSE_SECONDS = 0.05
 LONGEST_SHED_PAUSE_SECONDS = 1.0
-#: One request replaces so much of the share that a server is known to shed.
+#: Weight of one request in the moving average of a server's shed share.
 SHED_WEIGHT = 0.3
-#: What a server shed is half forgotten after some seconds without a request there.
+#: Time constant, in seconds, at which a server's shed share decays while it gets no
+#: requests.
 SHED_MEMORY_SECONDS = 4.0
-#: A smaller share is taken for none.
+#: Shed share up to which a server is treated as shedding nothing.
 LEAST_SHED_SHARE = 0.05
-#: One request replaces so much of the share that all servers shed.
+#: Weight of one request in the moving average of the shed share of all servers.
 SHED_MEAN_WEIGHT = 0.02
-#: A server that sheds everything is expected to take this share.
-LEAST_TAKEN_SHARE = 0.1
+#: Share of requests that a server which sheds everything is still expected to accept.
+LEAST_ACCEPTED_SHARE = 0.1
 
 
 @define
-class Trust:
-    """Check reports against own requests in flight.
+class ReportTrust:
+    """Check of load reports against this instance's requests in flight.
 
-    A server that holds requests of this instance cannot hold fewer. Requests sent
-    since the last report may still be on their way and are not counted.
+    A server that holds some requests of this instance cannot report fewer. Requests
+    sent since the last report may not have arrived yet and are not counted.
     """
 
-    mean_own: float = 0.0
+    mean_local: float = 0.0
 
-    def learn(self, load: BackendLoad, report: LoadReport | None) -> None:
-        """Take a report, or the lack of one, before it replaces the last."""
-        self.mean_own += OWN_WEIGHT * (load.in_flight - self.mean_own)
+    def record(self, load: BackendLoad, report: LoadReport | None) -> None:
+        """Record a load report, or its absence as None, before it replaces the last."""
+        self.mean_local += LOCAL_WEIGHT * (load.in_flight - self.mean_local)
         if report is None:
-            load.lie_share = 1.0
+            load.underreport_share = 1.0
             return
-        surely_there = load.in_flight - load.picks_since_report
-        if surely_there > 0:
-            lied = report.in_flight < surely_there
-            load.lie_share += TRUST_WEIGHT * (lied - load.lie_share)
+        min_in_flight = load.in_flight - load.selections_since_report
+        if min_in_flight > 0:
+            is_underreport = report.in_flight < min_in_flight
+            load.underreport_share += TRUST_WEIGHT * (
+                is_underreport - load.underreport_share
+            )
         elif load.report is None:
-            load.lie_share = 0.0
+            load.underreport_share = 0.0
 
     def scale(self, mean_reported: float) -> float:
-        """Return requests in flight of all instances for each own one."""
-        return max(1.0, mean_reported / max(self.mean_own, LEAST_OWN))
+        """Return the ratio of all requests in flight to local ones, at least 1."""
+        return max(1.0, mean_reported / max(self.mean_local, LEAST_LOCAL))
 
 
 @define
 class ServiceTime:
-    """Infer how slow a server is from latency without the expected queue.
+    """Estimate of each server's slowness from latency, less the expected queue.
 
-    A queue of n requests before c slots takes n / c service times, so a latency
-    over that is one service time. The mean over all servers is the yardstick.
+    A queue of n requests before c slots takes n / c service times, so the latency
+    divided by that is one service time. The mean over all servers is the reference.
     """
 
     mean: float = FIRST_SERVICE_SECONDS
     is_known: bool = False
 
-    def learn(
+    def record(
         self, load: BackendLoad, result: AttemptResult, expected: float, now: float
     ) -> None:
-        """Take an answer to a request that was expected to find some in flight."""
+        """Record an answer and the requests in flight expected before its request."""
         report = result.report
         sample = result.latency / max(1.0, (expected + 1) / load.slots)
         if report is not None and report.speed is not None:
@@ -93,50 +96,50 @@
         expected_seconds = (load.answers + PRIOR_ANSWERS) * self.mean
         slowness = seen / expected_seconds if expected_seconds else 1.0
         load.inferred_slowness = min(max(slowness, LEAST_SLOWNESS), MOST_SLOWNESS)
-        is_plain = load.inferred_slowness > PLAIN_CONTRADICTION
-        load.slowness = load.inferred_slowness if is_plain else 1.0
-        load.is_irregular = load.is_irregular or is_plain
+        is_contradiction = load.inferred_slowness > CONTRADICTING_SLOWNESS
+        load.slowness = load.inferred_slowness if is_contradiction else 1.0
+        load.is_irregular = load.is_irregular or is_contradiction
 
 
 @define
-class Sheds:
-    """Learn which share of its requests each server sheds, and all of them.
+class ShedShares:
+    """Shed share of each server, and the mean over all servers.
 
-    Load: some servers refuse part of what comes, whatever room they have, and look idle
-    for that; a pause after each shed ends with the next answer. Where all servers do,
-    none is worse for it, and a call must not look late.
+    Some servers refuse part of their requests however many slots are free, and look
+    idle because of that; a pause after each shed request ends with the next answer.
+    Where all servers shed alike, none is worse for it, and a call must not look late.
 
-    While half of 297 servers shed 55 % of what comes callers get 0.931 of their worth
-    with it and 0.838 without (overload benchmark, three seeds).
+    While half of 297 servers shed 55 % of their requests, callers got 0.931 of the
+    total value of their requests with this estimate and 0.838 without (three seeds).
     """
 
     mean: float = 0.0
 
-    def learn(self, load: BackendLoad, kind: ResultKind, now: float) -> None:
-        """Take how a request ended at a server."""
+    def record(self, load: BackendLoad, kind: ResultKind, now: float) -> None:
+        """Record whether a request to a server was answered or shed."""
         if kind not in (ResultKind.SHED, ResultKind.ANSWERED):
             return
         is_shed = kind is ResultKind.SHED
         self.mean += SHED_MEAN_WEIGHT * (is_shed - self.mean)
-        known = shed_share(load, now)
-        load.shed_share = known + SHED_WEIGHT * (is_shed - known)
+        share = shed_share(load, now)
+        load.shed_share = share + SHED_WEIGHT * (is_shed - share)
         load.shed_at = now
         load.is_irregular = load.is_irregular or load.shed_share > LEAST_SHED_SHARE
 
     def factor(self, share: float) -> float:
-        """Return how many more sends a server needs until it takes one than others."""
-        return max(1.0, (1 - self.mean) / max(1 - share, LEAST_TAKEN_SHARE))
+        """Return the sends per accepted request, relative to the average server."""
+        return max(1.0, (1 - self.mean) / max(1 - share, LEAST_ACCEPTED_SHARE))
 
 
 def shed_share(load: BackendLoad, now: float) -> float:
-    """Return the share that a server sheds; it is forgotten with time."""
+    """Return the current share of requests that a server sheds; it decays with time."""
     if not load.shed_share:
         return 0.0
     return load.shed_share * exp((load.shed_at - now) / SHED_MEMORY_SECONDS)
 
 
 def count_failure(load: BackendLoad, kind: ResultKind, now: float) -> None:
-    """Avoid a server that fails or sheds for a while, longer each time."""
+    """Pause a server that fails or sheds, longer each time."""
     failed = kind is ResultKind.FAILED
     load.failure_share += FAILURE_WEIGHT * (failed - load.failure_share)
     if kind is ResultKind.ANSWERED:
@@ -148,7 +151,7 @@
 
 
 def pause(load: BackendLoad, now: float, shortest: float, longest: float) -> None:
-    """Pause a server; answers to requests sent before do not count twice."""
+    """Pause a server unless it is paused, so that earlier requests count once."""
     if now < load.paused_until:
         return
     load.is_irregular = True
--- a/catkinslip/routing/learning.py
+++ b/catkinslip/routing/report_means.py
@@ -1,4 +1,4 @@
-"""What the choice learns from successive load reports."""
+"""Means over successive load reports."""
 
 from math import exp, log
 
@@ -25,8 +25,8 @@
 
     value: float = 0.0
 
-    def learn(self, load: BackendLoad, report: LoadReport) -> None:
-        """Take a report; one server cannot pull the mean far."""
+    def record(self, load: BackendLoad, report: LoadReport) -> None:
+        """Record a load report, limited so that one server cannot distort the mean."""
         highest = self.value + HIGHEST_REPORT_PER_SLOT * load.slots
         value = min(report.in_flight, highest)
         self.value += REPORT_WEIGHT * (value - self.value)
@@ -34,10 +34,10 @@
 
 @define
 class SpeedMean:
-    """Mean of the reported speeds, and for how long a speed persists.
+    """Mean of the reported speeds, and for how many seconds a speed persists.
 
-    The autocorrelation of successive reports of one server, over the gap between
-    them, gives the time constant: persistence = -gap / log(correlation).
+    The autocorrelation of successive reports of one server, over the gap between them,
+    gives the time constant: persistence = -gap / log(correlation).
     """
 
     value: float = 1.0
@@ -47,8 +47,8 @@
     variance: float = 0.0
     gap: float = 0.03
 
-    def learn(self, load: BackendLoad, speed: float, now: float) -> None:
-        """Take a reported speed."""
+    def record(self, load: BackendLoad, speed: float, now: float) -> None:
+        """Record the reported speed of a server."""
         gap = now - load.reported_at
         weight = REPORT_WEIGHT if self.is_known else 1.0
         self.is_known = True
@@ -56,12 +56,12 @@
         if gap > SPEED_FORGET_SECONDS:
             load.mean_speed = self.value
         if gap < LONGEST_GAP_SECONDS:
-            self._learn_persistence(load, speed, gap)
+            self._record_persistence(load, speed, gap)
         step = min(gap, LONGEST_STEP_SECONDS) / SPEED_MEMORY_SECONDS
         load.mean_speed += (speed - load.mean_speed) * (1 - exp(-step))
         load.speed = speed
 
-    def _learn_persistence(self, load: BackendLoad, speed: float, gap: float) -> None:
+    def _record_persistence(self, load: BackendLoad, speed: float, gap: float) -> None:
         before = load.speed - load.mean_speed
         after = speed - load.mean_speed
         self.covariance += PERSISTENCE_WEIGHT * (before * after - self.covariance)
--- a/catkinslip/throttling/gate.py
+++ b/catkinslip/throttling/gate.py
@@ -6,11 +6,11 @@
 from attrs import Factory, define
 
 from catkinslip.routing.base import NEVER, BackendLoad
-from catkinslip.routing.gates import Gate, GuardedServer, GuardWord
+from catkinslip.routing.gates import Gate, RestrictedServer, RestrictionReason
 from catkinslip.throttling.book import NamedRate, RateBook
 from catkinslip.throttling.shares import own_rate
 from catkinslip.warmup.quotas import Sender
-from catkinslip.warmup.senders import Place
+from catkinslip.warmup.senders import SenderPosition
 
 #: A server that nobody was heard of from for so long is asked by the next call that it
 #: could answer at once: its need may be over.
@@ -21,7 +21,7 @@
 Divide = Callable[[BackendLoad, float], Mapping[Sender, float]]
 
 
-def no_place() -> Place | None:
+def no_place() -> SenderPosition | None:
     """Return no place: the instance sends nothing to servers that name a rate."""
     return None
 
@@ -32,7 +32,7 @@
 
 
 @define
-class ThrottledServer(GuardedServer):
+class ThrottledServer(RestrictedServer):
     """A server that names a rate, and what this instance may send it."""
 
     rate: NamedRate
@@ -51,10 +51,10 @@
 class ThrottleGate(Gate):
     """Keep requests from servers in need beyond this instance's part of their rate."""
 
-    word = GuardWord.RATE
+    reason = RestrictionReason.RATE
 
     divide: Divide = give_nobody
-    place: Callable[[], Place | None] = no_place
+    place: Callable[[], SenderPosition | None] = no_place
     book: RateBook = Factory(RateBook)
     server_by_id: dict[str, ThrottledServer] = Factory(dict)
 
@@ -94,11 +94,11 @@
         """Tell whether this instance may send another request."""
         return self._wait_seconds(server, self.place(), now) == 0
 
-    def carries(self, load: BackendLoad, now: float) -> bool:
+    def takes_full_share(self, load: BackendLoad, now: float) -> bool:
         """Tell whether a server takes its usual share of the load."""
         return self.book.find(load) is None
 
-    def take_back(self, load: BackendLoad) -> None:
+    def restore(self, load: BackendLoad) -> None:
         """Take a server that is new here; one that was here before may be in need."""
         self.server_by_id.pop(load.backend_id, None)
         self.book.take_back(load)
@@ -128,7 +128,7 @@
         return server
 
     def _wait_seconds(
-        self, server: ThrottledServer, place: Place | None, now: float
+        self, server: ThrottledServer, place: SenderPosition | None, now: float
     ) -> float:
         """Return the time until another request may be sent; no end without a part."""
         per_second = server.rate.per_second
--- a/tests/test_health_sampler.py
+++ b/tests/test_health_sampler.py
@@ -76,12 +76,12 @@
         self.assertAlmostEqual(self.load.cold_until, self.now + 2.5)
 
     def test_server_without_a_cold_time_is_warm(self):
-        self.router.cold.begin(self.load, 60.0, NOW, 'test')
+        self.router.cold.mark_cold(self.load, 60.0, NOW, 'test')
         self.probe()
         self.assertFalse(self.load.is_cold(self.now))
 
     def test_malformed_time_keeps_the_known_time(self):
-        self.router.cold.begin(self.load, 60.0, NOW, 'test')
+        self.router.cold.mark_cold(self.load, 60.0, NOW, 'test')
         for malformed in (b'', b'-1', b'soon', b'nan', b'1e9'):
             with self.subTest(malformed), self.assertLogs('health', 'INFO'):
                 self.probe(malformed)
@@ -89,7 +89,9 @@
             del self.headers[1:]
 
     def test_earlier_answer_does_not_end_a_possible_restart(self):
-        self.during_round_trip = lambda: self.router.doubt('i-1', self.now)
+        self.during_round_trip = lambda: self.router.mark_possibly_restarted(
+            'i-1', self.now
+        )
         self.probe(b'0')
         self.assertTrue(self.load.is_cold(self.now))
         self.during_round_trip = lambda: None
--- a/tests/test_routing_restart.py
+++ b/tests/test_routing_restart.py
@@ -1,4 +1,4 @@
-"""A server that starts again under its ID is another one to every part."""
+"""All parts treat a server that restarts under its ID as a new server."""
 
 import unittest
 from random import Random
@@ -15,7 +15,9 @@
     Service,
     to_plain,
 )
-from catkinslip.health.drain import DrainSignal
+from catkinslip.health.drain import (
+    DrainSignal,
+)
 from catkinslip.health.sharing import ReportSharer
 from catkinslip.health.tracker import make_tracker
 from catkinslip.models import Address
@@ -26,25 +28,25 @@
 from catkinslip.routing.router import ServiceRouter
 from tests.small_platform import on_platform, wait_for
 
-OWN = Address('127.0.0.1', 9)
+LOCAL_ADDRESS = Address('127.0.0.1', 9)
 FULL = LoadReport(2, 0.1)
 
 
 def config(incarnation: int) -> AcceptedConfig:
-    """Return a configuration with one server at a start of its own."""
+    """Return a configuration with one server of some incarnation."""
     backend = Backend('limits', 'zone-a', '10.0.0.1', 80, incarnation=incarnation)
     register = Register({'limits': Service(2)}, {'limits-1': backend})
     return AcceptedConfig(document=Document(register))
 
 
 class RestartTest(unittest.TestCase):
-    """What was known of the earlier start is gone."""
+    """The state of the earlier start is discarded."""
 
     def setUp(self):
         self.clock = SystemClock()
         self.directory = Directory(lambda: ExpectedDelay(Random(1)))
         self.health = make_tracker(self.directory, self.clock, Random(1), 1)
-        self.sharer = ReportSharer(OWN, list, self.directory, self.clock)
+        self.sharer = ReportSharer(LOCAL_ADDRESS, list, self.directory, self.clock)
         self.update(7)
 
     def update(self, incarnation: int) -> None:
@@ -58,9 +60,9 @@
     def test_load_speed_silence_and_pauses_end(self):
         now = self.clock.monotonic()
         self.router.started('limits-1', now)
-        self.router.learned('limits-1', FULL, now)
-        self.router.unanswered('limits-1')
-        self.router.unwell('limits-1', now)
+        self.router.apply_peer_report('limits-1', FULL, now)
+        self.router.mark_silent('limits-1')
+        self.router.mark_unhealthy('limits-1', now)
         before = self.router.load_by_id['limits-1']
         self.update(8)
         load = self.router.load_by_id['limits-1']
@@ -75,7 +77,7 @@
         self.assertTrue(self.router.is_known(before))
         self.assertEqual(self.router.load_by_id['limits-1'].in_flight, 1)
 
-    def test_signs_of_leaving_and_refused_connections_end(self):
+    def test_drain_signals_and_refused_connections_end(self):
         now = self.clock.monotonic()
         key = self.health.key_by_id['limits-1']
         self.health.drain.add_signal(key, DrainSignal.OWN, now)
@@ -86,30 +88,33 @@
         self.assertIsNotNone(self.router.choose(now))
         self.assertEqual(self.health.reachability.avoided_ids(now), [])
 
-    def test_datagram_on_the_earlier_start_is_not_believed(self):
+    def test_datagram_on_the_earlier_start_is_ignored(self):
         self.update(8)
-        told = {'reports': [['limits-1', 7, 2.0, 0.1, 0]], 'silent': [['limits-1', 7]]}
-        self.sharer.apply_datagram(orjson.dumps(told))
+        datagram = {
+            'reports': [['limits-1', 7, 2.0, 0.1, 0]],
+            'silent': [['limits-1', 7]],
+        }
+        self.sharer.apply_datagram(orjson.dumps(datagram))
         load = self.router.load_by_id['limits-1']
         self.assertIsNone(load.report)
         self.assertFalse(load.is_silent)
-        told['reports'][0][1] = 8
-        self.sharer.apply_datagram(orjson.dumps(told))
+        datagram['reports'][0][1] = 8
+        self.sharer.apply_datagram(orjson.dumps(datagram))
         self.assertEqual(load.report, FULL)
 
     def test_datagram_names_the_start(self):
-        self.router.learned('limits-1', FULL, self.clock.monotonic())
+        self.router.apply_peer_report('limits-1', FULL, self.clock.monotonic())
         self.sharer.queue_load(self.router.load_by_id['limits-1'])
-        told = orjson.loads(self.sharer.encode())
-        self.assertEqual(told['reports'][0][:2], ['limits-1', 7])
+        datagram = orjson.loads(self.sharer.encode())
+        self.assertEqual(datagram['reports'][0][:2], ['limits-1', 7])
 
-    def test_start_is_left_out_of_a_document_that_tells_none(self):
+    def test_unknown_incarnation_is_left_out_of_a_document(self):
         plain = to_plain(config(0).document)
         self.assertNotIn('incarnation', plain['register']['backends']['limits-1'])
 
 
 class PoolTest(unittest.TestCase):
-    """Kept connections to the earlier start are not used again."""
+    """Idle connections to the earlier start are not reused."""
 
     def test_idle_connections_are_dropped_and_closed(self):
         async def check():
@@ -129,7 +134,7 @@
 
 
 class ClosingWire:
-    """A connection that only closes."""
+    """A connection that can only be closed."""
 
     is_closed = False
 
@@ -138,9 +143,9 @@
 
 
 class LateAnswerTest(unittest.TestCase):
-    """An answer of the earlier start, on the whole path."""
+    """A late answer of the earlier start, on the whole path."""
 
-    def test_it_reaches_its_caller_and_says_nothing_of_the_new_start(self):
+    def test_it_reaches_its_caller_and_does_not_affect_the_new_start(self):
         async def check(platform):
             port = await platform.add_worker('i-1', work_seconds=0.3)
             entry = await platform.add_entry()
--- a/tests/test_throttling_path.py
+++ b/tests/test_throttling_path.py
@@ -30,7 +30,9 @@
 from catkinslip.throttling.telling import MOST_TOLD, RateTeller
 from catkinslip.warmup.gate import ColdGate
 from catkinslip.warmup.quotas import Sender
-from catkinslip.warmup.senders import Place
+from catkinslip.warmup.senders import (
+    SenderPosition,
+)
 from catkinslip.wiring.entry import Entry
 from standins.workers import Fault
 from tests.small_platform import SmallPlatform, on_platform, wait_for
@@ -42,7 +44,7 @@
 def sender_gate(per_second: float) -> ThrottleGate:
     """Return the gate of an instance that may send so much to a server in need."""
     return ThrottleGate(
-        lambda *_: {SENDER: per_second}, lambda: Place(SENDER, is_recent=True)
+        lambda *_: {SENDER: per_second}, lambda: SenderPosition(SENDER, is_recent=True)
     )
 
 
@@ -193,7 +195,7 @@
         permits = gates.reserve(load, NOW)
         gate.book.told(load, RateSign(1.0), AnswerKind.ANSWER, NOW, NOW)
         self.assertFalse(gates.may_send(load, permits, NOW))
-        gate.place = lambda: Place(SENDER, is_recent=True)
+        gate.place = lambda: SenderPosition(SENDER, is_recent=True)
         self.assertTrue(gates.may_send(load, permits, NOW))
         self.assertFalse(gates.may_send(load, permits, NOW + 0.9))
 
@@ -203,7 +205,7 @@
         cold = ColdGate(lambda *_: {SENDER: 2}, lambda: SENDER)
         cold.configure(3.0, 2.0)
         gates = Gates((cold, throttle))
-        cold.begin(load, 60.0, NOW, 'test')
+        cold.mark_cold(load, 60.0, NOW, 'test')
         self.assertTrue(gates.may_send(load, gates.reserve(load, NOW), NOW))
         throttle.book.told(load, RateSign(1.0), AnswerKind.ANSWER, NOW, NOW)
         throttle.find(load, NOW).count_sent(NOW)
@@ -243,7 +245,7 @@
     def test_what_was_sent_before_counts_for_the_first_turn(self):
         load = BackendLoad('i-1', 'zone-a', 2)
         gate = sender_gate(0.5)
-        load.note_sent(NOW - 0.5)
+        load.record_sent(NOW - 0.5)
         gate.book.told(load, RateSign(1.0), AnswerKind.ANSWER, NOW, NOW)
         self.assertEqual(gate.closed(NOW + 1.4), ['i-1'])
         self.assertEqual(gate.closed(NOW + 1.5), [])
--- a/tests/test_warmup_path.py
+++ b/tests/test_warmup_path.py
@@ -1,4 +1,4 @@
-"""Cold servers on the users' platform, in one loop: what they get, and from whom."""
+"""Requests to cold servers, on an emulated platform in one event loop."""
 
 import unittest
 from collections.abc import Callable
@@ -16,7 +16,7 @@
     wait_for,
 )
 
-#: What a cold server bears in a second: 4 * 1.5 + 4.
+#: Requests a second that a cold server handles: 4 * 1.5 + 4.
 BOUND = 10
 BOUNDS = ',"cold_excess=1.5","cold_slack=4"'
 COLD_SECONDS = 4.0
@@ -24,19 +24,19 @@
 
 
 def always() -> bool:
-    """Wait for nothing."""
+    """Return True, for no condition."""
     return True
 
 
 async def warm_and_cold(platform: SmallPlatform, instances: int = 1) -> list[Worker]:
-    """Start a warm server, one that will be cold, and instances that know both."""
+    """Start two servers, the second to turn cold later, and some instances."""
     platform.bounds = BOUNDS
     platform.store.put('config', 'main', config_spec(cold_per_s=4.0))
     for server_id in ('i-1', 'i-2'):
         await platform.add_worker(server_id, cold_bound=BOUND, work_seconds=0.01)
     for _ in range(instances):
         entry = await platform.add_entry()
-        # Nobody else could be taken for a sender in these tests.
+        # Make the instances senders at once; no other instance can be one here.
         await wait_for(
             lambda entry=entry: entry.instances.sender_lease.listed_since < 1e9
         )
@@ -47,12 +47,12 @@
     return list(platform.worker_by_id.values())
 
 
-async def rush(
+async def send_load(
     platform: SmallPlatform,
     seconds: float,
     until: Callable[[], object] = always,
 ) -> set[int]:
-    """Send requests from several callers for a while, and until a condition holds.
+    """Send requests for some seconds and until a condition holds.
 
     Return the statuses.
     """
@@ -78,20 +78,20 @@
 
 
 class ColdPathTest(unittest.TestCase):
-    """What a cold server sees."""
+    """Requests that arrive at a cold server."""
 
-    def test_server_that_turns_cold_in_mid_life_gets_at_most_what_it_bears(self):
+    def test_server_that_turns_cold_later_gets_at_most_what_it_handles(self):
         async def check(platform):
             _, cold = await warm_and_cold(platform, instances=3)
-            await rush(platform, 0.5, lambda: cold.heads)
+            await send_load(platform, 0.5, lambda: cold.heads)
             cold.turn_cold(GENEROUS_SECONDS)
-            await rush(platform, 2.5, lambda: cold.cold_arrivals)
+            await send_load(platform, 2.5, lambda: cold.cold_arrivals)
             self.assertLessEqual(cold.most_cold_arrivals(), BOUND)
             self.assertFalse(cold.process.cancel_called)
 
         on_platform(check)
 
-    def test_zone_that_is_back_cold_is_warmed(self):
+    def test_reopened_zone_with_cold_servers_gets_requests(self):
         async def check(platform):
             near, cold = await warm_and_cold(platform, instances=2)
             platform.store.put('evacuations', 'zone-a', {})
@@ -104,17 +104,17 @@
             await wait_for(
                 lambda: not any(e.assembler.evacuated_zones for e in platform.entries)
             )
-            statuses = await rush(
+            statuses = await send_load(
                 platform, 2.5, lambda: near.cold_arrivals and cold.cold_arrivals
             )
             for worker in (near, cold):
                 self.assertLessEqual(worker.most_cold_arrivals(), BOUND)
-            # The others are told at once to come back.
+            # The other calls are refused at once and may be retried.
             self.assertLessEqual(statuses, {200, 503})
 
         on_platform(check)
 
-    def test_zone_that_is_back_warm_is_known_as_such_by_its_first_calls(self):
+    def test_reopened_zone_with_warm_servers_is_detected_by_its_first_calls(self):
         async def check(platform):
             await warm_and_cold(platform)
             entry = platform.entries[0]
@@ -125,8 +125,8 @@
             await wait_for(lambda: not platform.entries[0].assembler.evacuated_zones)
             self.assertEqual(len(router.cold.cold(CLOCK.monotonic())), 2)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(rush, platform, COLD_SECONDS)
-                # Without an answer of theirs they would be cold for 3 s.
+                nursery.start_soon(send_load, platform, COLD_SECONDS)
+                # Without a probe's answer the servers would stay cold for 3 s.
                 is_known = await wait_at_most(
                     1.5, lambda: not router.cold.cold(CLOCK.monotonic())
                 )
@@ -135,7 +135,7 @@
 
         on_platform(check)
 
-    def test_server_that_has_not_told_that_it_is_cold_is_taken_as_such(self):
+    def test_new_server_without_a_cold_report_is_treated_as_cold(self):
         async def check(platform):
             await warm_and_cold(platform)
             entry = platform.entries[0]
@@ -144,13 +144,13 @@
             platform.register('i-3', 'one', port, cold_left_s=None)
             router = entry.sampler.health.directory.router_by_service['one']
             await wait_for(lambda: 'i-3' in router.load_by_id)
-            await rush(platform, 1.5)
+            await send_load(platform, 1.5)
             worker = platform.worker_by_id['i-3']
             self.assertLessEqual(worker.most_cold_arrivals(), BOUND)
 
         on_platform(check)
 
-    def test_only_cold_servers_and_nobody_to_warm_them_is_a_true_refusal(self):
+    def test_call_is_refused_if_all_servers_are_cold_and_no_instance_is_a_sender(self):
         async def check(platform):
             workers = await warm_and_cold(platform)
             entry = platform.entries[0]
@@ -158,7 +158,7 @@
             for worker in workers:
                 worker.turn_cold(COLD_SECONDS)
             router = entry.sampler.health.directory.router_by_service['one']
-            router.cold.doubt(router.loads, CLOCK.monotonic(), 'test')
+            router.cold.mark_possibly_restarted(router.loads, CLOCK.monotonic(), 'test')
             answer = await platform.ask('POST', '/p/x')
             self.assertEqual(answer.status_code, 503)
             self.assertIn('cold', answer.text)
@@ -166,7 +166,7 @@
 
         on_platform(check)
 
-    def test_end_of_a_cold_server_condemns_no_request(self):
+    def test_crash_of_a_cold_server_leads_to_no_verdict(self):
         async def check(platform):
             for number in range(4):
                 await platform.add_worker(f'i-{number}', cold_bound=0)
@@ -179,7 +179,7 @@
             for worker in platform.worker_by_id.values():
                 worker.turn_cold(COLD_SECONDS)
             router = entry.sampler.health.directory.router_by_service['one']
-            router.cold.doubt(router.loads, CLOCK.monotonic(), 'test')
+            router.cold.mark_possibly_restarted(router.loads, CLOCK.monotonic(), 'test')
             ended = []
             for number in range(4):
                 await platform.ask('POST', '/p/x', request_id=f'r{number}')
@@ -189,7 +189,7 @@
                         for worker in platform.worker_by_id.values()
                     )
                 )
-            # Its next copies warm nobody, and none of them is refused as guilty.
+            # Later copies of the request go to no cold server, and none gets a verdict.
             self.assertEqual(ended, [1, 1, 1, 1])
             self.assertEqual(entry.book.verdicts, 0)
 
