--- a/catkinslip/platform/dialect.py
+++ b/catkinslip/platform/dialect.py
@@ -10,7 +10,7 @@
 from catkinslip.proxy import answers
 from catkinslip.proxy import headers as names
 from catkinslip.proxy.calls import Call
-from catkinslip.proxy.dialect import CallTerms, Dialect, ProbeAnswer
+from catkinslip.proxy.dialect import CallParameters, Dialect, ProbeAnswer
 from catkinslip.proxy.head_checks import malformed
 from catkinslip.proxy.headers import Header, RequestHead
 from catkinslip.proxy.outcomes import NotRun, Reason, Unknown
@@ -51,7 +51,7 @@
 class PlatformDialect(Dialect):
     """Spell the platform's headers."""
 
-    def read_terms(self, request: RequestHead, wall: float) -> CallTerms | NotRun:
+    def read_parameters(self, request: RequestHead, wall: float) -> CallParameters | NotRun:
         """Read a caller's headers, or refuse one that is malformed."""
         headers = request.headers
         request_id = names.find(headers, wire.REQUEST_ID)
@@ -64,7 +64,7 @@
                 return malformed('the deadline is no number of milliseconds')
             timeout = float(given) / 1000
         host = (names.find(headers, b'host') or b'').decode('latin-1')
-        return CallTerms(
+        return CallParameters(
             service='',
             host=host.partition(':')[0],
             request_id=request_id.decode() if request_id else None,
--- a/catkinslip/proxy/calls.py
+++ b/catkinslip/proxy/calls.py
@@ -9,7 +9,7 @@
 from catkinslip.config.documents import Document, Service
 from catkinslip.config.holder import ConfigHolder
 from catkinslip.proxy.bodies import Body, RestOfBody
-from catkinslip.proxy.dialect import CallTerms, Dialect
+from catkinslip.proxy.dialect import CallParameters, Dialect
 from catkinslip.proxy.head_checks import origin_form
 from catkinslip.proxy.headers import Header, RequestHead
 from catkinslip.proxy.outcomes import NotRun
@@ -94,32 +94,32 @@
 
     def make(self, request: RequestHead, body: Body, peer: str) -> Call | NotRun:
         """Return the call, or a refusal when a header of ours is wrong."""
-        terms = self.dialect.read_terms(request, self.clock.wall())
-        if isinstance(terms, NotRun):
-            return terms
+        parameters = self.dialect.read_parameters(request, self.clock.wall())
+        if isinstance(parameters, NotRun):
+            return parameters
         self._follow_document()
         target = origin_form(request.target)
         call = Call(
-            request_id=terms.request_id or self.new_request_id(),
-            service=terms.service,
+            request_id=parameters.request_id or self.new_request_id(),
+            service=parameters.service,
             method=request.method,
             target=target,
             headers=request.headers,
             body=body.start,
             repeatable=False,
             deadline=inf,
-            attempt=terms.attempt,
-            patience=terms.timeout,
+            attempt=parameters.attempt,
+            patience=parameters.timeout,
             peer=peer,
             rest=body.rest,
         )
         path = target.decode('latin-1').partition('?')[0]
-        timeout = self._apply_rules(call, terms, path)
-        if terms.timeout is not None:
-            timeout = min(timeout, terms.timeout)
+        timeout = self._apply_rules(call, parameters, path)
+        if parameters.timeout is not None:
+            timeout = min(timeout, parameters.timeout)
         now = self.clock.monotonic()
         call.deadline = now + timeout
-        call.caller_leaves = now + (terms.timeout or timeout)
+        call.caller_leaves = now + (parameters.timeout or timeout)
         if self.trusts_wall_clock:
             call.wall_deadline = self.clock.wall() + timeout
         return call
@@ -131,9 +131,9 @@
             self.service_by_name = document.effective_services()
             self.routes.update(document)
 
-    def _apply_rules(self, call: Call, terms: CallTerms, path: str) -> float:
+    def _apply_rules(self, call: Call, parameters: CallParameters, path: str) -> float:
         """Set what the rules say of a call; return its longest time in seconds."""
-        turns = self.routes.find(terms.host, path)
+        turns = self.routes.find(parameters.host, path)
         if turns is not None:
             route = turns.route
             call.service = turns.next_service()
--- a/catkinslip/proxy/dialect.py
+++ b/catkinslip/proxy/dialect.py
@@ -17,7 +17,7 @@
 
 
 @frozen
-class CallTerms:
+class CallParameters:
     """What a caller's headers ask for; durations are in seconds."""
 
     service: str
@@ -43,7 +43,7 @@
     """Spell the headers between callers, this instance and backend servers."""
 
     @abstractmethod
-    def read_terms(self, request: RequestHead, wall: float) -> CallTerms | NotRun:
+    def read_parameters(self, request: RequestHead, wall: float) -> CallParameters | NotRun:
         """Read a caller's headers, or refuse one that is malformed."""
 
     @abstractmethod
--- a/catkinslip/proxy/own_dialect.py
+++ b/catkinslip/proxy/own_dialect.py
@@ -8,7 +8,7 @@
 from catkinslip.proxy import answers, problems
 from catkinslip.proxy import headers as names
 from catkinslip.proxy.calls import Call
-from catkinslip.proxy.dialect import CallTerms, Dialect, ProbeAnswer
+from catkinslip.proxy.dialect import CallParameters, Dialect, ProbeAnswer
 from catkinslip.proxy.head_checks import malformed
 from catkinslip.proxy.headers import Header, RequestHead
 from catkinslip.proxy.outcomes import NotRun, Reason, Unknown
@@ -21,7 +21,7 @@
 class OwnDialect(Dialect):
     """Spell what docs/REQUESTS.md says."""
 
-    def read_terms(self, request: RequestHead, wall: float) -> CallTerms | NotRun:
+    def read_parameters(self, request: RequestHead, wall: float) -> CallParameters | NotRun:
         """Read a caller's headers, or refuse one that is malformed."""
         headers = request.headers
         request_id = names.find(headers, names.REQUEST_ID)
@@ -34,7 +34,7 @@
         if ATTEMPT.match(attempt) is None:
             return malformed('catkinslip-attempt is no number from 1 to 9999')
         host = names.find(headers, b'host') or b''
-        return CallTerms(
+        return CallParameters(
             service=bare_name(names.find(headers, names.SERVICE) or host),
             host=bare_name(host),
             request_id=request_id.decode() if request_id else None,
--- a/tests/test_platform_dialect.py
+++ b/tests/test_platform_dialect.py
@@ -24,7 +24,7 @@
 
     def terms(self, *headers: tuple[bytes, bytes]):
         head = RequestHead(b'GET', b'/a/', b'1.1', [(b'host', b'a:81'), *headers])
-        return self.dialect.read_terms(head, 0.0)
+        return self.dialect.read_parameters(head, 0.0)
 
     def fault(self, status: int, *headers: tuple[bytes, bytes]) -> Unknown | None:
         return self.dialect.find_fault(self.call, status, list(headers))
