--- a/catkinslip/health/sampler.py
+++ b/catkinslip/health/sampler.py
@@ -303,8 +303,8 @@
         answered_at = (sent_at + now) / 2
         if answer.report is not None:
             router.learned(load.backend_id, answer.report, answered_at, picks_before)
-        router.take_words(load, answer.words, AnswerKind.PROBE, sent_at, now)
-        if answer.words.is_leaving:
+        router.take_words(load, answer.signals, AnswerKind.PROBE, sent_at, now)
+        if answer.signals.is_leaving:
             self.health.leaves(load.backend_id)
         if answer.cold_seconds is None:
             log.info('health: unreadable cold time. backend=%s', load.backend_id)
@@ -313,6 +313,6 @@
             way_back = now - answered_at if answer.cold_seconds > 0 else 0.0
             cold_seconds = answer.cold_seconds + way_back
             router.told_cold(load.backend_id, cold_seconds, answered_at)
-        if not answer.is_well:
+        if not answer.is_healthy:
             router.unwell(load.backend_id, now)
         return True
--- a/catkinslip/platform/dialect.py
+++ b/catkinslip/platform/dialect.py
@@ -111,7 +111,7 @@
         value = names.find(headers, wire.SERVER_LOAD)
         return None if value is None else parse_load(value)
 
-    def read_words(self, status: int, headers: Sequence[Header]) -> ServerWords:
+    def read_signals(self, status: int, headers: Sequence[Header]) -> ServerWords:
         """Return what an answer asks for in the name of its server."""
         leaving = names.find(headers, wire.LEAVING)
         return ServerWords(
@@ -169,7 +169,7 @@
             report,
             server_id.decode('latin-1'),
             cold,
-            self.read_words(status, headers),
+            self.read_signals(status, headers),
         )
 
 
--- a/catkinslip/proxy/dialect.py
+++ b/catkinslip/proxy/dialect.py
@@ -10,7 +10,7 @@
 from catkinslip.proxy.headers import Header, RequestHead
 from catkinslip.proxy.outcomes import NotRun, Reason, Unknown
 from catkinslip.routing.base import LoadReport
-from catkinslip.routing.words import NO_WORDS, ServerWords
+from catkinslip.routing.signals import NO_WORDS, ServerWords
 
 if TYPE_CHECKING:
     from catkinslip.proxy.calls import Call
@@ -31,12 +31,12 @@
 class ProbeAnswer:
     """What the answer to a probe says; `backend_id` is None where it is not told."""
 
-    is_well: bool
+    is_healthy: bool
     report: LoadReport | None
     backend_id: str | None = None
     #: Seconds that the server stays cold; None where it told that unreadably.
     cold_seconds: float | None = 0.0
-    words: ServerWords = NO_WORDS
+    signals: ServerWords = NO_WORDS
 
 
 class Dialect(ABC):
@@ -66,7 +66,7 @@
     def read_report(self, headers: Sequence[Header]) -> LoadReport | None:
         """Return the load report of an answer."""
 
-    def read_words(self, status: int, headers: Sequence[Header]) -> ServerWords:
+    def read_signals(self, status: int, headers: Sequence[Header]) -> ServerWords:
         """Return what an answer asks for in the name of its server."""
         return NO_WORDS
 
--- a/catkinslip/proxy/exchange.py
+++ b/catkinslip/proxy/exchange.py
@@ -198,7 +198,7 @@
         report = self.dialect.read_report(headers)
         self.on_head(headers, report)
         kind = kind_of(status, refusal)
-        self.on_words(self.dialect.read_words(status, headers), kind, self.sent_at)
+        self.on_words(self.dialect.read_signals(status, headers), kind, self.sent_at)
         if refusal is not None:
             await answers.drain_body(wire)
             return NotRun(refusal, report=report)
--- a/tests/test_leaving_path.py
+++ b/tests/test_leaving_path.py
@@ -154,7 +154,7 @@
     def test_only_one_says_that_the_server_leaves(self):
         dialect = PlatformDialect()
         for value, says in ((b'1', True), (b' 1 ', True), (b'0', False), (b'', False)):
-            words = dialect.read_words(200, [(b'server-leaving', value)])
+            words = dialect.read_signals(200, [(b'server-leaving', value)])
             self.assertEqual(words.is_leaving, says, value)
 
 
--- a/tests/test_platform_dialect.py
+++ b/tests/test_platform_dialect.py
@@ -94,7 +94,7 @@
         read = self.dialect.read_probe
         load, server = (b'server-load', b'1,0,2,100'), (b'instance-id', b'i-1')
         self.assertEqual(read(200, [load, server]).report, LoadReport(1, 1.0))
-        self.assertFalse(read(503, [load, server]).is_well)
+        self.assertFalse(read(503, [load, server]).is_healthy)
         self.assertIsNone(read(200, [load]))
         self.assertIsNone(read(200, [OWN_ID, server]))
 
