--- a/catkinslip/addresses/answers.py
+++ b/catkinslip/addresses/answers.py
@@ -15,7 +15,7 @@
 from catkinslip.config.documents import ConfigVersion, Service
 from catkinslip.config.holder import ConfigHolder
 from catkinslip.membership.members import Member, MemberTable
-from catkinslip.proxy.base import OwnPages
+from catkinslip.proxy.base import LocalPages
 from catkinslip.proxy.headers import RequestHead
 from catkinslip.proxy.outcomes import NotRun, Reason
 from catkinslip.tickets.keys import KeyIssuer
@@ -149,7 +149,7 @@
 
 
 @define
-class AddressPages(OwnPages):
+class AddressPages(LocalPages):
     """Serve the address answers to callers."""
 
     book: AddressBook
--- a/catkinslip/proxy/base.py
+++ b/catkinslip/proxy/base.py
@@ -18,7 +18,7 @@
         """Forward one call within its deadline."""
 
 
-class OwnPages(ABC):
+class LocalPages(ABC):
     """Answer requests that are for this instance itself."""
 
     @abstractmethod
--- a/catkinslip/proxy/callers.py
+++ b/catkinslip/proxy/callers.py
@@ -8,7 +8,7 @@
 
 from catkinslip.config.holder import ConfigHolder
 from catkinslip.environment import Environment
-from catkinslip.proxy.base import CallForwarder, OwnPages
+from catkinslip.proxy.base import CallForwarder, LocalPages
 from catkinslip.proxy.bodies import BodyReader, RestOfBody
 from catkinslip.proxy.calls import Call, CallMaker
 from catkinslip.proxy.dialect import Dialect
@@ -45,7 +45,7 @@
     config: ConfigHolder
     forwarder: CallForwarder
     #: None where callers ask another listener for addresses.
-    pages: OwnPages | None
+    pages: LocalPages | None
     limits: CallerLimits
     observer: RequestObserver = ObserverGroup()
     dialect: Dialect = Factory(OwnDialect)
@@ -110,7 +110,7 @@
         if isinstance(body, NotRun):
             return await self._refuse(wire, body, request)
         if self.pages is not None and self.pages.has(request.target):
-            return await self._answer_itself(wire, request, self.pages)
+            return await self._answer_locally(wire, request, self.pages)
         call = self.calls.make(request, body, wire.peer)
         if isinstance(call, NotRun):
             return await self._refuse(wire, call, request)
@@ -173,8 +173,8 @@
             return False
         return await self._send_problem(wire, outcome, call.request_id, call.method)
 
-    async def _answer_itself(
-        self, wire: Wire, request: RequestHead, pages: OwnPages
+    async def _answer_locally(
+        self, wire: Wire, request: RequestHead, pages: LocalPages
     ) -> bool:
         answer = pages.answer(request)
         if isinstance(answer, NotRun):
