--- a/benchmarks/logs.py
+++ b/benchmarks/logs.py
@@ -110,9 +110,9 @@
     each, choice, outcome = plain_call('limits'), Choice('limits-1', 'x'), Answered(200)
 
     def run() -> None:
-        observer.decided(each, choice, 1)
-        observer.attempted(each, 'limits-1', outcome, 0.0102)
-        observer.ended(each, outcome, 0.0105)
+        observer.on_server_chosen(each, choice, 1)
+        observer.on_attempt_ended(each, 'limits-1', outcome, 0.0102)
+        observer.on_request_ended(each, outcome, 0.0105)
 
     return Arm('metrics and trace', run, drop)
 
--- a/catkinslip/metrics/requests.py
+++ b/catkinslip/metrics/requests.py
@@ -44,12 +44,12 @@
     tally_by_service: dict[str, Tally] = field(factory=dict)
     tally_by_backend: dict[str, Tally] = field(factory=dict)
 
-    def decided(self, call: Call, choice: Choice, number: int) -> None:
+    def on_server_chosen(self, call: Call, choice: Choice, number: int) -> None:
         """Learn of the backend server chosen for an attempt, counted from 1."""
         if number > 1:
             self._service(call.service).retries += 1
 
-    def attempted(
+    def on_attempt_ended(
         self, call: Call, backend_id: str, outcome: Outcome, seconds: float
     ) -> None:
         """Learn how an attempt ended and how long it took."""
@@ -59,12 +59,12 @@
             self.tally_by_backend[backend_id] = tally
         tally.count(outcome, seconds, self.clock.monotonic())
 
-    def broke(self, call: Call, broken: Break) -> None:
+    def on_connection_broken(self, call: Call, broken: Break) -> None:
         """Learn of a connection that ended under an attempt."""
         kind = 'kept' if broken.is_reused else 'new'
         self._service(call.service).breaks[kind] += 1
 
-    def ended(self, call: Call, outcome: Outcome, seconds: float) -> None:
+    def on_request_ended(self, call: Call, outcome: Outcome, seconds: float) -> None:
         """Learn what the caller was told and how long the request took."""
         self._service(call.service).count(outcome, seconds, self.clock.monotonic())
 
--- a/catkinslip/metrics/traces.py
+++ b/catkinslip/metrics/traces.py
@@ -73,7 +73,7 @@
     ended_traces: deque[RequestTrace]
     trace_by_call: dict[int, RequestTrace] = Factory(dict)
 
-    def decided(self, call: Call, choice: Choice, number: int) -> None:
+    def on_server_chosen(self, call: Call, choice: Choice, number: int) -> None:
         """Learn of the backend server chosen for an attempt, counted from 1."""
         trace = self.trace_by_call.get(id(call))
         if trace is None:
@@ -84,7 +84,7 @@
         attempt = AttemptTrace(choice.backend_id, choice.reason, candidates)
         trace.attempts.append(attempt)
 
-    def attempted(
+    def on_attempt_ended(
         self, call: Call, backend_id: str, outcome: Outcome, seconds: float
     ) -> None:
         """Learn how an attempt ended and how long it took."""
@@ -96,7 +96,7 @@
                 attempt.outcome = outcome
                 attempt.seconds = seconds
 
-    def ended(self, call: Call, outcome: Outcome, seconds: float) -> None:
+    def on_request_ended(self, call: Call, outcome: Outcome, seconds: float) -> None:
         """Learn what the caller was told and how long the request took."""
         trace = self.trace_by_call.pop(id(call), None) or self._begin(call)
         trace.outcome = outcome
--- a/catkinslip/proxy/callers.py
+++ b/catkinslip/proxy/callers.py
@@ -136,7 +136,7 @@
         try:
             outcome = await self._forward(call, wire)
         finally:
-            self.observer.ended(call, outcome, clock.monotonic() - began_at)
+            self.observer.on_request_ended(call, outcome, clock.monotonic() - began_at)
         return outcome
 
     async def _forward(self, call: Call, wire: Wire) -> Outcome:
--- a/catkinslip/proxy/observer.py
+++ b/catkinslip/proxy/observer.py
@@ -14,20 +14,20 @@
     """Learn of each decision and each end; must be quick and must not raise."""
 
     @abstractmethod
-    def decided(self, call: Call, choice: Choice, number: int) -> None:
+    def on_server_chosen(self, call: Call, choice: Choice, number: int) -> None:
         """Learn of the backend server chosen for an attempt, counted from 1."""
 
     @abstractmethod
-    def attempted(
+    def on_attempt_ended(
         self, call: Call, backend_id: str, outcome: Outcome, seconds: float
     ) -> None:
         """Learn how an attempt ended and how long it took."""
 
-    def broke(self, call: Call, broken: Break) -> None:  # noqa: B027
+    def on_connection_broken(self, call: Call, broken: Break) -> None:  # noqa: B027
         """Learn of a connection that ended under an attempt."""
 
     @abstractmethod
-    def ended(self, call: Call, outcome: Outcome, seconds: float) -> None:
+    def on_request_ended(self, call: Call, outcome: Outcome, seconds: float) -> None:
         """Learn what the caller was told and how long the request took."""
 
 
@@ -37,24 +37,24 @@
 
     observers: tuple[RequestObserver, ...] = ()
 
-    def decided(self, call: Call, choice: Choice, number: int) -> None:
+    def on_server_chosen(self, call: Call, choice: Choice, number: int) -> None:
         """Learn of the backend server chosen for an attempt, counted from 1."""
         for observer in self.observers:
-            observer.decided(call, choice, number)
+            observer.on_server_chosen(call, choice, number)
 
-    def attempted(
+    def on_attempt_ended(
         self, call: Call, backend_id: str, outcome: Outcome, seconds: float
     ) -> None:
         """Learn how an attempt ended and how long it took."""
         for observer in self.observers:
-            observer.attempted(call, backend_id, outcome, seconds)
+            observer.on_attempt_ended(call, backend_id, outcome, seconds)
 
-    def broke(self, call: Call, broken: Break) -> None:
+    def on_connection_broken(self, call: Call, broken: Break) -> None:
         """Learn of a connection that ended under an attempt."""
         for observer in self.observers:
-            observer.broke(call, broken)
+            observer.on_connection_broken(call, broken)
 
-    def ended(self, call: Call, outcome: Outcome, seconds: float) -> None:
+    def on_request_ended(self, call: Call, outcome: Outcome, seconds: float) -> None:
         """Learn what the caller was told and how long the request took."""
         for observer in self.observers:
-            observer.ended(call, outcome, seconds)
+            observer.on_request_ended(call, outcome, seconds)
--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -124,7 +124,7 @@
             choice.backend_id,
             reason,
         )
-        self.observer.decided(self.call, choice, number)
+        self.observer.on_server_chosen(self.call, choice, number)
         address = self.health.directory.address_by_backend[choice.backend_id]
         attempt = Attempt(
             call=self.call,
@@ -182,7 +182,7 @@
             self.call.target[:LOGGED_TARGET_BYTES].decode('latin-1'),
             broken.detail,
         )
-        self.observer.broke(self.call, broken)
+        self.observer.on_connection_broken(self.call, broken)
 
     def _tried(self) -> Collection[str]:
         """Return the servers that must not get the call: tried or foreign ones."""
@@ -346,4 +346,4 @@
             self.router.finished(launch.backend_id, result, now)
         self.limits.ended(launch.backend_id, result, now)
         seconds = now - launch.began
-        self.observer.attempted(self.call, launch.backend_id, outcome, seconds)
+        self.observer.on_attempt_ended(self.call, launch.backend_id, outcome, seconds)
--- a/tests/test_metrics_requests.py
+++ b/tests/test_metrics_requests.py
@@ -72,11 +72,11 @@
 
     def test_retries_sheds_and_outcomes_are_counted(self):
         tried, outcome = plain_call('limits'), Answered(200)
-        self.metrics.decided(tried, Choice('a', 'first'), 1)
-        self.metrics.attempted(tried, 'a', NotRun(Reason.SHED), 0.001)
-        self.metrics.decided(tried, Choice('b', 'second'), 2)
-        self.metrics.attempted(tried, 'b', outcome, 0.002)
-        self.metrics.ended(tried, outcome, 0.003)
+        self.metrics.on_server_chosen(tried, Choice('a', 'first'), 1)
+        self.metrics.on_attempt_ended(tried, 'a', NotRun(Reason.SHED), 0.001)
+        self.metrics.on_server_chosen(tried, Choice('b', 'second'), 2)
+        self.metrics.on_attempt_ended(tried, 'b', outcome, 0.002)
+        self.metrics.on_request_ended(tried, outcome, 0.003)
         self.assertEqual(self.values('catkinslip_retries_total'), {('limits',): 1})
         self.assertEqual(
             self.values('catkinslip_backend_outcomes_total'),
@@ -90,14 +90,14 @@
     def test_callers_cannot_add_series(self):
         for number in range(100):
             refused = NotRun(Reason.UNKNOWN_SERVICE)
-            self.metrics.ended(plain_call(f'made-up-{number}'), refused, 0.001)
+            self.metrics.on_request_ended(plain_call(f'made-up-{number}'), refused, 0.001)
         self.assertEqual(
             self.values('catkinslip_service_outcomes_total'),
             {(UNKNOWN_SERVICE, 'not-run-unknown-service'): 100},
         )
 
     def test_backend_that_left_the_register_is_forgotten(self):
-        self.metrics.attempted(plain_call('limits'), 'a', Answered(200), 0.001)
+        self.metrics.on_attempt_ended(plain_call('limits'), 'a', Answered(200), 0.001)
         self.metrics.directory = directory_of(b='127.0.0.1:2')
         self.assertEqual(self.values('catkinslip_backend_outcomes_total'), {})
 
@@ -110,11 +110,11 @@
         ring = TraceRing('entry-1', FixedClock(), directory, deque(maxlen=2))
         calls = [plain_call('limits', request_id=f'r{number}') for number in range(3)]
         for each in calls:
-            ring.decided(each, Choice('a', 'only one'), 1)
+            ring.on_server_chosen(each, Choice('a', 'only one'), 1)
         self.assertEqual(ring.find('r0')[0]['outcome'], '')
         for each in calls:
-            ring.attempted(each, 'a', Answered(200), 0.001)
-            ring.ended(each, Answered(200), 0.002)
+            ring.on_attempt_ended(each, 'a', Answered(200), 0.001)
+            ring.on_request_ended(each, Answered(200), 0.002)
         self.assertEqual(ring.find('r0'), [])
         self.assertEqual(ring.find('r2')[0]['attempts'][0]['backend_id'], 'a')
         self.assertEqual(ring.trace_by_call, {})
