--- a/catkinslip/proxy/bodies.py
+++ b/catkinslip/proxy/bodies.py
@@ -12,11 +12,11 @@
 
 
 @define
-class RestOfBody:
+class BodyRemainder:
     """The part of a body that is read only while it is sent on."""
 
     caller: Wire
-    bytes_left: int
+    remaining_bytes: int
     length: int | None = None
     nursery: trio.Nursery | None = None
     is_started: bool = False
@@ -34,8 +34,8 @@
             self.fault = Reason.CALLER_LEFT
             return None
         if type(event) is h11.Data:
-            self.bytes_left -= len(event.data)
-        if self.bytes_left < 0:
+            self.remaining_bytes -= len(event.data)
+        if self.remaining_bytes < 0:
             self.fault = Reason.BODY_TOO_LARGE
             return None
         return event
@@ -46,7 +46,7 @@
     """What was read of a body, and the rest when it is large."""
 
     start: bytes = b''
-    rest: RestOfBody | None = None
+    remainder: BodyRemainder | None = None
 
 
 NO_BODY = Body()
@@ -65,7 +65,7 @@
         if length is not None and length > self.max_bytes:
             return too_large(self.max_bytes)
         if length is not None and length > KEPT_BODY_BYTES:
-            return Body(rest=RestOfBody(caller, self.max_bytes, length))
+            return Body(remainder=BodyRemainder(caller, self.max_bytes, length))
         if not has_body(request):
             await caller.receive()
             return NO_BODY
@@ -87,7 +87,7 @@
             size += len(event.data)
         if size > self.max_bytes:
             return too_large(self.max_bytes)
-        return Body(b''.join(parts), RestOfBody(caller, self.max_bytes - size))
+        return Body(b''.join(parts), BodyRemainder(caller, self.max_bytes - size))
 
 
 def has_body(request: names.RequestHead) -> bool:
--- a/catkinslip/proxy/callers.py
+++ b/catkinslip/proxy/callers.py
@@ -9,7 +9,7 @@
 from catkinslip.config.holder import ConfigHolder
 from catkinslip.environment import Environment
 from catkinslip.proxy.base import CallForwarder, LocalPages
-from catkinslip.proxy.bodies import BodyReader, RestOfBody
+from catkinslip.proxy.bodies import BodyReader, BodyRemainder
 from catkinslip.proxy.calls import Call, CallMaker
 from catkinslip.proxy.dialect import Dialect
 from catkinslip.proxy.draining import CallerDrain
@@ -146,19 +146,19 @@
         with trio.CancelScope() as scope:
             descriptor = self.watch.add(wire, scope)
             try:
-                if call.rest is None:
+                if call.body_remainder is None:
                     outcome = await self.forwarder.forward(call, wire)
                 else:
-                    outcome = await self._forward_streamed(call, call.rest, wire)
+                    outcome = await self._forward_streamed(call, call.body_remainder, wire)
             finally:
                 self.watch.remove(descriptor)
         return outcome
 
     async def _forward_streamed(
-        self, call: Call, rest: RestOfBody, wire: Wire
+        self, call: Call, body_remainder: BodyRemainder, wire: Wire
     ) -> Outcome:
         async with trio.open_nursery() as nursery:
-            rest.nursery = nursery
+            body_remainder.nursery = nursery
             outcome = await self.forwarder.forward(call, wire)
             nursery.cancel_scope.cancel()
         return outcome
--- a/catkinslip/proxy/calls.py
+++ b/catkinslip/proxy/calls.py
@@ -8,7 +8,7 @@
 from catkinslip.clock import Clock
 from catkinslip.config.documents import Document, Service
 from catkinslip.config.holder import ConfigHolder
-from catkinslip.proxy.bodies import Body, RestOfBody
+from catkinslip.proxy.bodies import Body, BodyRemainder
 from catkinslip.proxy.dialect import CallParameters, Dialect
 from catkinslip.proxy.head_checks import origin_form
 from catkinslip.proxy.headers import Header, RequestHead
@@ -31,7 +31,7 @@
     attempt: int = 1
     wall_deadline: float = inf
     peer: str = ''
-    rest: RestOfBody | None = None
+    body_remainder: BodyRemainder | None = None
     #: Name of the route, if one matched.
     route: str = ''
     #: Seconds from the caller's first attempt after which an answer is worth little.
@@ -61,7 +61,7 @@
     @property
     def is_resendable(self) -> bool:
         """Tell whether the whole request can still be sent."""
-        return self.rest is None or not self.rest.is_started
+        return self.body_remainder is None or not self.body_remainder.is_started
 
     def is_late(self, clock: Clock) -> bool:
         """Tell whether the deadline passed on either clock.
@@ -111,7 +111,7 @@
             attempt=parameters.attempt,
             patience=parameters.timeout,
             peer=peer,
-            rest=body.rest,
+            body_remainder=body.remainder,
         )
         path = target.decode('latin-1').partition('?')[0]
         timeout = self._apply_rules(call, parameters, path)
--- a/catkinslip/proxy/exchange.py
+++ b/catkinslip/proxy/exchange.py
@@ -205,9 +205,9 @@
         return AnswerHead(response, headers, report, wire)
 
     def _broken(self, wire: Wire, error: Exception) -> Unknown:
-        rest = self.call.rest
-        if rest is not None and rest.fault is not None:
-            return Unknown(rest.fault)
+        body_remainder = self.call.body_remainder
+        if body_remainder is not None and body_remainder.fault is not None:
+            return Unknown(body_remainder.fault)
         broken = self.broken = Break(
             self.clock.monotonic() - self.sent_at,
             wire.is_reused,
@@ -254,8 +254,8 @@
         headers = self.dialect.request_headers(
             call, self.backend_id, self.number, time_left
         )
-        if call.rest is not None:
-            headers.append(framing(call.rest.length))
+        if call.body_remainder is not None:
+            headers.append(framing(call.body_remainder.length))
         elif call.body or call.method in METHODS_WITH_BODY:
             headers.append(framing(len(call.body)))
         events: list[h11.Event] = [
@@ -265,19 +265,19 @@
         ]
         if call.body:
             events.append(h11.Data(data=call.body))
-        if call.rest is None:
+        if call.body_remainder is None:
             events.append(h11.EndOfMessage())
         return events
 
     def _start_upload(self, wire: Wire) -> None:
-        rest = self.call.rest
-        if rest is not None:
-            rest.is_started = True
-            rest.nursery.start_soon(self._upload, wire)
+        body_remainder = self.call.body_remainder
+        if body_remainder is not None:
+            body_remainder.is_started = True
+            body_remainder.nursery.start_soon(self._upload, wire)
 
     async def _upload(self, wire: Wire) -> None:
         while True:
-            event = await self.call.rest.receive()
+            event = await self.call.body_remainder.receive()
             if event is None:
                 await wire.close()
                 return
--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -192,7 +192,7 @@
     async def _await_head(self, launch: Launch) -> Launch:
         now = self.clock.monotonic()
         delay = self._hedge_delay(launch, now)
-        if delay is None or self.call.rest or not self.plan.may_hedge(now):
+        if delay is None or self.call.body_remainder or not self.plan.may_hedge(now):
             await self.start(launch)
             return launch
         return await self._race(launch, delay)
