--- a/catkinslip/proxy/callers.py
+++ b/catkinslip/proxy/callers.py
@@ -124,7 +124,7 @@
             outcome,
             call.route,
             seconds * 1e3,
-            (call.caller_leaves - began_at) * 1e3,
+            (call.caller_deadline - began_at) * 1e3,
             call.spent * 1e3,
         )
         return await self._report(wire, call, outcome)
--- a/catkinslip/proxy/calls.py
+++ b/catkinslip/proxy/calls.py
@@ -37,13 +37,13 @@
     #: Seconds from the caller's first attempt after which an answer is worth little.
     target_latency: float = inf
     #: The end of this time, on the monotonic clock.
-    best_until: float = inf
+    target_deadline: float = inf
     #: Seconds that the caller had waited before this attempt, as far as known.
     spent: float = 0.0
     #: Seconds that the caller says it will wait; None if it does not say.
-    patience: float | None = None
+    caller_timeout: float | None = None
     #: The end of this time, or the deadline where it is not known.
-    caller_leaves: float = inf
+    caller_deadline: float = inf
     #: 0 is the most urgent.
     priority: int = 0
     #: Backend servers that the request may be sent to; None leaves it to settings.
@@ -56,7 +56,7 @@
     def note_spent(self, seconds: float) -> None:
         """Take note of the time that the caller had waited before this attempt."""
         self.spent = seconds
-        self.best_until -= seconds
+        self.target_deadline -= seconds
 
     @property
     def is_resendable(self) -> bool:
@@ -109,7 +109,7 @@
             repeatable=False,
             deadline=inf,
             attempt=parameters.attempt,
-            patience=parameters.timeout,
+            caller_timeout=parameters.timeout,
             peer=peer,
             body_remainder=body.remainder,
         )
@@ -119,7 +119,7 @@
             timeout = min(timeout, parameters.timeout)
         now = self.clock.monotonic()
         call.deadline = now + timeout
-        call.caller_leaves = now + (parameters.timeout or timeout)
+        call.caller_deadline = now + (parameters.timeout or timeout)
         if self.trusts_wall_clock:
             call.wall_deadline = self.clock.wall() + timeout
         return call
@@ -140,7 +140,7 @@
             call.route = turns.name
             call.repeatable = route.repeatable
             call.target_latency = route.target_latency
-            call.best_until = self.clock.monotonic() + route.target_latency
+            call.target_deadline = self.clock.monotonic() + route.target_latency
             call.priority = route.priority
             call.max_attempts = route.max_attempts
             call.regions = route.regions
--- a/catkinslip/proxy/forwarder.py
+++ b/catkinslip/proxy/forwarder.py
@@ -58,11 +58,11 @@
         return outcome
 
     def _note_spent(self, call: Call) -> None:
-        is_told = call.patience is not None and call.target_latency < inf
+        is_told = call.caller_timeout is not None and call.target_latency < inf
         if is_told and self.limits.settings.admission.counts_spent:
             now = self.clock.monotonic()
             call.note_spent(
-                self.spent.observe(call.route, call.patience, call.target_latency, now)
+                self.spent.observe(call.route, call.caller_timeout, call.target_latency, now)
             )
 
     async def _forward(self, call: Call, caller: Wire) -> Outcome:
--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -199,7 +199,7 @@
 
     def _hedge_delay(self, launch: Launch, now: float) -> float | None:
         """Return after how many seconds to look whether a hedge is due."""
-        if self.call.best_until == inf:
+        if self.call.target_deadline == inf:
             return self.limits.hedge_delay(now)
         # By then most servers that kept their speed have answered.
         return self.wait.expect(launch.delay)
--- a/catkinslip/proxy/server_wait.py
+++ b/catkinslip/proxy/server_wait.py
@@ -53,9 +53,9 @@
         self.waiting = WaitingCall(
             settings=self.limits.settings.admission,
             began=self.began,
-            best_until=call.best_until,
+            best_until=call.target_deadline,
             deadline=call.deadline,
-            caller_leaves=call.caller_leaves,
+            caller_leaves=call.caller_deadline,
             target=call.target_latency,
             priority=call.priority,
             spent=call.spent,
@@ -74,7 +74,7 @@
             choice = self.health.choose(self.router, self._excluded(tried))
             if choice is None:
                 return self._refuse_guarded()
-            if self.call.best_until == inf:
+            if self.call.target_deadline == inf:
                 return choice
             now = self.clock.monotonic()
             work = self.expect(1.0)
