--- a/catkinslip/proxy/callers.py
+++ b/catkinslip/proxy/callers.py
@@ -140,7 +140,7 @@
         return outcome
 
     async def _forward(self, call: Call, wire: Wire) -> Outcome:
-        if call.is_late(self.environment.clock):
+        if call.is_expired(self.environment.clock):
             return NotRun(Reason.TOO_LATE)
         outcome: Outcome = Unknown(Reason.CALLER_LEFT)
         with trio.CancelScope() as scope:
--- a/catkinslip/proxy/calls.py
+++ b/catkinslip/proxy/calls.py
@@ -53,7 +53,7 @@
     #: Whether servers ended under the same request: no second one may run it.
     is_suspect: bool = False
 
-    def note_spent(self, seconds: float) -> None:
+    def record_spent(self, seconds: float) -> None:
         """Take note of the time that the caller had waited before this attempt."""
         self.spent = seconds
         self.target_deadline -= seconds
@@ -63,7 +63,7 @@
         """Tell whether the whole request can still be sent."""
         return self.body_remainder is None or not self.body_remainder.is_started
 
-    def is_late(self, clock: Clock) -> bool:
+    def is_expired(self, clock: Clock) -> bool:
         """Tell whether the deadline passed on either clock.
 
         Either may be late: one that is set back, the other where the system's steady
--- a/catkinslip/proxy/exchange.py
+++ b/catkinslip/proxy/exchange.py
@@ -165,7 +165,7 @@
         try:
             data = wire.encode(*self._request_events())
             # Nothing may wait between this check and the first byte.
-            if self.call.is_late(self.clock):
+            if self.call.is_expired(self.clock):
                 return NotRun(Reason.TOO_LATE)
             if not self.may_send():
                 return NotRun(Reason.SERVER_LEFT)
--- a/catkinslip/proxy/forwarder.py
+++ b/catkinslip/proxy/forwarder.py
@@ -61,7 +61,7 @@
         is_told = call.caller_timeout is not None and call.target_latency < inf
         if is_told and self.limits.settings.admission.counts_spent:
             now = self.clock.monotonic()
-            call.note_spent(
+            call.record_spent(
                 self.spent.observe(call.route, call.caller_timeout, call.target_latency, now)
             )
 
--- a/catkinslip/tickets/gate.py
+++ b/catkinslip/tickets/gate.py
@@ -95,7 +95,7 @@
         return REASON_BY_REFUSAL[decision]
 
     async def _run(self, call: Call, caller: Wire, key: TicketKey) -> Outcome:
-        if call.is_late(self.passer.clock):
+        if call.is_expired(self.passer.clock):
             self.table.not_run(key)
             return NotRun(Reason.TOO_LATE)
         recorder = RecordingWire(caller.stream, caller.codec, caller.peer)
--- a/tests/test_clock_suspension.py
+++ b/tests/test_clock_suspension.py
@@ -107,9 +107,9 @@
             clock = SystemClock()
             call = plain_call('limits')
             call.deadline = clock.monotonic() + SUSPENDED_SECONDS / 2
-            self.assertFalse(call.is_late(clock))
+            self.assertFalse(call.is_expired(clock))
             machine.suspend()
-            self.assertTrue(call.is_late(clock))
+            self.assertTrue(call.is_expired(clock))
 
         on_machine(check)
 
