--- a/catkinslip/proxy/callers.py
+++ b/catkinslip/proxy/callers.py
@@ -10,7 +10,7 @@
 from catkinslip.environment import Environment
 from catkinslip.proxy.base import CallForwarder, LocalPages
 from catkinslip.proxy.bodies import BodyReader, BodyRemainder
-from catkinslip.proxy.calls import Call, CallMaker
+from catkinslip.proxy.calls import Call, CallFactory
 from catkinslip.proxy.dialect import Dialect
 from catkinslip.proxy.draining import CallerDrain
 from catkinslip.proxy.headers import RequestHead
@@ -60,8 +60,8 @@
         lambda self: BodyReader(self.limits.max_body_bytes, self.limits.body_timeout),
         takes_self=True,
     )
-    calls: CallMaker = Factory(
-        lambda self: CallMaker(
+    calls: CallFactory = Factory(
+        lambda self: CallFactory(
             self.environment.clock,
             self.environment.random,
             self.config,
--- a/catkinslip/proxy/calls.py
+++ b/catkinslip/proxy/calls.py
@@ -73,7 +73,7 @@
 
 
 @define
-class CallMaker:
+class CallFactory:
     """Turn requests into calls."""
 
     clock: Clock
@@ -97,7 +97,7 @@
         parameters = self.dialect.read_parameters(request, self.clock.wall())
         if isinstance(parameters, NotRun):
             return parameters
-        self._follow_document()
+        self._update_document()
         target = origin_form(request.target)
         call = Call(
             request_id=parameters.request_id or self.new_request_id(),
@@ -124,7 +124,7 @@
             call.wall_deadline = self.clock.wall() + timeout
         return call
 
-    def _follow_document(self) -> None:
+    def _update_document(self) -> None:
         document = self.config.current.document
         if document is not self.document:
             self.document = document
@@ -147,7 +147,7 @@
             return min(self.request_timeout, route.timeout)
         method = call.method.decode('latin-1')
         call.repeatable = self.document.is_repeatable(call.service, method, path)
-        known = self.service_by_name.get(call.service)
-        if known is None:
+        service = self.service_by_name.get(call.service)
+        if service is None:
             return self.request_timeout
-        return min(self.request_timeout, known.timeout)
+        return min(self.request_timeout, service.timeout)
--- a/tests/test_proxy_calls.py
+++ b/tests/test_proxy_calls.py
@@ -8,7 +8,7 @@
 from catkinslip.config.documents import AcceptedConfig, ConfigVersion
 from catkinslip.config.holder import ConfigHolder
 from catkinslip.proxy.bodies import NO_BODY
-from catkinslip.proxy.calls import CallMaker
+from catkinslip.proxy.calls import CallFactory
 from catkinslip.proxy.headers import RequestHead
 from catkinslip.proxy.own_dialect import OwnDialect
 from tests.builders import document_plain
@@ -31,7 +31,7 @@
 
     def setUp(self):
         self.config = ConfigHolder()
-        self.maker = CallMaker(
+        self.factory = CallFactory(
             StoppedClock(), Random(1), self.config, 30.0, OwnDialect()
         )
 
@@ -44,7 +44,7 @@
 
     def seconds(self, *headers: tuple[bytes, bytes]) -> float:
         head = RequestHead(b'GET', b'/a', b'1.1', [(b'host', b'limits'), *headers])
-        call = self.maker.make(head, NO_BODY, '127.0.0.1')
+        call = self.factory.make(head, NO_BODY, '127.0.0.1')
         self.assertEqual(call.wall_deadline, call.deadline)
         return call.deadline - NOW
 
