--- a/catkinslip/proxy/callers.py
+++ b/catkinslip/proxy/callers.py
@@ -34,7 +34,7 @@
     idle_timeout: float = 75.0
     max_body_bytes: int = 64 << 20
     max_connections: int = 4096
-    trusts_wall_clock: bool = True
+    uses_wall_clock: bool = True
 
 
 @define
@@ -67,7 +67,7 @@
             self.config,
             self.limits.request_timeout,
             self.dialect,
-            self.limits.trusts_wall_clock,
+            self.limits.uses_wall_clock,
         ),
         takes_self=True,
     )
--- a/catkinslip/proxy/calls.py
+++ b/catkinslip/proxy/calls.py
@@ -82,7 +82,7 @@
     request_timeout: float
     dialect: Dialect
     #: Whether deadlines hold on the wall clock too; not where it is set in jumps.
-    trusts_wall_clock: bool = True
+    uses_wall_clock: bool = True
     #: The document that the services were taken from.
     document: Document | None = None
     service_by_name: dict[str, Service] = Factory(dict)
@@ -120,7 +120,7 @@
         now = self.clock.monotonic()
         call.deadline = now + timeout
         call.caller_deadline = now + (parameters.timeout or timeout)
-        if self.trusts_wall_clock:
+        if self.uses_wall_clock:
             call.wall_deadline = self.clock.wall() + timeout
         return call
 
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -289,7 +289,7 @@
         config,
         forwarder,
         None,
-        CallerLimits(request_timeout=REQUEST_TIMEOUT_SECONDS, trusts_wall_clock=False),
+        CallerLimits(request_timeout=REQUEST_TIMEOUT_SECONDS, uses_wall_clock=False),
         observer,
         outside.dialect,
     )
