--- a/catkinslip/addresses/zonal.py
+++ b/catkinslip/addresses/zonal.py
@@ -12,7 +12,7 @@
 
 
 @frozen
-class CallerPlace:
+class CallerLocation:
     """Where a caller stands, and for which host it asks."""
 
     zone: str
@@ -40,20 +40,20 @@
     regions_by_host: dict[str, frozenset[str]] = Factory(dict)
     _document: Document | None = field(default=None, init=False)
 
-    def answer(self, caller: CallerPlace) -> ZoneAnswer:
+    def answer(self, caller: CallerLocation) -> ZoneAnswer:
         """Answer a caller.
 
         Bodies for a host that is bound to regions go to no third one: else another
         region would be named when the caller's own has no instance.
         """
-        homes = self._regions_of(caller.host)
-        entries = self.instances.usable(caller.zone, caller.region, homes)
+        regions = self._find_regions(caller.host)
+        entries = self.instances.usable(caller.zone, caller.region, regions)
         if len(entries) > MAX_ADDRESSES:
             entries = self.random.sample(entries, MAX_ADDRESSES)
         addresses = tuple(entry.caller_address for entry in entries)
         return ZoneAnswer(addresses, self.lifetime)
 
-    def _regions_of(self, host: str) -> frozenset[str]:
+    def _find_regions(self, host: str) -> frozenset[str]:
         document = self.config.current.document
         if document is not self._document:
             self._document = document
--- a/catkinslip/platform/pages.py
+++ b/catkinslip/platform/pages.py
@@ -5,7 +5,7 @@
 import orjson
 from attrs import define
 
-from catkinslip.addresses.zonal import CallerPlace, ZoneAddresses
+from catkinslip.addresses.zonal import CallerLocation, ZoneAddresses
 from catkinslip.discovery.instances import InstanceTable
 from catkinslip.pages import Page, PageMaker
 from catkinslip.platform.names import READY_PATH, RESOLVE_PATH
@@ -30,7 +30,7 @@
         """Tell a caller which addresses to use, and for how long."""
         asked = parse_qs(query)
         own = self.instances.own
-        caller = CallerPlace(
+        caller = CallerLocation(
             zone=asked.get('zone', [own.zone])[0],
             region=asked.get('region', [own.region])[0],
             host=asked.get('name', [''])[0],
--- a/tests/test_discovery_instances.py
+++ b/tests/test_discovery_instances.py
@@ -5,7 +5,7 @@
 
 from attrs import evolve
 
-from catkinslip.addresses.zonal import MAX_ADDRESSES, CallerPlace, ZoneAddresses
+from catkinslip.addresses.zonal import MAX_ADDRESSES, CallerLocation, ZoneAddresses
 from catkinslip.discovery.instances import (
     FAR_POLLED,
     NEAR_POLLED,
@@ -336,7 +336,7 @@
     def test_answer_has_a_bound(self):
         self.fill(2 * MAX_ADDRESSES, tuple(f'zone-{n}' for n in range(10)))
         addresses = ZoneAddresses(self.table, 1.0, Random(1))
-        answer = addresses.answer(CallerPlace('elsewhere'))
+        answer = addresses.answer(CallerLocation('elsewhere'))
         self.assertEqual(len(set(answer.addresses)), MAX_ADDRESSES)
 
 
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -5,7 +5,7 @@
 
 from attrs import evolve
 
-from catkinslip.addresses.zonal import CallerPlace, ZoneAddresses
+from catkinslip.addresses.zonal import CallerLocation, ZoneAddresses
 from catkinslip.config.documents import (
     AcceptedConfig,
     ConfigVersion,
@@ -69,7 +69,7 @@
 
     def named(self, region: str, host: str, **routes: Route) -> list[str]:
         addresses = ZoneAddresses(self.table, 1.0, Random(1), config_of(**routes))
-        answer = addresses.answer(CallerPlace('zone-x', region, host))
+        answer = addresses.answer(CallerLocation('zone-x', region, host))
         return sorted(each.partition(':')[0] for each in answer.addresses)
 
     def test_own_region_goes_first(self):
