--- a/catkinslip/addresses/answers.py
+++ b/catkinslip/addresses/answers.py
@@ -78,7 +78,7 @@
 
 
 @define
-class AddressBook:
+class AddressResolver:
     """Answer with the home set of a service."""
 
     members: MemberTable
@@ -87,26 +87,26 @@
     key_issuer: KeyIssuer
     config: ConfigHolder = Factory(ConfigHolder)
     limits: HomeSetLimits = Factory(HomeSetLimits)
-    _home_by_question: dict[tuple[str, str], list[Member]] = field(
+    _home_set_by_key: dict[tuple[str, str], list[Member]] = field(
         factory=dict, init=False
     )
-    _known_state: tuple | None = field(default=None, init=False)
+    _cached_state: tuple | None = field(default=None, init=False)
 
     def count_home_instances(self, service: str) -> int:
         """Return how many instances of the own region share a service."""
-        known = self.config.current.document.register.services.get(service)
-        return len(self.home_members(service, self.own_zone, known or Service()))
+        configured = self.config.current.document.register.services.get(service)
+        return len(self.home_members(service, self.own_zone, configured or Service()))
 
     def answer(self, service: str, query: str) -> AddressAnswer | UnknownService:
         """Answer one question: the service as in the path, and the query string."""
         service = unquote(service)
         current = self.config.current
-        known = current.document.register.services.get(service)
+        configured = current.document.register.services.get(service)
         is_configured = current.version > ConfigVersion()
-        if known is None and is_configured:
+        if configured is None and is_configured:
             return UnknownService(service)
         zone = parse_qs(query).get('zone', [self.own_zone])[0]
-        members = self.home_members(service, zone, known or Service())
+        members = self.home_members(service, zone, configured or Service())
         entries = tuple(self._entry(each) for each in zone_first(members, zone))
         return AddressAnswer(service, entries, self.lifetime, current.version)
 
@@ -114,28 +114,28 @@
         prefix = self.key_issuer.prefix(member)
         return AddressEntry(member.address, member.zone, member.member_id, prefix)
 
-    def home_members(self, service: str, zone: str, known: Service) -> list[Member]:
+    def home_members(self, service: str, zone: str, configured: Service) -> list[Member]:
         """Return the home set of a service in the region of a zone."""
-        self._forget_when_changed()
+        self._clear_cache_if_changed()
         region = self._region_of(zone)
-        found = self._home_by_question.get((service, region))
+        found = self._home_set_by_key.get((service, region))
         if found is None:
             # Any instance serves any service, so one that leaves is better than none.
             usable = self.members.usable() or self.members.live()
-            size = home_set_size(known, self._count_backends(service), self.limits)
+            size = home_set_size(configured, self._count_backends(service), self.limits)
             found = home_set(service, region, usable, size)
-            self._home_by_question[service, region] = found
+            self._home_set_by_key[service, region] = found
         return found
 
-    def _forget_when_changed(self) -> None:
+    def _clear_cache_if_changed(self) -> None:
         state = (
             self.members.version,
             self.members.silent_zones,
             self.config.current.version,
         )
-        if self._known_state != state:
-            self._known_state = state
-            self._home_by_question = {}
+        if self._cached_state != state:
+            self._cached_state = state
+            self._home_set_by_key = {}
 
     def _region_of(self, zone: str) -> str:
         for member in self.members.live():
@@ -152,7 +152,7 @@
 class AddressPages(LocalPages):
     """Serve the address answers to callers."""
 
-    book: AddressBook
+    resolver: AddressResolver
 
     def has(self, target: bytes) -> bool:
         """Tell whether a target asks for addresses."""
@@ -162,7 +162,7 @@
         """Return the addresses of the service that the path names."""
         target = request.target.decode('latin-1').removeprefix(PATH_PREFIX.decode())
         service, _, query = target.partition('?')
-        answer = self.book.answer(service, query)
+        answer = self.resolver.answer(service, query)
         if isinstance(answer, UnknownService):
             return NotRun(Reason.UNKNOWN_SERVICE, answer.service)
         body = answer.to_json()
--- a/catkinslip/wiring/callers.py
+++ b/catkinslip/wiring/callers.py
@@ -1,6 +1,6 @@
 """Build the request path: callers, at most once, limits, forwarding."""
 
-from catkinslip.addresses.answers import AddressBook, AddressPages
+from catkinslip.addresses.answers import AddressResolver, AddressPages
 from catkinslip.addresses.home import HomeSetLimits
 from catkinslip.environment import Environment
 from catkinslip.limits.base import LimitSettings
@@ -59,9 +59,9 @@
 
 def make_address_book(
     settings: DaemonSettings, shared: Shared, clock: AnchoredClock
-) -> AddressBook:
+) -> AddressResolver:
     """Return what answers which addresses to use."""
-    return AddressBook(
+    return AddressResolver(
         shared.members,
         settings.zone,
         settings.address_lifetime,
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -4,7 +4,7 @@
 
 from attrs import Factory, define
 
-from catkinslip.addresses.answers import AddressBook, AddressPages
+from catkinslip.addresses.answers import AddressResolver, AddressPages
 from catkinslip.clock import Clock
 from catkinslip.config.checks import read_document
 from catkinslip.config.documents import AcceptedConfig, ConfigVersion, Document
@@ -85,10 +85,10 @@
     environment = Environment(clock=forwarder.clock, random=Random(1))
     own = Member('entry-1', 1, 'zone-a', '127.0.0.1:1', '127.0.0.1:2')
     issuer = KeyIssuer(AnchoredClock(Environment().clock), 300.0)
-    book = AddressBook(MemberTable(own), 'zone-a', 10.0, issuer)
+    resolver = AddressResolver(MemberTable(own), 'zone-a', 10.0, issuer)
     bounds = CallerLimits(**limits)
     return CallerServer(
-        environment, ConfigHolder(), forwarder, AddressPages(book), bounds
+        environment, ConfigHolder(), forwarder, AddressPages(resolver), bounds
     )
 
 
--- a/tests/test_addresses_answers.py
+++ b/tests/test_addresses_answers.py
@@ -4,7 +4,7 @@
 import unittest
 from random import Random
 
-from catkinslip.addresses.answers import AddressBook, UnknownService
+from catkinslip.addresses.answers import AddressResolver, UnknownService
 from catkinslip.addresses.home import HomeSetLimits, home_set, home_set_size
 from catkinslip.clock import SystemClock
 from catkinslip.config.documents import AcceptedConfig, ConfigVersion, Service
@@ -102,7 +102,7 @@
         for each in self.members[1:]:
             self.table.merge(each)
         self.config = ConfigHolder()
-        self.book = AddressBook(self.table, 'zone-a', 7.0, ISSUER, self.config)
+        self.resolver = AddressResolver(self.table, 'zone-a', 7.0, ISSUER, self.config)
 
     def configure(self) -> None:
         plain = document_plain({'limits-1': 'one:1'}, slots=2)
@@ -114,7 +114,7 @@
         )
 
     def answer(self, query: str = '') -> dict:
-        return json.loads(self.book.answer('limits', query).to_json())
+        return json.loads(self.resolver.answer('limits', query).to_json())
 
     def test_answer_names_what_callers_need(self):
         self.configure()
@@ -138,7 +138,7 @@
     def test_unknown_service_is_told_only_once_there_is_a_configuration(self):
         self.assertEqual(len(self.answer()['addresses']), 3)
         self.configure()
-        self.assertEqual(self.book.answer('none', ''), UnknownService('none'))
+        self.assertEqual(self.resolver.answer('none', ''), UnknownService('none'))
         self.assertEqual(self.config.current.version, ConfigVersion(0, 3))
 
     def test_leaving_suspected_dead_and_silent_are_left_out(self):
@@ -157,5 +157,5 @@
     def test_leaving_instance_is_named_when_it_is_the_only_one(self):
         table = MemberTable(member('zone-a-0'))
         table.leave()
-        answer = AddressBook(table, 'zone-a', 7.0, ISSUER).answer('limits', '')
+        answer = AddressResolver(table, 'zone-a', 7.0, ISSUER).answer('limits', '')
         self.assertEqual(answer.addresses, ('zone-a-0:80',))
