--- a/catkinslip/addresses/answers.py
+++ b/catkinslip/addresses/answers.py
@@ -8,7 +8,7 @@
 
 from catkinslip.addresses.home import (
     HomeSetLimits,
-    home_set,
+    choose_home_set,
     home_set_size,
     zone_first,
 )
@@ -123,7 +123,7 @@
             # Any instance serves any service, so one that leaves is better than none.
             usable = self.members.usable() or self.members.live()
             size = home_set_size(configured, self._count_backends(service), self.limits)
-            found = home_set(service, region, usable, size)
+            found = choose_home_set(service, region, usable, size)
             self._home_set_by_key[service, region] = found
         return found
 
--- a/catkinslip/addresses/home.py
+++ b/catkinslip/addresses/home.py
@@ -23,8 +23,8 @@
 class HomeSetLimits:
     """Least and greatest number of instances of one home set."""
 
-    least: int = 3
-    greatest: int = 5
+    minimum: int = 3
+    maximum: int = 5
 
 
 def home_set_size(service: Service, backends: int, limits: HomeSetLimits) -> int:
@@ -32,10 +32,10 @@
     slots = backends * service.slots
     calls_per_second = slots / ASSUMED_SERVICE_SECONDS
     needed = math.ceil(calls_per_second / CALLS_PER_SECOND_PER_INSTANCE)
-    return max(limits.least, min(limits.greatest, needed + SPARE_INSTANCES))
+    return max(limits.minimum, min(limits.maximum, needed + SPARE_INSTANCES))
 
 
-def home_set(
+def choose_home_set(
     service: str, region: str, members: Iterable[Member], size: int
 ) -> list[Member]:
     """Return the home set of a service in a region.
@@ -48,13 +48,13 @@
         key=lambda each: (each.region == region, weight(service, each.member_id)),
         reverse=True,
     )
-    most_per_zone = size // 2 + 1
+    max_per_zone = size // 2 + 1
     chosen: list[Member] = []
     spare: list[Member] = []
     count_by_zone: dict[str, int] = {}
     for member in ranked:
         count = count_by_zone.get(member.zone, 0)
-        is_kept = member.region == region and count < most_per_zone
+        is_kept = member.region == region and count < max_per_zone
         (chosen if is_kept else spare).append(member)
         count_by_zone[member.zone] = count + 1
     return [*chosen, *spare][:size]
--- a/tests/test_addresses_answers.py
+++ b/tests/test_addresses_answers.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from catkinslip.addresses.answers import AddressResolver, UnknownService
-from catkinslip.addresses.home import HomeSetLimits, home_set, home_set_size
+from catkinslip.addresses.home import HomeSetLimits, choose_home_set, home_set_size
 from catkinslip.clock import SystemClock
 from catkinslip.config.documents import AcceptedConfig, ConfigVersion, Service
 from catkinslip.config.documents import converter as config_converter
@@ -35,7 +35,7 @@
     return {
         (service, each.member_id)
         for service in SERVICES
-        for each in home_set(service, 'region-1', members, size)
+        for each in choose_home_set(service, 'region-1', members, size)
     }
 
 
@@ -66,20 +66,20 @@
         members = fleet(15)
         for size in (3, 4, 5):
             for service in SERVICES:
-                chosen = home_set(service, 'region-1', members, size)
+                chosen = choose_home_set(service, 'region-1', members, size)
                 self.assertEqual(len(chosen), size)
                 self.assertGreater(len({each.zone for each in chosen}), 1)
 
     def test_other_regions_only_fill_up(self):
         own = fleet(2)
         others = fleet(9, 'region-2', ('zone-x', 'zone-y'))
-        chosen = home_set('limits', 'region-1', others + own, 3)
+        chosen = choose_home_set('limits', 'region-1', others + own, 3)
         self.assertEqual(set(chosen[:2]), set(own))
         self.assertEqual(len(chosen), 3)
         one_zone = fleet(9, zones=('zone-a',))
-        chosen = home_set('limits', 'region-1', others + one_zone, 5)
+        chosen = choose_home_set('limits', 'region-1', others + one_zone, 5)
         self.assertEqual({each.region for each in chosen}, {'region-1'})
-        others_only = home_set('limits', 'region-2', others + own, 5)
+        others_only = choose_home_set('limits', 'region-2', others + own, 5)
         self.assertEqual({each.region for each in others_only}, {'region-2'})
 
     def test_size_follows_the_load_within_limits(self):
