--- a/catkinslip/platform/dialect.py
+++ b/catkinslip/platform/dialect.py
@@ -72,13 +72,13 @@
         )
 
     def request_headers(
-        self, call: Call, backend_id: str, number: int, time_left: float
+        self, call: Call, backend_id: str, number: int, remaining: float
     ) -> list[Header]:
         """Return the headers of an attempt, without those that frame the body."""
         headers = names.end_to_end(call.headers, REPLACED_IN_REQUESTS)
         if names.find(headers, wire.REQUEST_ID) is None:
             headers.append((wire.REQUEST_ID, call.request_id.encode()))
-        headers.append((wire.DEADLINE, b'%d' % max(1, int(time_left * 1000))))
+        headers.append((wire.DEADLINE, b'%d' % max(1, int(remaining * 1000))))
         headers.append((wire.TARGET, backend_id.encode()))
         return headers
 
--- a/catkinslip/proxy/dialect.py
+++ b/catkinslip/proxy/dialect.py
@@ -48,7 +48,7 @@
 
     @abstractmethod
     def request_headers(
-        self, call: 'Call', backend_id: str, number: int, time_left: float
+        self, call: 'Call', backend_id: str, number: int, remaining: float
     ) -> list[Header]:
         """Return the headers of an attempt, without those that frame the body."""
 
--- a/catkinslip/proxy/exchange.py
+++ b/catkinslip/proxy/exchange.py
@@ -250,9 +250,9 @@
 
     def _request_events(self) -> list[h11.Event]:
         call = self.call
-        time_left = call.deadline - self.clock.monotonic()
+        remaining = call.deadline - self.clock.monotonic()
         headers = self.dialect.request_headers(
-            call, self.backend_id, self.number, time_left
+            call, self.backend_id, self.number, remaining
         )
         if call.body_remainder is not None:
             headers.append(framing(call.body_remainder.length))
--- a/catkinslip/proxy/own_dialect.py
+++ b/catkinslip/proxy/own_dialect.py
@@ -43,7 +43,7 @@
         )
 
     def request_headers(
-        self, call: Call, backend_id: str, number: int, time_left: float
+        self, call: Call, backend_id: str, number: int, remaining: float
     ) -> list[Header]:
         """Return the headers of an attempt, without those that frame the body."""
         headers = names.request_headers(call.headers, call.peer)
