--- a/catkinslip/proxy/answers.py
+++ b/catkinslip/proxy/answers.py
@@ -25,13 +25,13 @@
 
 async def drain_body(wire: Wire) -> None:
     """Read the rest of a short answer that is not passed on."""
-    left = MAX_REFUSAL_BYTES
+    remaining = MAX_REFUSAL_BYTES
     try:
-        while left > 0:
+        while remaining > 0:
             event = await wire.receive()
             if type(event) is h11.EndOfMessage:
                 return
-            left -= len(event.data)
+            remaining -= len(event.data)
     except (*ConnectionErrors, h11.RemoteProtocolError):
         pass
     wire.is_spoiled = True
--- a/catkinslip/proxy/bodies.py
+++ b/catkinslip/proxy/bodies.py
@@ -8,7 +8,7 @@
 from catkinslip.proxy.outcomes import NotRun, Reason
 from catkinslip.proxy.wire import ConnectionErrors, Wire
 
-KEPT_BODY_BYTES = 64 << 10
+MAX_BUFFERED_BODY_BYTES = 64 << 10
 
 
 @define
@@ -64,22 +64,22 @@
         length = declared_length(request)
         if length is not None and length > self.max_bytes:
             return too_large(self.max_bytes)
-        if length is not None and length > KEPT_BODY_BYTES:
+        if length is not None and length > MAX_BUFFERED_BODY_BYTES:
             return Body(remainder=BodyRemainder(caller, self.max_bytes, length))
         if not has_body(request):
             await caller.receive()
             return NO_BODY
         try:
             with trio.move_on_after(self.timeout):
-                return await self._keep(caller)
+                return await self._read_start(caller)
         except h11.RemoteProtocolError as error:
             return NotRun(Reason.BAD_REQUEST, str(error))
         return NotRun(Reason.SLOW_REQUEST, f'no whole body in {self.timeout:g} s')
 
-    async def _keep(self, caller: Wire) -> Body | NotRun:
+    async def _read_start(self, caller: Wire) -> Body | NotRun:
         parts = []
         size = 0
-        while size <= KEPT_BODY_BYTES:
+        while size <= MAX_BUFFERED_BODY_BYTES:
             event = await caller.receive()
             if type(event) is not h11.Data:
                 return Body(b''.join(parts))
--- a/catkinslip/proxy/headers.py
+++ b/catkinslip/proxy/headers.py
@@ -19,13 +19,13 @@
 OUTCOME = b'catkinslip-outcome'
 NOT_RUN = b'not-run'
 REQUEST_ID_FORM = re.compile(rb'[\x21-\x7e]{1,128}\Z')
-KEY = b'idempotency-key'
+IDEMPOTENCY_KEY = b'idempotency-key'
 PASSED_BY = b'catkinslip-passed-by'
 REPLAYED = b'catkinslip-replayed'
 
 FORWARDED_FOR = b'x-forwarded-for'
 VIA = b'via'
-OUR_VIA = b'1.1 catkinslip'
+VIA_ENTRY = b'1.1 catkinslip'
 
 HOP_BY_HOP = frozenset(
     {
@@ -96,7 +96,7 @@
     if peer:
         hops = [*find_all(headers, FORWARDED_FOR), peer.encode()]
         passed.append((FORWARDED_FOR, b', '.join(hops)))
-    passed.append((VIA, b', '.join([*find_all(headers, VIA), OUR_VIA])))
+    passed.append((VIA, b', '.join([*find_all(headers, VIA), VIA_ENTRY])))
     return passed
 
 
--- a/catkinslip/proxy/intake.py
+++ b/catkinslip/proxy/intake.py
@@ -39,9 +39,9 @@
         plain = RequestHead(
             request.method, request.target, request.http_version, list(request.headers)
         )
-        return head_checks.check_request(plain) or self._watch_chunks(wire, plain)
+        return head_checks.check_request(plain) or self._start_chunk_check(wire, plain)
 
-    def _watch_chunks(self, wire: Wire, request: RequestHead) -> RequestHead | NotRun:
+    def _start_chunk_check(self, wire: Wire, request: RequestHead) -> RequestHead | NotRun:
         if names.find(request.headers, b'transfer-encoding') is not None:
             wire.chunk_check = ChunkCheck()
             try:
@@ -58,7 +58,7 @@
             data, is_closed = wire.codec.trailing_data
         if not data:
             return None
-        head = take_head(data)
+        head = extract_head(data)
         if head is not None:
             return head
         with trio.move_on_after(self.head_timeout):
@@ -68,7 +68,7 @@
     async def _read_more(self, wire: Wire) -> bytes | NotRun | None:
         while True:
             data, is_closed = wire.codec.trailing_data
-            head = take_head(data)
+            head = extract_head(data)
             if head is not None:
                 return head
             if is_closed:
@@ -76,7 +76,7 @@
             await wire.fill()
 
 
-def take_head(data: bytes) -> bytes | NotRun | None:
+def extract_head(data: bytes) -> bytes | NotRun | None:
     """Return the whole head at the front of the data, a refusal, or None yet."""
     end = data.find(HEAD_END)
     is_whole = end >= 0
--- a/catkinslip/proxy/own_dialect.py
+++ b/catkinslip/proxy/own_dialect.py
@@ -35,8 +35,8 @@
             return malformed('catkinslip-attempt is no number from 1 to 9999')
         host = names.find(headers, b'host') or b''
         return CallParameters(
-            service=bare_name(names.find(headers, names.SERVICE) or host),
-            host=bare_name(host),
+            service=strip_port(names.find(headers, names.SERVICE) or host),
+            host=strip_port(host),
             request_id=request_id.decode() if request_id else None,
             timeout=timeout,
             attempt=int(attempt),
@@ -104,20 +104,20 @@
 def read_timeout(headers: Sequence[Header], wall: float) -> float | NotRun | None:
     """Return the seconds that a caller waits; None when it does not say."""
     timeout = None
-    given = names.find(headers, names.TIMEOUT)
-    if given is not None:
-        if SECONDS.match(given) is None:
+    value = names.find(headers, names.TIMEOUT)
+    if value is not None:
+        if SECONDS.match(value) is None:
             return malformed('catkinslip-timeout is no number of seconds')
-        timeout = float(given)
-    given = names.find(headers, names.DEADLINE)
-    if given is not None:
-        if SECONDS.match(given) is None:
+        timeout = float(value)
+    value = names.find(headers, names.DEADLINE)
+    if value is not None:
+        if SECONDS.match(value) is None:
             return malformed('catkinslip-deadline is no number of unix seconds')
-        left = float(given) - wall
-        timeout = left if timeout is None else min(timeout, left)
+        remaining = float(value) - wall
+        timeout = remaining if timeout is None else min(timeout, remaining)
     return timeout
 
 
-def bare_name(name: bytes) -> str:
+def strip_port(name: bytes) -> str:
     """Return a host or service name without a port."""
     return name.decode('latin-1').partition(':')[0]
--- a/catkinslip/proxy/problems.py
+++ b/catkinslip/proxy/problems.py
@@ -22,7 +22,7 @@
     close: bool = False,
 ) -> list[h11.Event]:
     """Return the answer that tells a caller how a request ended."""
-    word = NOT_RUN if isinstance(outcome, NotRun) else b'unknown'
+    outcome_value = NOT_RUN if isinstance(outcome, NotRun) else b'unknown'
     reason = outcome.reason
     problem = {
         'type': TYPE_PREFIX + reason.slug,
@@ -30,7 +30,7 @@
         'status': reason.status,
         'detail': outcome.detail,
         'instance': REQUEST_PREFIX + request_id,
-        'outcome': word.decode(),
+        'outcome': outcome_value.decode(),
         'request_id': request_id,
     }
     retry_after = retry_after_seconds(outcome)
@@ -40,7 +40,7 @@
     headers = [
         (b'content-type', MEDIA_TYPE),
         (b'content-length', b'%d' % len(body)),
-        (OUTCOME, word),
+        (OUTCOME, outcome_value),
         (REQUEST_ID, request_id.encode()),
     ]
     if retry_after is not None:
--- a/tests/test_proxy_input.py
+++ b/tests/test_proxy_input.py
@@ -11,7 +11,7 @@
 
 from catkinslip.clock import SystemClock
 from catkinslip.proxy.chunk_checks import ChunkCheck, Part
-from catkinslip.proxy.intake import take_head
+from catkinslip.proxy.intake import extract_head
 from catkinslip.proxy.outcomes import NotRun, Reason
 from tests.builders import caller_server
 
@@ -206,7 +206,7 @@
     @given(st.integers(0, len(GET) - 1), st.binary(max_size=2), st.integers(0, 2))
     def test_a_changed_head_passes_only_when_every_line_is_plain(self, at, new, cut):
         data = GET[:at] + new + GET[at + cut :]
-        head = take_head(data)
+        head = extract_head(data)
         if isinstance(head, bytes):
             self.assertRegex(head, SOUND)
             self.assertNotRegex(head, rb'\n[ \t]|[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]')
