--- a/catkinslip/pages.py
+++ b/catkinslip/pages.py
@@ -12,8 +12,8 @@
 from attrs import define, frozen
 
 from catkinslip.proxy.head_checks import origin_form
+from catkinslip.proxy.head_reader import HeadReader
 from catkinslip.proxy.headers import RequestHead
-from catkinslip.proxy.intake import HeadReader
 from catkinslip.proxy.wire import ConnectionErrors, server_wire
 
 IDLE_SECONDS = 15.0
--- a/catkinslip/proxy/callers.py
+++ b/catkinslip/proxy/callers.py
@@ -13,11 +13,11 @@
 from catkinslip.proxy.calls import Call, CallFactory
 from catkinslip.proxy.dialect import Dialect
 from catkinslip.proxy.draining import CallerDrain
+from catkinslip.proxy.head_reader import HeadReader
 from catkinslip.proxy.headers import RequestHead
-from catkinslip.proxy.intake import HeadReader
+from catkinslip.proxy.native_dialect import NativeDialect
 from catkinslip.proxy.observer import ObserverGroup, RequestObserver
 from catkinslip.proxy.outcomes import Answered, NotRun, Outcome, Reason, Unknown
-from catkinslip.proxy.own_dialect import OwnDialect
 from catkinslip.proxy.presence import CallerWatch
 from catkinslip.proxy.wire import ConnectionErrors, Wire
 
@@ -48,7 +48,7 @@
     pages: LocalPages | None
     limits: CallerLimits
     observer: RequestObserver = ObserverGroup()
-    dialect: Dialect = Factory(OwnDialect)
+    dialect: Dialect = Factory(NativeDialect)
     drain: CallerDrain = Factory(CallerDrain)
     watch: CallerWatch = Factory(CallerWatch)
     connections: int = 0
--- a/catkinslip/proxy/exchange.py
+++ b/catkinslip/proxy/exchange.py
@@ -12,8 +12,8 @@
 from catkinslip.proxy import headers as names
 from catkinslip.proxy.calls import Call
 from catkinslip.proxy.dialect import Dialect
+from catkinslip.proxy.native_dialect import NativeDialect
 from catkinslip.proxy.outcomes import Answered, NotRun, Outcome, Reason, Unknown
-from catkinslip.proxy.own_dialect import OwnDialect
 from catkinslip.proxy.pool import MAX_IDLE_SECONDS, BackendPool
 from catkinslip.proxy.wire import ConnectionErrors, Wire
 from catkinslip.routing import reports
@@ -25,7 +25,7 @@
 # A kept connection that answered this lately is trusted with a request that may
 # not be repeated; servers close idle connections after seconds, not at once.
 RECENT_SECONDS = 1.0
-OWN_DIALECT = OwnDialect()
+OWN_DIALECT = NativeDialect()
 METHODS_WITH_BODY = frozenset({b'POST', b'PUT', b'PATCH'})
 
 log = logging.getLogger('routing')
--- a/catkinslip/proxy/own_dialect.py
+++ b/catkinslip/proxy/native_dialect.py
@@ -18,7 +18,7 @@
 ATTEMPT = re.compile(rb'[1-9][0-9]{0,3}\Z')
 
 
-class OwnDialect(Dialect):
+class NativeDialect(Dialect):
     """Spell what docs/REQUESTS.md says."""
 
     def read_parameters(self, request: RequestHead, wall: float) -> CallParameters | NotRun:
--- a/catkinslip/wiring/callers.py
+++ b/catkinslip/wiring/callers.py
@@ -1,6 +1,6 @@
 """Build the request path: callers, at most once, limits, forwarding."""
 
-from catkinslip.addresses.answers import AddressResolver, AddressPages
+from catkinslip.addresses.answers import AddressPages, AddressResolver
 from catkinslip.addresses.home import HomeSetLimits
 from catkinslip.environment import Environment
 from catkinslip.limits.base import LimitSettings
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -4,7 +4,7 @@
 
 from attrs import Factory, define
 
-from catkinslip.addresses.answers import AddressResolver, AddressPages
+from catkinslip.addresses.answers import AddressPages, AddressResolver
 from catkinslip.clock import Clock
 from catkinslip.config.checks import read_document
 from catkinslip.config.documents import AcceptedConfig, ConfigVersion, Document
--- a/tests/test_proxy_calls.py
+++ b/tests/test_proxy_calls.py
@@ -10,7 +10,7 @@
 from catkinslip.proxy.bodies import NO_BODY
 from catkinslip.proxy.calls import CallFactory
 from catkinslip.proxy.headers import RequestHead
-from catkinslip.proxy.own_dialect import OwnDialect
+from catkinslip.proxy.native_dialect import NativeDialect
 from tests.builders import document_plain
 
 NOW = 1000.0
@@ -32,7 +32,7 @@
     def setUp(self):
         self.config = ConfigHolder()
         self.factory = CallFactory(
-            StoppedClock(), Random(1), self.config, 30.0, OwnDialect()
+            StoppedClock(), Random(1), self.config, 30.0, NativeDialect()
         )
 
     def offer(self, number: int, rule: dict, **fields):
--- a/tests/test_proxy_input.py
+++ b/tests/test_proxy_input.py
@@ -11,7 +11,7 @@
 
 from catkinslip.clock import SystemClock
 from catkinslip.proxy.chunk_checks import ChunkCheck, Part
-from catkinslip.proxy.intake import extract_head
+from catkinslip.proxy.head_reader import extract_head
 from catkinslip.proxy.outcomes import NotRun, Reason
 from tests.builders import caller_server
 
