--- a/catkinslip/addresses/answers.py
+++ b/catkinslip/addresses/answers.py
@@ -114,7 +114,9 @@
         prefix = self.key_issuer.prefix(member)
         return AddressEntry(member.address, member.zone, member.member_id, prefix)
 
-    def home_members(self, service: str, zone: str, configured: Service) -> list[Member]:
+    def home_members(
+        self, service: str, zone: str, configured: Service
+    ) -> list[Member]:
         """Return the home set of a service in the region of a zone."""
         self._clear_cache_if_changed()
         region = self._region_of(zone)
--- a/catkinslip/crashes/identity.py
+++ b/catkinslip/crashes/identity.py
@@ -51,7 +51,11 @@
     """
     target = target_of(call)
     credentials = names.find(call.headers, CREDENTIALS) or b''
-    streamed = b'' if call.body_remainder is None else b'%d' % (call.body_remainder.length or 0)
+    streamed = (
+        b''
+        if call.body_remainder is None
+        else b'%d' % (call.body_remainder.length or 0)
+    )
     parts = (target.encode(), credentials, streamed, call.body)
     return RequestKey(target, hash_of(parts, CONTENT_BYTES))
 
--- a/catkinslip/platform/dialect.py
+++ b/catkinslip/platform/dialect.py
@@ -51,7 +51,9 @@
 class PlatformDialect(Dialect):
     """Spell the platform's headers."""
 
-    def read_parameters(self, request: RequestHead, wall: float) -> CallParameters | NotRun:
+    def read_parameters(
+        self, request: RequestHead, wall: float
+    ) -> CallParameters | NotRun:
         """Read a caller's headers, or refuse one that is malformed."""
         headers = request.headers
         request_id = names.find(headers, wire.REQUEST_ID)
--- a/catkinslip/proxy/callers.py
+++ b/catkinslip/proxy/callers.py
@@ -149,7 +149,9 @@
                 if call.body_remainder is None:
                     outcome = await self.forwarder.forward(call, wire)
                 else:
-                    outcome = await self._forward_streamed(call, call.body_remainder, wire)
+                    outcome = await self._forward_streamed(
+                        call, call.body_remainder, wire
+                    )
             finally:
                 self.watch.remove(descriptor)
         return outcome
--- a/catkinslip/proxy/dialect.py
+++ b/catkinslip/proxy/dialect.py
@@ -43,7 +43,9 @@
     """Spell the headers between callers, this instance and backend servers."""
 
     @abstractmethod
-    def read_parameters(self, request: RequestHead, wall: float) -> CallParameters | NotRun:
+    def read_parameters(
+        self, request: RequestHead, wall: float
+    ) -> CallParameters | NotRun:
         """Read a caller's headers, or refuse one that is malformed."""
 
     @abstractmethod
--- a/catkinslip/proxy/forwarder.py
+++ b/catkinslip/proxy/forwarder.py
@@ -62,7 +62,9 @@
         if is_told and self.limits.settings.admission.counts_spent:
             now = self.clock.monotonic()
             call.record_spent(
-                self.spent.observe(call.route, call.caller_timeout, call.target_latency, now)
+                self.spent.observe(
+                    call.route, call.caller_timeout, call.target_latency, now
+                )
             )
 
     async def _forward(self, call: Call, caller: Wire) -> Outcome:
--- a/catkinslip/proxy/head_reader.py
+++ b/catkinslip/proxy/head_reader.py
@@ -41,7 +41,9 @@
         )
         return head_checks.check_request(plain) or self._start_chunk_check(wire, plain)
 
-    def _start_chunk_check(self, wire: Wire, request: RequestHead) -> RequestHead | NotRun:
+    def _start_chunk_check(
+        self, wire: Wire, request: RequestHead
+    ) -> RequestHead | NotRun:
         if names.find(request.headers, b'transfer-encoding') is not None:
             wire.chunk_check = ChunkCheck()
             try:
--- a/catkinslip/proxy/native_dialect.py
+++ b/catkinslip/proxy/native_dialect.py
@@ -21,7 +21,9 @@
 class NativeDialect(Dialect):
     """Spell what docs/REQUESTS.md says."""
 
-    def read_parameters(self, request: RequestHead, wall: float) -> CallParameters | NotRun:
+    def read_parameters(
+        self, request: RequestHead, wall: float
+    ) -> CallParameters | NotRun:
         """Read a caller's headers, or refuse one that is malformed."""
         headers = request.headers
         request_id = names.find(headers, names.REQUEST_ID)
--- a/catkinslip/tickets/gate.py
+++ b/catkinslip/tickets/gate.py
@@ -56,7 +56,9 @@
         """Forward one call within its deadline."""
         if call.repeatable:
             return await self.forwarder.forward(call, caller)
-        text = (names.find(call.headers, names.IDEMPOTENCY_KEY) or b'').decode('latin-1')
+        text = (names.find(call.headers, names.IDEMPOTENCY_KEY) or b'').decode(
+            'latin-1'
+        )
         recorded = self._record_place(call) is RecordPlace.PLATFORM
         key = parse_key(text)
         if key is None:
--- a/tests/test_metrics_requests.py
+++ b/tests/test_metrics_requests.py
@@ -90,7 +90,9 @@
     def test_callers_cannot_add_series(self):
         for number in range(100):
             refused = NotRun(Reason.UNKNOWN_SERVICE)
-            self.metrics.on_request_ended(plain_call(f'made-up-{number}'), refused, 0.001)
+            self.metrics.on_request_ended(
+                plain_call(f'made-up-{number}'), refused, 0.001
+            )
         self.assertEqual(
             self.values('catkinslip_service_outcomes_total'),
             {(UNKNOWN_SERVICE, 'not-run-unknown-service'): 100},
