--- a/catkinslip/addresses/__init__.py
+++ b/catkinslip/addresses/__init__.py
@@ -1,1 +1,1 @@
-"""Which instances a caller should use for a service."""
+"""Selection of the instances that a caller should use for a service."""
--- a/catkinslip/addresses/answers.py
+++ b/catkinslip/addresses/answers.py
@@ -1,4 +1,4 @@
-"""Answer callers that ask which addresses to use."""
+"""Answers to callers that request the addresses to use for a service."""
 
 from urllib.parse import parse_qs, unquote
 
@@ -25,7 +25,7 @@
 
 @frozen
 class AddressEntry:
-    """One instance that a caller may use, and how keys begin whose home it is."""
+    """An instance that a caller may use, and the prefix of keys whose home it is."""
 
     address: str
     zone: str
@@ -35,9 +35,9 @@
 
 @frozen
 class AddressAnswer:
-    """Instances to use for a service, the caller's zone first.
+    """The instances to use for a service, those in the caller's zone first.
 
-    `lifetime` is the number of seconds for which the answer may be kept.
+    `lifetime` is the number of seconds for which the answer may be cached.
     """
 
     service: str
@@ -47,16 +47,16 @@
 
     @property
     def addresses(self) -> tuple[str, ...]:
-        """Return the addresses alone."""
+        """Return the addresses of all entries, in the same order."""
         return tuple(entry.address for entry in self.entries)
 
     @property
     def key_prefix_by_address(self) -> dict[str, str]:
-        """Return the prefix of keys whose home is an address."""
+        """Return, by address, the prefix of keys whose home is the instance there."""
         return {entry.address: entry.key_prefix for entry in self.entries}
 
     def to_json(self) -> bytes:
-        """Return the answer's body."""
+        """Return the body of the answer as JSON."""
         return orjson.dumps(
             {
                 'service': self.service,
@@ -72,14 +72,17 @@
 
 @frozen
 class UnknownService:
-    """The configuration in force has no such service."""
+    """The answer for a service that is not in the configuration in force."""
 
     service: str
 
 
 @define
 class AddressResolver:
-    """Answer with the home set of a service."""
+    """Resolver from a service to the addresses of its home set.
+
+    `lifetime` is the number of seconds for which callers may cache an answer.
+    """
 
     members: MemberTable
     own_zone: str
@@ -93,12 +96,12 @@
     _cached_state: tuple | None = field(default=None, init=False)
 
     def count_home_instances(self, service: str) -> int:
-        """Return how many instances of the own region share a service."""
+        """Return the number of a service's home instances in this instance's region."""
         configured = self.config.current.document.register.services.get(service)
         return len(self.home_members(service, self.own_zone, configured or Service()))
 
     def answer(self, service: str, query: str) -> AddressAnswer | UnknownService:
-        """Answer one question: the service as in the path, and the query string."""
+        """Return the answer for a service, URL-encoded as in the path, and a query."""
         service = unquote(service)
         current = self.config.current
         configured = current.document.register.services.get(service)
@@ -117,12 +120,16 @@
     def home_members(
         self, service: str, zone: str, configured: Service
     ) -> list[Member]:
-        """Return the home set of a service in the region of a zone."""
+        """Return the home set of a service in the region of a zone.
+
+        The region of a zone without members is that of this instance.
+        """
         self._clear_cache_if_changed()
         region = self._region_of(zone)
         found = self._home_set_by_key.get((service, region))
         if found is None:
-            # Any instance serves any service, so one that leaves is better than none.
+            # Any instance serves any service, so leaving instances are used if no
+            # others exist.
             usable = self.members.usable() or self.members.live()
             size = home_set_size(configured, self._count_backends(service), self.limits)
             found = choose_home_set(service, region, usable, size)
@@ -152,16 +159,16 @@
 
 @define
 class AddressPages(LocalPages):
-    """Serve the address answers to callers."""
+    """Pages with the addresses to use for each service."""
 
     resolver: AddressResolver
 
     def has(self, target: bytes) -> bool:
-        """Tell whether a target asks for addresses."""
+        """Return whether a request target is an address page."""
         return target.startswith(PATH_PREFIX)
 
     def answer(self, request: RequestHead) -> tuple[h11.Event, ...] | NotRun:
-        """Return the addresses of the service that the path names."""
+        """Return the addresses of the service that the request path names."""
         target = request.target.decode('latin-1').removeprefix(PATH_PREFIX.decode())
         service, _, query = target.partition('?')
         answer = self.resolver.answer(service, query)
--- a/catkinslip/addresses/home.py
+++ b/catkinslip/addresses/home.py
@@ -1,6 +1,6 @@
-"""Choose the home set: the few instances that serve one service in one region.
+"""Choice of the home set: the few instances that serve a service in a region.
 
-Rendezvous hashing, so that little moves when instances come and go.
+Rendezvous hashing keeps most home sets unchanged when instances join or leave.
 """
 
 import math
@@ -12,23 +12,25 @@
 from catkinslip.config.documents import Service
 from catkinslip.membership.members import Member
 
-#: What one instance serves with half of a core.
+#: Calls per second that one instance handles with half of a CPU core.
 CALLS_PER_SECOND_PER_INSTANCE = 1000.0
-#: The register has no service times; shorter ones call for a greater minimum.
+#: Assumed service time in seconds, as the register has none; services with shorter
+#: ones need a greater minimum home set.
 ASSUMED_SERVICE_SECONDS = 0.02
+#: Number of instances beyond those that the load needs, so that some can fail.
 SPARE_INSTANCES = 2
 
 
 @frozen
 class HomeSetLimits:
-    """Least and greatest number of instances of one home set."""
+    """Minimum and maximum number of instances of one home set."""
 
     minimum: int = 3
     maximum: int = 5
 
 
 def home_set_size(service: Service, backends: int, limits: HomeSetLimits) -> int:
-    """Return how many instances the load of a service needs, and some to lose."""
+    """Return the number of instances for the load of a service, including spares."""
     slots = backends * service.slots
     calls_per_second = slots / ASSUMED_SERVICE_SECONDS
     needed = math.ceil(calls_per_second / CALLS_PER_SECOND_PER_INSTANCE)
@@ -40,8 +42,8 @@
 ) -> list[Member]:
     """Return the home set of a service in a region.
 
-    No zone holds all of it while others have members. Members of other regions
-    fill it up when the region has too few.
+    No zone holds the whole set while other zones of the region have members. Members
+    of other regions fill the set when the region has too few.
     """
     ranked = sorted(
         members,
@@ -61,5 +63,5 @@
 
 
 def zone_first(members: Iterable[Member], zone: str) -> list[Member]:
-    """Return members in the same order, but those of a zone first."""
+    """Return the members with those of one zone first, otherwise in the same order."""
     return sorted(members, key=lambda each: each.zone != zone)
--- a/catkinslip/addresses/zonal.py
+++ b/catkinslip/addresses/zonal.py
@@ -1,4 +1,4 @@
-"""Which instances a caller of a zone should use, where any instance serves it."""
+"""Choice of instances by the caller's zone, where any instance serves any caller."""
 
 from random import Random
 
@@ -13,7 +13,7 @@
 
 @frozen
 class CallerLocation:
-    """Where a caller stands, and for which host it asks."""
+    """The zone and region of a caller, and the host that it requests."""
 
     zone: str
     region: str = ''
@@ -22,7 +22,7 @@
 
 @frozen
 class ZoneAnswer:
-    """Addresses to use, each host:port, and for how many seconds."""
+    """The addresses to use, each as host:port, and their lifetime in seconds."""
 
     addresses: tuple[str, ...]
     lifetime: float
@@ -30,21 +30,25 @@
 
 @define
 class ZoneAddresses:
-    """Answer with the instances of the caller's own zone while one serves there."""
+    """Resolver that prefers the serving instances of the caller's zone.
+
+    `lifetime` is the number of seconds for which callers may cache an answer.
+    """
 
     instances: InstanceTable
     lifetime: float
     random: Random
     config: ConfigHolder = Factory(ConfigHolder)
-    #: The regions that routes of a host are bound to, of the document of now.
+    #: Regions that the routes of each host are bound to in the current document.
     regions_by_host: dict[str, frozenset[str]] = Factory(dict)
     _document: Document | None = field(default=None, init=False)
 
     def answer(self, caller: CallerLocation) -> ZoneAnswer:
-        """Answer a caller.
+        """Return the addresses for a caller.
 
-        Bodies for a host that is bound to regions go to no third one: else another
-        region would be named when the caller's own has no instance.
+        If the caller's region has no ready instance, the regions that the host is bound
+        to are preferred to others, so that request bodies do not pass through a third
+        region.
         """
         regions = self._find_regions(caller.host)
         entries = self.instances.usable(caller.zone, caller.region, regions)
@@ -62,10 +66,10 @@
 
 
 def find_regions(document: Document) -> dict[str, frozenset[str]]:
-    """Return the regions that routes are bound to, by host; no others are named.
+    """Return the regions that routes are bound to, by host; unbound hosts are omitted.
 
-    Where routes of a host are bound to different regions, only what they share is fit
-    for all of them; where they share none, any of them.
+    If the routes of a host are bound to different regions, only the regions that all of
+    them share are used; if they share none, the regions of any of them.
     """
     bound_by_host: dict[str, list[frozenset[str]]] = {}
     for route in document.rules.routes.values():
