--- a/catkinslip/proxy/answers.py
+++ b/catkinslip/proxy/answers.py
@@ -1,4 +1,4 @@
-"""Read and judge the heads of backend servers' answers."""
+"""Reading and checking of response heads from backend servers."""
 
 import h11
 
@@ -12,19 +12,26 @@
 
 
 async def receive_response(wire: Wire) -> h11.Response:
-    """Return the final response head."""
-    # Nothing of the answer can be in the codec yet.
+    """Return the final response head of the exchange, skipping 1xx responses.
+
+    Raises h11.RemoteProtocolError when the connection closes before one arrives.
+    """
+    # The codec holds no bytes of the answer yet, so read before parsing.
     await wire.fill()
     while True:
         event = await wire.receive()
         if type(event) is h11.Response:
             return event
         if type(event) is h11.ConnectionClosed:
-            raise h11.RemoteProtocolError('closed before an answer')
+            raise h11.RemoteProtocolError('the connection closed before an answer')
 
 
 async def drain_body(wire: Wire) -> None:
-    """Read the rest of a short answer that is not passed on."""
+    """Read and discard the rest of an answer that is not forwarded.
+
+    A connection whose answer is cut off or longer than MAX_REFUSAL_BYTES is marked
+    as spoiled, so that it is not reused.
+    """
     remaining = MAX_REFUSAL_BYTES
     try:
         while remaining > 0:
@@ -38,21 +45,23 @@
 
 
 def has_begun(wire: Wire) -> bool:
-    """Tell whether any byte of an answer came."""
+    """Return whether any byte of an answer was received."""
     return wire.codec.their_state is h11.SEND_BODY or bool(wire.codec.trailing_data[0])
 
 
 def find_framing_fault(headers: list[names.Header]) -> Unknown | None:
-    """Return what is wrong with how an answer is framed; None when nothing is."""
+    """Return the fault in how headers frame an answer; None if there is none."""
     length = names.find(headers, b'content-length')
     coding = names.find(headers, b'transfer-encoding')
     if length is not None and coding is not None:
-        return Unknown(Reason.BROKEN, 'two headers frame the answer')
+        return Unknown(
+            Reason.BROKEN, 'the answer has both content-length and transfer-encoding'
+        )
     return None
 
 
 def is_unframed(status: int, headers: list[names.Header], method: bytes) -> bool:
-    """Tell whether only the end of the connection ends an answer."""
+    """Return whether only the end of the connection marks the end of an answer."""
     if not may_have_body(status, method):
         return False
     length = names.find(headers, b'content-length')
@@ -60,11 +69,11 @@
 
 
 def may_have_body(status: int, method: bytes) -> bool:
-    """Tell whether a body may follow an answer's head."""
+    """Return whether a body may follow the head of an answer."""
     return method != b'HEAD' and status not in STATUS_WITHOUT_BODY
 
 
 def read_report(headers: list[names.Header]) -> reports.LoadReport | None:
-    """Return the load report of an answer."""
+    """Return the load report in an answer's headers; None if there is none."""
     value = names.find(headers, reports.HEADER)
     return None if value is None else reports.parse_report(value)
--- a/catkinslip/proxy/base.py
+++ b/catkinslip/proxy/base.py
@@ -1,4 +1,4 @@
-"""What serves a caller's requests behind its connection."""
+"""Interfaces of the request handlers behind a caller's connection."""
 
 from abc import ABC, abstractmethod
 
@@ -11,20 +11,20 @@
 
 
 class CallForwarder(ABC):
-    """Carry a call to backend servers."""
+    """Interface for forwarding calls to backend servers."""
 
     @abstractmethod
     async def forward(self, call: Call, caller: Wire) -> Outcome:
-        """Forward one call within its deadline."""
+        """Forward one call within its deadline and return how it ended."""
 
 
 class LocalPages(ABC):
-    """Answer requests that are for this instance itself."""
+    """Interface for pages that this instance serves itself."""
 
     @abstractmethod
     def has(self, target: bytes) -> bool:
-        """Tell whether a target is one of these pages."""
+        """Return whether a request target is one of these pages."""
 
     @abstractmethod
     def answer(self, request: RequestHead) -> tuple[h11.Event, ...] | NotRun:
-        """Return the whole answer to a request for one of these pages."""
+        """Return the complete answer to a request for one of these pages."""
--- a/catkinslip/proxy/bodies.py
+++ b/catkinslip/proxy/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of requests: small ones are kept, large ones are passed on as they come."""
+"""Request bodies: small ones are buffered, large ones are streamed."""
 
 import h11
 import trio
@@ -13,7 +13,7 @@
 
 @define
 class BodyRemainder:
-    """The part of a body that is read only while it is sent on."""
+    """The part of a request body that is read only while it is being forwarded."""
 
     caller: Wire
     remaining_bytes: int
@@ -23,7 +23,7 @@
     fault: Reason | None = None
 
     async def receive(self) -> h11.Data | h11.EndOfMessage | None:
-        """Return the next event of the body; None at a fault."""
+        """Return the next event of the body; None after setting `fault`."""
         self.is_started = True
         try:
             event = await self.caller.receive()
@@ -43,7 +43,7 @@
 
 @frozen
 class Body:
-    """What was read of a body, and the rest when it is large."""
+    """The buffered start of a request body, and the remainder of a large one."""
 
     start: bytes = b''
     remainder: BodyRemainder | None = None
@@ -54,13 +54,13 @@
 
 @frozen
 class BodyReader:
-    """Read the start of bodies; the timeout is in seconds."""
+    """Reader of the starts of request bodies; the timeout is in seconds."""
 
     max_bytes: int
     timeout: float
 
     async def read(self, caller: Wire, request: names.RequestHead) -> Body | NotRun:
-        """Return a small body whole, a large one with its rest, or a refusal."""
+        """Return a small body whole, a large one with its remainder, or a refusal."""
         length = declared_length(request)
         if length is not None and length > self.max_bytes:
             return too_large(self.max_bytes)
@@ -74,7 +74,10 @@
                 return await self._read_start(caller)
         except h11.RemoteProtocolError as error:
             return NotRun(Reason.BAD_REQUEST, str(error))
-        return NotRun(Reason.SLOW_REQUEST, f'no whole body in {self.timeout:g} s')
+        return NotRun(
+            Reason.SLOW_REQUEST,
+            f'the request body was not complete within {self.timeout:g} s',
+        )
 
     async def _read_start(self, caller: Wire) -> Body | NotRun:
         parts = []
@@ -91,7 +94,7 @@
 
 
 def has_body(request: names.RequestHead) -> bool:
-    """Tell whether a request has a body."""
+    """Return whether a request has a body."""
     length = declared_length(request)
     if length is not None:
         return length > 0
@@ -99,11 +102,11 @@
 
 
 def declared_length(request: names.RequestHead) -> int | None:
-    """Return the length that a request declares."""
+    """Return the content-length of a request in bytes; None if there is none."""
     length = names.find(request.headers, b'content-length')
     return None if length is None else int(length)
 
 
 def too_large(max_bytes: int) -> NotRun:
-    """Return the refusal of a large body."""
-    return NotRun(Reason.BODY_TOO_LARGE, f'at most {max_bytes} bytes are taken')
+    """Return the refusal of a body that is larger than allowed."""
+    return NotRun(Reason.BODY_TOO_LARGE, f'at most {max_bytes} bytes are allowed')
--- a/catkinslip/proxy/callers.py
+++ b/catkinslip/proxy/callers.py
@@ -1,4 +1,4 @@
-"""Serve callers' connections."""
+"""Server side of callers' connections."""
 
 import logging
 
@@ -26,7 +26,7 @@
 
 @frozen
 class CallerLimits:
-    """What callers may ask for; times are in seconds."""
+    """Limits on callers' requests and connections; times are in seconds."""
 
     request_timeout: float = 10.0
     head_timeout: float = 10.0
@@ -39,12 +39,12 @@
 
 @define
 class CallerServer:
-    """Read requests of callers and answer each."""
+    """Server that reads callers' requests and answers each of them."""
 
     environment: Environment
     config: ConfigHolder
     forwarder: CallForwarder
-    #: None where callers ask another listener for addresses.
+    #: Local pages; None where another listener serves the addresses.
     pages: LocalPages | None
     limits: CallerLimits
     observer: RequestObserver = ObserverGroup()
@@ -82,10 +82,12 @@
         except ConnectionErrors:
             pass
         except h11.ProtocolError as error:
-            log.info('request: a connection ended, %s.', error)
+            log.info(
+                'request: a connection was closed after a protocol error, %s.', error
+            )
         except Exception:
             # One caller's connection must not stop the process.
-            log.exception('request: a connection failed.')
+            log.exception('request: a connection was closed after an unexpected error.')
         finally:
             self.connections -= 1
             with trio.CancelScope(shield=True):
@@ -216,10 +218,10 @@
 
 
 def has_begun(wire: Wire) -> bool:
-    """Tell whether a byte of an answer may have gone to the caller."""
+    """Return whether any byte of an answer may have been sent to the caller."""
     return wire.codec.our_state not in (h11.IDLE, h11.SEND_RESPONSE)
 
 
 def is_reusable(wire: Wire) -> bool:
-    """Tell whether both sides ended an exchange cleanly."""
+    """Return whether the connection is reusable: both sides completed the exchange."""
     return wire.codec.our_state is h11.DONE and wire.codec.their_state is h11.DONE
--- a/catkinslip/proxy/calls.py
+++ b/catkinslip/proxy/calls.py
@@ -1,4 +1,4 @@
-"""A caller's request as the request path knows it."""
+"""A caller's request as the request path handles it."""
 
 from math import inf
 from random import Random
@@ -18,7 +18,10 @@
 
 @define
 class Call:
-    """One request of a caller; the deadline is on the monotonic clock."""
+    """One request of a caller.
+
+    `deadline` is in seconds on the monotonic clock, `wall_deadline` in Unix seconds.
+    """
 
     request_id: str
     service: str
@@ -32,68 +35,73 @@
     wall_deadline: float = inf
     peer: str = ''
     body_remainder: BodyRemainder | None = None
-    #: Name of the route, if one matched.
+    #: Name of the matching route; empty if no route matched.
     route: str = ''
-    #: Seconds from the caller's first attempt after which an answer is worth little.
+    #: Target latency in seconds, from the caller's first attempt; a later answer is of
+    #: little use.
     target_latency: float = inf
-    #: The end of this time, on the monotonic clock.
+    #: End of the target latency, in seconds on the monotonic clock.
     target_deadline: float = inf
-    #: Seconds that the caller had waited before this attempt, as far as known.
+    #: Estimated seconds that the caller had waited before this attempt.
     spent: float = 0.0
-    #: Seconds that the caller says it will wait; None if it does not say.
+    #: Timeout in seconds that the caller declared; None if it declared none.
     caller_timeout: float | None = None
-    #: The end of this time, or the deadline where it is not known.
+    #: End of the caller's timeout, or the deadline if it declared none, in seconds on
+    #: the monotonic clock.
     caller_deadline: float = inf
-    #: 0 is the most urgent.
+    #: Priority of the request; 0 is the most urgent.
     priority: int = 0
-    #: Backend servers that the request may be sent to; None leaves it to settings.
+    #: Maximum number of backend servers that the request is sent to; None for the
+    #: limit of the settings.
     max_attempts: int | None = None
-    #: Regions in which it may run; none named stands for any.
+    #: Regions in which the request may run; empty for any region.
     regions: tuple[str, ...] = ()
-    #: Whether servers ended under the same request: no second one may run it.
+    #: Whether servers crashed while running the same request, so that at most one
+    #: server may run this one.
     is_suspect: bool = False
 
     def record_spent(self, seconds: float) -> None:
-        """Take note of the time that the caller had waited before this attempt."""
+        """Record the seconds that the caller had waited before this attempt."""
         self.spent = seconds
         self.target_deadline -= seconds
 
     @property
     def is_resendable(self) -> bool:
-        """Tell whether the whole request can still be sent."""
+        """Return whether the whole request can still be sent to a server."""
         return self.body_remainder is None or not self.body_remainder.is_started
 
     def is_expired(self, clock: Clock) -> bool:
-        """Tell whether the deadline passed on either clock.
+        """Return whether the deadline has passed on either clock.
 
-        Either may be late: one that is set back, the other where the system's steady
-        clock does not count suspensions.
+        Either clock may lag: the wall clock after being set back, the monotonic
+        clock on systems where it does not count suspensions.
         """
         return clock.monotonic() >= self.deadline or clock.wall() >= self.wall_deadline
 
 
 @define
 class CallFactory:
-    """Turn requests into calls."""
+    """Factory of calls from request heads and bodies; the timeout is in seconds."""
 
     clock: Clock
     random: Random
     config: ConfigHolder
     request_timeout: float
     dialect: Dialect
-    #: Whether deadlines hold on the wall clock too; not where it is set in jumps.
+    #: Whether deadlines also apply on the wall clock; False where that clock is set in
+    #: jumps.
     uses_wall_clock: bool = True
-    #: The document that the services were taken from.
+    #: Configuration document that the services and routes were read from.
     document: Document | None = None
     service_by_name: dict[str, Service] = Factory(dict)
     routes: RouteTable = Factory(lambda self: RouteTable(self.random), takes_self=True)
 
     def new_request_id(self) -> str:
-        """Return an ID for a request that has none."""
+        """Return a new random ID for a request that has none."""
         return f'{self.random.getrandbits(64):016x}'
 
     def make(self, request: RequestHead, body: Body, peer: str) -> Call | NotRun:
-        """Return the call, or a refusal when a header of ours is wrong."""
+        """Return the call of a request, or a refusal if a call header is malformed."""
         parameters = self.dialect.read_parameters(request, self.clock.wall())
         if isinstance(parameters, NotRun):
             return parameters
@@ -132,7 +140,7 @@
             self.routes.update(document)
 
     def _apply_rules(self, call: Call, parameters: CallParameters, path: str) -> float:
-        """Set what the rules say of a call; return its longest time in seconds."""
+        """Apply the rules to a call and return its maximum duration in seconds."""
         turns = self.routes.find(parameters.host, path)
         if turns is not None:
             route = turns.route
--- a/catkinslip/proxy/dialect.py
+++ b/catkinslip/proxy/dialect.py
@@ -1,4 +1,4 @@
-"""What requests and answers say in headers, apart from how it is spelled."""
+"""The interface between the request path and the headers of a wire protocol."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
@@ -18,7 +18,7 @@
 
 @frozen
 class CallParameters:
-    """What a caller's headers ask for; durations are in seconds."""
+    """Call parameters from a caller's headers; the timeout is in seconds."""
 
     service: str
     host: str
@@ -29,36 +29,43 @@
 
 @frozen
 class ProbeAnswer:
-    """What the answer to a probe says; `backend_id` is None where it is not told."""
+    """The content of a probe answer; `backend_id` is None if the server sent none."""
 
     is_healthy: bool
     report: LoadReport | None
     backend_id: str | None = None
-    #: Seconds that the server stays cold; None where it told that unreadably.
+    #: Seconds for which the server stays cold; None if the value sent is unreadable.
     cold_seconds: float | None = 0.0
     signals: ServerWords = NO_WORDS
 
 
 class Dialect(ABC):
-    """Spell the headers between callers, this instance and backend servers."""
+    """Codec of the headers between callers, this instance and backend servers."""
 
     @abstractmethod
     def read_parameters(
         self, request: RequestHead, wall: float
     ) -> CallParameters | NotRun:
-        """Read a caller's headers, or refuse one that is malformed."""
+        """Return the call parameters of a request, or a refusal if one is malformed.
+
+        `wall` is the current time in Unix seconds.
+        """
 
     @abstractmethod
     def request_headers(
         self, call: 'Call', backend_id: str, number: int, remaining: float
     ) -> list[Header]:
-        """Return the headers of an attempt, without those that frame the body."""
+        """Return the headers of an attempt, without those that frame the body.
+
+        `number` counts the attempts of the call from 1; `remaining` is the time to the
+        deadline in seconds.
+        """
 
     @abstractmethod
     def find_fault(
         self, call: 'Call', status: int, headers: list[Header]
     ) -> Unknown | None:
-        """Return why an answer must not reach the caller; None when it may."""
+        """Return why an answer must not be forwarded; None if it may."""
 
     @abstractmethod
     def find_refusal(self, status: int, headers: list[Header]) -> Reason | None:
@@ -66,15 +73,15 @@
 
     @abstractmethod
     def read_report(self, headers: Sequence[Header]) -> LoadReport | None:
-        """Return the load report of an answer."""
+        """Return the load report in an answer's headers; None if there is none."""
 
     def read_signals(self, status: int, headers: Sequence[Header]) -> ServerWords:
-        """Return what an answer asks for in the name of its server."""
+        """Return the signals that a server sends in the headers of an answer."""
         return NO_WORDS
 
     @abstractmethod
     def answer_headers(self, call: 'Call', headers: list[Header]) -> list[Header]:
-        """Return an answer's headers for the caller."""
+        """Return the headers of an answer as forwarded to the caller."""
 
     @abstractmethod
     def problem_events(
@@ -85,12 +92,12 @@
         *,
         close: bool = False,
     ) -> list[h11.Event]:
-        """Return the answer that tells a caller how a request ended."""
+        """Return the error answer to a request that no backend server answered."""
 
     @abstractmethod
     def probe_request(self, service: str, path: str) -> h11.Request:
-        """Return the head of a probe."""
+        """Return the request head of a probe."""
 
     @abstractmethod
     def read_probe(self, status: int, headers: list[Header]) -> ProbeAnswer | None:
-        """Read the answer to a probe; None when it answers something else."""
+        """Return the content of a probe answer; None if it answers another request."""
--- a/catkinslip/proxy/head_checks.py
+++ b/catkinslip/proxy/head_checks.py
@@ -1,6 +1,6 @@
-"""Check request heads more strictly than the codec does.
+"""Checks of request heads that are stricter than those of the codec.
 
-Whatever two servers could read differently is refused:
+A head that two servers could parse differently is refused:
 https://www.rfc-editor.org/rfc/rfc9112#section-11.2
 """
 
@@ -21,19 +21,19 @@
 
 
 def find_line_fault(head: bytes) -> str | None:
-    """Return what is wrong with the whole lines of a head."""
+    """Return the fault in the complete lines of a head; None if there is none."""
     lines = head.count(CRLF)
     if head.count(b'\n') != lines or head.count(b'\r') != lines:
         return 'a line does not end in CRLF'
     if b'\n ' in head or b'\n\t' in head:
         return 'a header is folded'
     if len(head.translate(None, CONTROLS)) != len(head):
-        return 'a control character stands in the head'
+        return 'the head contains a control character'
     return None
 
 
 def check_framing(head: bytes) -> NotRun | None:
-    """Refuse a head whose body could end at two places."""
+    """Return the refusal of a head with ambiguous body framing; None if it is clear."""
     found = FRAMING.findall(head)
     if not found:
         return None
@@ -43,44 +43,48 @@
     value = value.strip(b' \t')
     if name.lower() == b'content-length':
         if LENGTH.match(value) is None:
-            return malformed('content-length is no plain number')
+            return malformed('content-length is not a decimal number of 1 to 15 digits')
         return None
     if value.lower() != b'chunked':
-        return NotRun(Reason.NOT_IMPLEMENTED, 'the only transfer coding is chunked')
+        return NotRun(
+            Reason.NOT_IMPLEMENTED, 'chunked is the only supported transfer coding'
+        )
     if head[: head.index(CRLF)].endswith(b'HTTP/1.0'):
-        return malformed('HTTP/1.0 has no transfer codings')
+        return malformed('HTTP/1.0 does not allow transfer codings')
     return None
 
 
 def check_request(request: names.RequestHead) -> NotRun | None:
-    """Refuse a parsed head that is not meant for this server."""
+    """Return the refusal of a parsed head; None if this server can handle it."""
     if request.http_version not in VERSIONS:
-        return NotRun(Reason.VERSION, 'only HTTP/1.0 and HTTP/1.1 are spoken')
+        return NotRun(Reason.VERSION, 'only HTTP/1.0 and HTTP/1.1 are supported')
     host = names.find(request.headers, b'host') or b''
     if HOST.match(host) is None:
-        return malformed('host is no name with an optional port')
+        return malformed('host is not a name with an optional port')
     expected = names.find(request.headers, b'expect')
     if expected is not None and expected.lower() != b'100-continue':
-        return NotRun(Reason.EXPECTATION, 'the only expectation is 100-continue')
+        return NotRun(
+            Reason.EXPECTATION, '100-continue is the only supported expectation'
+        )
     return check_target(request.target, request.method, host)
 
 
 def check_target(target: bytes, method: bytes, host: bytes) -> NotRun | None:
-    """Refuse a target that is no path, or names another host."""
+    """Return the refusal of a target that is not a path or names another host."""
     if b'#' in target:
         return malformed('the target has a fragment')
     if target[:1] == b'/' or (target == b'*' and method == b'OPTIONS'):
         return None
     absolute = ABSOLUTE.match(target)
     if absolute is None:
-        return malformed('the target is no path')
+        return malformed('the target is not a path')
     if absolute[1].lower() != host.lower():
         return malformed('the target and the host header name different hosts')
     return None
 
 
 def origin_form(target: bytes) -> bytes:
-    """Return the path and query of a checked target."""
+    """Return the path and query of a target that check_target accepted."""
     if target[:1] == b'/' or target == b'*':
         return target
     rest = ABSOLUTE.match(target)[2]
--- a/catkinslip/proxy/head_reader.py
+++ b/catkinslip/proxy/head_reader.py
@@ -1,4 +1,4 @@
-"""Read the heads of callers' requests, and refuse bad ones before the codec."""
+"""Reader of callers' request heads that refuses malformed ones before parsing."""
 
 import h11
 import trio
@@ -17,13 +17,13 @@
 
 @frozen
 class HeadReader:
-    """Read request heads; both timeouts are in seconds."""
+    """Reader of request heads; both timeouts are in seconds."""
 
     idle_timeout: float
     head_timeout: float
 
     async def read(self, wire: Wire) -> RequestHead | NotRun | None:
-        """Return the next head, a refusal, or None when no request comes."""
+        """Return the next request head, a refusal, or None if no request arrives."""
         head = await self._read_raw(wire)
         if not isinstance(head, bytes):
             return head
@@ -65,7 +65,10 @@
             return head
         with trio.move_on_after(self.head_timeout):
             return await self._read_more(wire)
-        return NotRun(Reason.SLOW_REQUEST, f'no whole head in {self.head_timeout:g} s')
+        return NotRun(
+            Reason.SLOW_REQUEST,
+            f'the request head was not complete within {self.head_timeout:g} s',
+        )
 
     async def _read_more(self, wire: Wire) -> bytes | NotRun | None:
         while True:
@@ -79,12 +82,14 @@
 
 
 def extract_head(data: bytes) -> bytes | NotRun | None:
-    """Return the whole head at the front of the data, a refusal, or None yet."""
+    """Return the head at the start of the data, a refusal, or None if incomplete."""
     end = data.find(HEAD_END)
     is_whole = end >= 0
     size = end + len(HEAD_END) if is_whole else len(data)
     if size > MAX_HEAD_BYTES:
-        return NotRun(Reason.HEAD_TOO_LARGE, f'at most {MAX_HEAD_BYTES} bytes')
+        return NotRun(
+            Reason.HEAD_TOO_LARGE, f'at most {MAX_HEAD_BYTES} bytes are allowed'
+        )
     lines = data[:size] if is_whole else data[: data.rfind(b'\n') + 1]
     fault = head_checks.find_line_fault(lines)
     if fault is not None:
--- a/catkinslip/proxy/headers.py
+++ b/catkinslip/proxy/headers.py
@@ -1,4 +1,4 @@
-"""Header names and the headers that do not pass a proxy.
+"""Header names, and the selection of headers that a proxy forwards.
 
 Hop-by-hop headers: https://www.rfc-editor.org/rfc/rfc9110#section-7.6.1
 """
@@ -40,7 +40,7 @@
         b'upgrade',
     }
 )
-# Set anew on each request, so what the caller sent does not pass.
+# This instance sets these headers on each request, so those of the caller are dropped.
 REPLACED_IN_REQUESTS = HOP_BY_HOP | {
     SERVICE,
     REQUEST_ID,
@@ -53,13 +53,13 @@
     b'content-length',
     b'expect',
 }
-# Only this instance says how a request ended.
+# This instance sets these headers on each answer, so those of the server are dropped.
 REPLACED_IN_ANSWERS = HOP_BY_HOP | {REQUEST_ID, OUTCOME}
 
 
 @frozen
 class RequestHead:
-    """The head of a request, its headers with names in lower case."""
+    """The head of a request; its header names are in lower case."""
 
     method: bytes
     target: bytes
@@ -68,7 +68,7 @@
 
 
 def find(headers: Iterable[Header], name: bytes) -> bytes | None:
-    """Return the first value of a header, its name in lower case."""
+    """Return the first value of a header, given its name in lower case."""
     for each, value in headers:
         if each == name:
             return value
@@ -76,12 +76,16 @@
 
 
 def find_all(headers: Iterable[Header], name: bytes) -> list[bytes]:
-    """Return every value of a header, its name in lower case."""
+    """Return all values of a header, given its name in lower case."""
     return [value for each, value in headers if each == name]
 
 
 def end_to_end(headers: Iterable[Header], replaced: frozenset[bytes]) -> list[Header]:
-    """Return the headers that pass on to the next hop."""
+    """Return the headers to forward, without `replaced` and hop-by-hop ones.
+
+    The headers that a connection header names are hop-by-hop, except content-length
+    and host.
+    """
     headers = list(headers)
     named = find(headers, b'connection')
     if named is not None:
@@ -91,7 +95,7 @@
 
 
 def request_headers(headers: list[Header], peer: str) -> list[Header]:
-    """Return a request's headers for a backend server, without those of the call."""
+    """Return the headers to forward to a backend server, without the call headers."""
     passed = end_to_end(headers, REPLACED_IN_REQUESTS)
     if peer:
         hops = [*find_all(headers, FORWARDED_FOR), peer.encode()]
@@ -101,15 +105,16 @@
 
 
 def answer_headers(headers: Iterable[Header], request_id: str) -> list[Header]:
-    """Return an answer's headers for its caller."""
+    """Return the headers of an answer to forward to its caller."""
     passed = end_to_end(headers, REPLACED_IN_ANSWERS)
     passed.append((REQUEST_ID, request_id.encode()))
     return passed
 
 
 def checked(headers: Iterable[Header]) -> Headers:
-    """Return headers that the codec need not check again.
+    """Return headers in the form that the codec accepts without validation.
 
-    Only for those that it read itself, with names in lower case, and for ours.
+    Only for headers that the codec parsed, with names in lower case, or that this
+    instance created.
     """
     return Headers([(name, name, value) for name, value in headers])
--- a/catkinslip/proxy/native_dialect.py
+++ b/catkinslip/proxy/native_dialect.py
@@ -1,4 +1,4 @@
-"""The headers of catkinslip's own interface."""
+"""The headers of catkinslip's native interface."""
 
 import re
 from collections.abc import Sequence
@@ -19,12 +19,12 @@
 
 
 class NativeDialect(Dialect):
-    """Spell what docs/REQUESTS.md says."""
+    """Codec of the headers that docs/REQUESTS.md specifies."""
 
     def read_parameters(
         self, request: RequestHead, wall: float
     ) -> CallParameters | NotRun:
-        """Read a caller's headers, or refuse one that is malformed."""
+        """Return the call parameters of a request, or a refusal if one is malformed."""
         headers = request.headers
         request_id = names.find(headers, names.REQUEST_ID)
         if request_id is not None and names.REQUEST_ID_FORM.match(request_id) is None:
@@ -34,7 +34,7 @@
             return timeout
         attempt = names.find(headers, names.ATTEMPT) or b'1'
         if ATTEMPT.match(attempt) is None:
-            return malformed('catkinslip-attempt is no number from 1 to 9999')
+            return malformed('catkinslip-attempt is not a number from 1 to 9999')
         host = names.find(headers, b'host') or b''
         return CallParameters(
             service=strip_port(names.find(headers, names.SERVICE) or host),
@@ -57,13 +57,13 @@
     def find_fault(
         self, call: Call, status: int, headers: list[Header]
     ) -> Unknown | None:
-        """Return why an answer must not reach the caller; None when it may."""
+        """Return why an answer must not be forwarded; None if it may."""
         echo = names.find(headers, names.REQUEST_ID)
         if echo is not None and echo != call.request_id.encode():
             return Unknown(Reason.CROSSED)
         if answers.is_unframed(status, headers, call.method):
-            # Cut or whole, such an answer looks the same.
-            return Unknown(Reason.BROKEN, 'no header tells where the answer ends')
+            # A truncated answer of this form looks the same as a complete one.
+            return Unknown(Reason.BROKEN, 'no header states where the answer ends')
         return answers.find_framing_fault(headers)
 
     def find_refusal(self, status: int, headers: list[Header]) -> Reason | None:
@@ -72,11 +72,11 @@
         return Reason.SHED if status == 503 and refused else None
 
     def read_report(self, headers: Sequence[Header]) -> LoadReport | None:
-        """Return the load report of an answer."""
+        """Return the load report in an answer's headers; None if there is none."""
         return answers.read_report(headers)
 
     def answer_headers(self, call: Call, headers: list[Header]) -> list[Header]:
-        """Return an answer's headers for the caller."""
+        """Return the headers of an answer as forwarded to the caller."""
         return names.answer_headers(headers, call.request_id)
 
     def problem_events(
@@ -87,39 +87,43 @@
         *,
         close: bool = False,
     ) -> list[h11.Event]:
-        """Return the answer that tells a caller how a request ended."""
+        """Return the error answer to a request that no backend server answered."""
         return problems.problem_events(outcome, request_id, method, close=close)
 
     def probe_request(self, service: str, path: str) -> h11.Request:
-        """Return the head of a probe."""
+        """Return the request head of a probe."""
         return h11.Request(
             method='GET', target=path, headers=[(b'host', service.encode())]
         )
 
     def read_probe(self, status: int, headers: list[Header]) -> ProbeAnswer | None:
-        """Read the answer to a probe; None when it answers something else."""
+        """Return the content of a probe answer; None if it answers another request."""
         if names.find(headers, names.REQUEST_ID) is not None:
             return None
         return ProbeAnswer(status < 400, answers.read_report(headers))
 
 
 def read_timeout(headers: Sequence[Header], wall: float) -> float | NotRun | None:
-    """Return the seconds that a caller waits; None when it does not say."""
+    """Return the caller's timeout in seconds, a refusal, or None if undeclared.
+
+    The shorter of the timeout and deadline headers applies; `wall` is the current time
+    in Unix seconds.
+    """
     timeout = None
     value = names.find(headers, names.TIMEOUT)
     if value is not None:
         if SECONDS.match(value) is None:
-            return malformed('catkinslip-timeout is no number of seconds')
+            return malformed('catkinslip-timeout is not a number of seconds')
         timeout = float(value)
     value = names.find(headers, names.DEADLINE)
     if value is not None:
         if SECONDS.match(value) is None:
-            return malformed('catkinslip-deadline is no number of unix seconds')
+            return malformed('catkinslip-deadline is not a number of Unix seconds')
         remaining = float(value) - wall
         timeout = remaining if timeout is None else min(timeout, remaining)
     return timeout
 
 
 def strip_port(name: bytes) -> str:
-    """Return a host or service name without a port."""
+    """Return a host or service name without its port."""
     return name.decode('latin-1').partition(':')[0]
--- a/catkinslip/proxy/observer.py
+++ b/catkinslip/proxy/observer.py
@@ -1,4 +1,4 @@
-"""What the request path tells those who count, trace and explain."""
+"""The interface through which metrics and traces observe the request path."""
 
 from abc import ABC, abstractmethod
 
@@ -11,50 +11,50 @@
 
 
 class RequestObserver(ABC):
-    """Learn of each decision and each end; must be quick and must not raise."""
+    """Interface of request observers; methods must be fast and must not raise."""
 
     @abstractmethod
     def on_server_chosen(self, call: Call, choice: Choice, number: int) -> None:
-        """Learn of the backend server chosen for an attempt, counted from 1."""
+        """Record the backend server chosen for an attempt; `number` starts at 1."""
 
     @abstractmethod
     def on_attempt_ended(
         self, call: Call, backend_id: str, outcome: Outcome, seconds: float
     ) -> None:
-        """Learn how an attempt ended and how long it took."""
+        """Record the outcome and the duration of an attempt in seconds."""
 
     def on_connection_broken(self, call: Call, broken: Break) -> None:  # noqa: B027
-        """Learn of a connection that ended under an attempt."""
+        """Record a connection that broke during an attempt."""
 
     @abstractmethod
     def on_request_ended(self, call: Call, outcome: Outcome, seconds: float) -> None:
-        """Learn what the caller was told and how long the request took."""
+        """Record the outcome sent to the caller and the request duration in seconds."""
 
 
 @frozen
 class ObserverGroup(RequestObserver):
-    """Tell several observers."""
+    """Observer that forwards each event to several observers."""
 
     observers: tuple[RequestObserver, ...] = ()
 
     def on_server_chosen(self, call: Call, choice: Choice, number: int) -> None:
-        """Learn of the backend server chosen for an attempt, counted from 1."""
+        """Record the backend server chosen for an attempt; `number` starts at 1."""
         for observer in self.observers:
             observer.on_server_chosen(call, choice, number)
 
     def on_attempt_ended(
         self, call: Call, backend_id: str, outcome: Outcome, seconds: float
     ) -> None:
-        """Learn how an attempt ended and how long it took."""
+        """Record the outcome and the duration of an attempt in seconds."""
         for observer in self.observers:
             observer.on_attempt_ended(call, backend_id, outcome, seconds)
 
     def on_connection_broken(self, call: Call, broken: Break) -> None:
-        """Learn of a connection that ended under an attempt."""
+        """Record a connection that broke during an attempt."""
         for observer in self.observers:
             observer.on_connection_broken(call, broken)
 
     def on_request_ended(self, call: Call, outcome: Outcome, seconds: float) -> None:
-        """Learn what the caller was told and how long the request took."""
+        """Record the outcome sent to the caller and the request duration in seconds."""
         for observer in self.observers:
             observer.on_request_ended(call, outcome, seconds)
--- a/catkinslip/proxy/outcomes.py
+++ b/catkinslip/proxy/outcomes.py
@@ -1,4 +1,4 @@
-"""How a request ended: answered, not run, or unknown."""
+"""Outcomes of requests: answered, not run, or unknown."""
 
 from enum import Enum, unique
 
@@ -9,53 +9,73 @@
 
 @unique
 class Reason(Enum):
-    """Why a request was not answered by a backend server."""
+    """The reasons why no backend server answered a request."""
 
     BAD_REQUEST = ('bad-request', 400, 'The request is malformed.')
-    SLOW_REQUEST = ('slow-request', 408, 'The request came too slowly.')
+    SLOW_REQUEST = ('slow-request', 408, 'The request arrived too slowly.')
     BODY_TOO_LARGE = ('body-too-large', 413, 'The request body is too large.')
     EXPECTATION = ('expectation', 417, 'The expectation cannot be met.')
     HEAD_TOO_LARGE = ('head-too-large', 431, 'The request head is too large.')
-    NOT_IMPLEMENTED = ('not-implemented', 501, 'The transfer coding is not known.')
-    VERSION = ('version', 505, 'The HTTP version is not spoken here.')
-    UNKNOWN_SERVICE = ('unknown-service', 404, 'No such service is in the register.')
-    NO_BACKEND = ('no-backend', 503, 'No backend server takes new work.')
+    NOT_IMPLEMENTED = ('not-implemented', 501, 'The transfer coding is not supported.')
+    VERSION = ('version', 505, 'The HTTP version is not supported.')
+    UNKNOWN_SERVICE = ('unknown-service', 404, 'The service is not in the register.')
+    NO_BACKEND = ('no-backend', 503, 'No backend server accepts new requests.')
     EVACUATED = ('evacuated', 503, 'All zones with servers are evacuated.')
-    COLD = ('cold', 503, 'Only cold servers are left, which bear no more now.')
-    THROTTLED = ('throttled', 503, 'Servers in need take no more requests now.')
-    RESTING = ('resting', 503, 'All servers asked this instance for rest.')
-    SERVER_LEFT = ('server-left', 503, 'The backend server takes no new work now.')
+    COLD = (
+        'cold',
+        503,
+        'Only cold servers remain, and they can handle no more requests now.',
+    )
+    THROTTLED = ('throttled', 503, 'The throttled servers accept no more requests now.')
+    RESTING = ('resting', 503, 'All servers asked this instance for a rest period.')
+    SERVER_LEFT = (
+        'server-left',
+        503,
+        'The backend server accepts no new requests now.',
+    )
     CONNECT_FAILED = ('connect-failed', 503, 'No backend server could be reached.')
     CONNECTION_LIMIT = ('connection-limit', 503, 'Too many connections are open.')
-    SHED = ('shed', 503, 'The backend servers refused new work.')
+    SHED = ('shed', 503, 'The backend servers refused the request.')
     MISDIRECTED = ('misdirected', 503, 'Another server has the address.')
     TOO_LATE = ('too-late', 504, 'The deadline passed before the request was sent.')
     DEADLINE = ('deadline', 504, 'The deadline passed before the answer came.')
     BROKEN = ('broken', 502, 'The connection to the backend server broke.')
     CROSSED = ('crossed', 502, 'The backend server answered another request.')
-    CALLER_LEFT = ('caller-left', 499, 'The caller left before the answer came.')
-    OVERLOADED = ('overloaded', 503, 'The service has more work than it can answer.')
+    CALLER_LEFT = (
+        'caller-left',
+        499,
+        'The caller closed its connection before the answer came.',
+    )
+    OVERLOADED = (
+        'overloaded',
+        503,
+        'The service has more requests than it can handle.',
+    )
     DEADLINE_UNMET = ('deadline-unmet', 503, 'The answer would come too late.')
-    CRASHES = ('crashes', 503, 'The request ended backend servers; it is not sent.')
+    CRASHES = ('crashes', 503, 'The request crashed backend servers; it is not sent.')
     NOT_READY = ('not-ready', 503, 'This instance has no configuration yet.')
 
-    KEY_REQUIRED = ('key-required', 400, 'The rules ask for an Idempotency-Key.')
-    KEY_NOT_ACCEPTED = ('key-not-accepted', 422, 'No address answer began this key.')
+    KEY_REQUIRED = ('key-required', 400, 'The rules require an Idempotency-Key.')
+    KEY_NOT_ACCEPTED = (
+        'key-not-accepted',
+        422,
+        'The key has no prefix from an address answer.',
+    )
     KEY_TOO_FAR_AHEAD = ('key-too-far-ahead', 422, 'The key expires too far ahead.')
     KEY_OF_OTHER_REQUEST = (
         'key-of-other-request',
         422,
         'The key belongs to another request.',
     )
-    KEYS_FULL = ('keys-full', 503, 'This instance cannot take more keys now.')
+    KEYS_FULL = ('keys-full', 503, 'This instance cannot store more keys now.')
     KEY_EXPIRED = ('key-expired', 409, 'The key expired; its request may have run.')
     ALREADY_SENT = ('already-sent', 409, 'A request with this key was sent before.')
-    HOME_GONE = ('home-gone', 409, 'The home of the key is gone.')
-    HOME_UNREACHABLE = ('home-unreachable', 503, 'The home does not answer.')
+    HOME_GONE = ('home-gone', 409, 'The home instance of the key no longer exists.')
+    HOME_UNREACHABLE = ('home-unreachable', 503, 'The home instance does not answer.')
     RECORD_UNAVAILABLE = (
         'record-unavailable',
         503,
-        'The platform does not tell whether the key was sent before.',
+        'The platform did not report whether the key was sent before.',
     )
 
     def __init__(self, slug: str, status: int, title: str) -> None:
@@ -66,7 +86,7 @@
 
 @frozen
 class Answered:
-    """A backend server answered and the whole answer was passed on."""
+    """The outcome of a request whose complete answer was forwarded to the caller."""
 
     status: int
     report: LoadReport | None = None
@@ -77,7 +97,10 @@
 
 @frozen
 class NotRun:
-    """The request did not run; it may be sent again after some seconds."""
+    """The outcome of a request that did not run and may be sent again.
+
+    `retry_after` is the number of seconds to wait before that, if specified.
+    """
 
     reason: Reason
     detail: str = ''
@@ -90,7 +113,7 @@
 
 @frozen
 class Unknown:
-    """The request may have run; it is not known whether it did."""
+    """The outcome of a request that may or may not have run."""
 
     reason: Reason
     detail: str = ''
@@ -106,7 +129,7 @@
 
 
 def attempt_result(outcome: Outcome, latency: float) -> AttemptResult:
-    """Return what an outcome says about its backend server."""
+    """Return the result of an attempt for routing to its server; latency in seconds."""
     match outcome:
         case Answered(status, report):
             failed = status in SERVER_ERRORS
--- a/catkinslip/proxy/problems.py
+++ b/catkinslip/proxy/problems.py
@@ -1,4 +1,4 @@
-"""Refusals as problem documents, https://www.rfc-editor.org/rfc/rfc9457."""
+"""Error answers as problem documents, https://www.rfc-editor.org/rfc/rfc9457."""
 
 import math
 
@@ -21,7 +21,10 @@
     *,
     close: bool = False,
 ) -> list[h11.Event]:
-    """Return the answer that tells a caller how a request ended."""
+    """Return the problem document of an outcome as the events of an answer.
+
+    `close` announces that the connection closes after the answer.
+    """
     outcome_value = NOT_RUN if isinstance(outcome, NotRun) else b'unknown'
     reason = outcome.reason
     problem = {
@@ -53,7 +56,7 @@
 
 
 def retry_after_seconds(outcome: NotRun | Unknown) -> float | None:
-    """Return when to come back; None where that is not known."""
+    """Return the seconds after which to retry a request; None if not specified."""
     if isinstance(outcome, NotRun) and outcome.retry_after is not None:
         return outcome.retry_after
     return DEFAULT_RETRY_AFTER_SECONDS if outcome.reason.status == 503 else None
