--- a/tests/test_addresses_answers.py
+++ b/tests/test_addresses_answers.py
@@ -1,4 +1,4 @@
-"""The home set of a service and the answer to callers."""
+"""Tests of the home set of a service and of the address answers to callers."""
 
 import json
 import unittest
@@ -40,7 +40,7 @@
 
 
 class HomeSetTest(unittest.TestCase):
-    """Which instances share a service."""
+    """The choice of the instances that share a service."""
 
     def test_little_moves_when_one_instance_goes_or_comes(self):
         members = fleet(15)
@@ -49,7 +49,8 @@
         for gone in members:
             after = pairs([each for each in members if each != gone])
             moved.append(len(before - after) / len(before))
-        # One of 15 goes or comes: a fifteenth moves, and a little for the zones.
+        # When one of 15 instances leaves or joins, a fifteenth moves, and a little more
+        # because of the limit per zone.
         self.assertLess(sum(moved) / len(moved), 1.1 / 15)
         self.assertLess(max(moved), 1.5 / 15)
 
@@ -94,7 +95,7 @@
 
 
 class AnswerTest(unittest.TestCase):
-    """What one instance answers."""
+    """The address answers of one instance."""
 
     def setUp(self):
         self.members = fleet(9)
--- a/tests/test_proxy_calls.py
+++ b/tests/test_proxy_calls.py
@@ -1,4 +1,4 @@
-"""The deadline of a call follows the register, the settings and the caller."""
+"""Tests of how register, settings and caller determine the deadline of a call."""
 
 import unittest
 from random import Random
@@ -17,7 +17,7 @@
 
 
 class StoppedClock(SystemClock):
-    """A clock that stands still."""
+    """A clock that always returns the same time."""
 
     def monotonic(self) -> float:
         return NOW
@@ -27,7 +27,7 @@
 
 
 class TimeoutTest(unittest.TestCase):
-    """The shortest of all timeouts bounds a call."""
+    """The deadline of a call follows from the shortest timeout that applies."""
 
     def setUp(self):
         self.config = ConfigHolder()
--- a/tests/test_proxy_input.py
+++ b/tests/test_proxy_input.py
@@ -1,4 +1,4 @@
-"""Bad input of callers is refused before it reaches a backend server (issue 3)."""
+"""Tests that malformed input of callers is refused before it reaches a server."""
 
 import re
 import unittest
@@ -65,7 +65,7 @@
 
 
 class CountingForwarder:
-    """Count calls and refuse each."""
+    """Forwarder that records calls and refuses each of them."""
 
     def __init__(self):
         self.clock = SystemClock()
@@ -77,7 +77,7 @@
 
 
 async def converse(*parts: bytes, stays: bool = False, **limits):
-    """Send parts on one connection; return all that came back and the calls."""
+    """Send parts on one connection; return all bytes received and the calls."""
     forwarder = CountingForwarder()
     server = caller_server(forwarder, max_body_bytes=66_000, **limits)
     ours, theirs = trio.testing.memory_stream_pair()
@@ -104,7 +104,7 @@
 
 
 class BadInputTest(unittest.TestCase):
-    """Requests that are refused at once."""
+    """Requests that are refused without being forwarded."""
 
     def test_each_bad_request_is_refused_and_its_connection_closed(self):
         for request, status in STATUS_BY_REQUEST.items():
@@ -188,7 +188,7 @@
 
 
 class FuzzTest(unittest.TestCase):
-    """Whatever comes, nothing odd passes and the connection ends."""
+    """On any input, only well-formed requests pass and the connection ends."""
 
     @settings(max_examples=300, derandomize=True, deadline=None, database=None)
     @given(NOISE)
--- a/tests/test_proxy_process.py
+++ b/tests/test_proxy_process.py
@@ -1,4 +1,4 @@
-"""The request path of a whole daemon before a faulty backend server (issue 3)."""
+"""Tests of the request path of a daemon process with a faulty backend server."""
 
 import json
 import unittest
@@ -18,14 +18,14 @@
 
 
 class DaemonPathTest(unittest.TestCase):
-    """Callers that leave, answers cut short, connections closed when idle."""
+    """Callers that disconnect, truncated answers and connections closed when idle."""
 
     def setUp(self):
         self.group = new_process_group(self)
 
     def start_daemon(self, backend_address: str) -> Address:
         platform_url = f'http://{self.group.start_platform().address}'
-        # The deadline must not do the work of the watch on callers.
+        # Long timeouts, so that only the caller watch can end a request here.
         daemon = self.group.start_daemon(
             'entry-1',
             'zone-a',
@@ -59,7 +59,7 @@
             nursery.cancel_scope.cancel()
 
     async def ask(self, address: Address, request: bytes) -> bytes:
-        """Return all bytes of an answer, and that it was reset as the last."""
+        """Return all bytes of an answer, followed by RESET if the connection was reset."""
         stream = await trio.open_tcp_stream(address.host, address.port)
         await stream.send_all(
             request.replace(b'\r\n\r\n', b'\r\nConnection: close\r\n\r\n')
--- a/tests/test_proxy_start.py
+++ b/tests/test_proxy_start.py
@@ -1,4 +1,4 @@
-"""A call that comes before the instance knows any configuration."""
+"""Tests of a call that arrives before the instance has a configuration."""
 
 import unittest
 from random import Random
@@ -12,12 +12,12 @@
 from catkinslip.routing.policies import LeastInFlight
 from tests.builders import plain_call
 
-#: Weak machines take so long at least from their start until they are ready.
+#: Minimum seconds from start to readiness on slow machines.
 LEAST_START_SECONDS = 0.4
 
 
 class StartTest(unittest.TestCase):
-    """What its caller is told."""
+    """The answer to a caller of an instance that is starting."""
 
     def test_caller_comes_back_when_the_instance_may_be_ready(self):
         directory = Directory(lambda: LeastInFlight(Random(1)))
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path, as separate processes."""
+"""Test of the whole request path with separate processes."""
 
 import json
 import unittest
@@ -18,7 +18,7 @@
 
 
 class WholePathTest(unittest.TestCase):
-    """Callers, two instances, backend servers, the platform and the tool."""
+    """A caller, two instances, backend servers, the platform and the CLI."""
 
     def setUp(self):
         self.group = new_process_group(self)
