--- a/tests/test_addresses_answers.py
+++ b/tests/test_addresses_answers.py
@@ -42,12 +42,12 @@
 class HomeSetTest(unittest.TestCase):
     """The choice of the instances that share a service."""
 
-    def test_little_moves_when_one_instance_goes_or_comes(self):
+    def test_little_moves_when_one_instance_leaves_or_joins(self):
         members = fleet(15)
         before = pairs(members)
         moved = []
-        for gone in members:
-            after = pairs([each for each in members if each != gone])
+        for removed in members:
+            after = pairs([each for each in members if each != removed])
             moved.append(len(before - after) / len(before))
         # When one of 15 instances leaves or joins, a fifteenth moves, and a little more
         # because of the limit per zone.
@@ -117,7 +117,7 @@
     def answer(self, query: str = '') -> dict:
         return json.loads(self.resolver.answer('limits', query).to_json())
 
-    def test_answer_names_what_callers_need(self):
+    def test_answer_contains_all_fields_for_callers(self):
         self.configure()
         plain = self.answer('zone=zone-b')
         self.assertEqual(plain['service'], 'limits')
@@ -127,16 +127,16 @@
         self.assertEqual(named, plain['addresses'])
         prefixes = {each['address']: each['key_prefix'] for each in plain['instances']}
         self.assertEqual(plain['key_prefix_by_address'], prefixes)
-        for asked in ZONES:
-            told = self.answer(f'zone={asked}')['instances']
-            zones = [each['zone'] for each in told]
-            self.assertEqual(zones, sorted(zones, key=lambda zone: zone != asked))
+        for requested in ZONES:
+            instances = self.answer(f'zone={asked}')['instances']
+            zones = [each['zone'] for each in instances]
+            self.assertEqual(zones, sorted(zones, key=lambda zone: zone != requested))
 
-    def test_all_zones_are_told_of_the_same_home_set(self):
+    def test_all_zones_get_the_same_home_set(self):
         sets = {frozenset(self.answer(f'zone={zone}')['addresses']) for zone in ZONES}
         self.assertEqual(len(sets), 1)
 
-    def test_unknown_service_is_told_only_once_there_is_a_configuration(self):
+    def test_unknown_service_is_reported_only_with_a_configuration(self):
         self.assertEqual(len(self.answer()['addresses']), 3)
         self.configure()
         self.assertEqual(self.resolver.answer('none', ''), UnknownService('none'))
--- a/tests/test_proxy_input.py
+++ b/tests/test_proxy_input.py
@@ -15,12 +15,12 @@
 from catkinslip.proxy.outcomes import NotRun, Reason
 from tests.builders import caller_server
 
-GENEROUS_SECONDS = 20
+TIMEOUT_SECONDS = 20
 GET = b'GET /a HTTP/1.1\r\nHost: limits\r\n\r\n'
 POST = b'POST /a HTTP/1.1\r\nHost: limits\r\n%s\r\n\r\n%s'
 CHUNKED = b'Transfer-Encoding: chunked'
 STATUS = re.compile(rb'HTTP/1.1 ([0-9]{3}) ')
-SOUND = re.compile(rb'\A([^\r\n]+\r\n)+\r\n\Z')
+WELL_FORMED_HEAD = re.compile(rb'\A([^\r\n]+\r\n)+\r\n\Z')
 
 STATUS_BY_REQUEST = {
     b'GET /a HTTP/1.1\nHost: limits\n\n': 400,
@@ -76,19 +76,19 @@
         return NotRun(Reason.NO_BACKEND)
 
 
-async def converse(*parts: bytes, stays: bool = False, **limits):
+async def exchange_bytes(*parts: bytes, keeps_open: bool = False, **limits):
     """Send parts on one connection; return all bytes received and the calls."""
     forwarder = CountingForwarder()
     server = caller_server(forwarder, max_body_bytes=66_000, **limits)
     ours, theirs = trio.testing.memory_stream_pair()
     received = b''
-    with trio.fail_after(GENEROUS_SECONDS):
+    with trio.fail_after(TIMEOUT_SECONDS):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(server.serve, theirs)
             for part in parts:
                 await ours.send_all(part)
                 await trio.testing.wait_all_tasks_blocked()
-            if not stays:
+            if not keeps_open:
                 await ours.send_eof()
             try:
                 async for data in ours:
@@ -109,7 +109,7 @@
     def test_each_bad_request_is_refused_and_its_connection_closed(self):
         for request, status in STATUS_BY_REQUEST.items():
             with self.subTest(request[:100]):
-                received, calls = trio.run(converse, request + GET)
+                received, calls = trio.run(exchange_bytes, request + GET)
                 self.assertEqual(status_of(received), status)
                 self.assertEqual((calls, len(STATUS.findall(received))), ([], 1))
                 head, _, body = received.partition(b'\r\n\r\n')
@@ -119,55 +119,57 @@
                 self.assertEqual(problem['status'], status)
                 self.assertTrue(problem['instance'].endswith(problem['request_id']))
 
-    def test_a_slow_sender_is_told_so(self):
+    def test_a_slow_sender_gets_status_408(self):
         post = POST % (b'Content-Length: 9', b'ab')
         for part, limits in (
             (GET[:-4], {'head_timeout': 0.01}),
             (post, {'body_timeout': 0.01}),
         ):
-            received, calls = trio.run(lambda p=part, k=limits: stall(p, **k))
+            received, calls = trio.run(
+                lambda p=part, k=limits: exchange_and_stall(p, **k)
+            )
             self.assertEqual((status_of(received), calls), (408, []))
 
-    def test_an_idle_connection_is_closed_without_a_word(self):
-        received, _ = trio.run(lambda: stall(b'', idle_timeout=0.01))
+    def test_an_idle_connection_is_closed_without_an_answer(self):
+        received, _ = trio.run(lambda: exchange_and_stall(b'', idle_timeout=0.01))
         self.assertEqual(received, b'')
 
-    def test_a_connection_over_the_cap_is_told_when_to_come_back(self):
-        received, calls = trio.run(lambda: converse(GET, max_connections=0))
+    def test_a_connection_over_the_limit_gets_retry_after(self):
+        received, calls = trio.run(lambda: exchange_bytes(GET, max_connections=0))
         self.assertEqual((status_of(received), calls), (503, []))
         self.assertIn(b'retry-after: 1', received.lower())
 
     def test_a_passed_deadline_of_the_caller_is_not_run(self):
         request = GET[:-2] + b'Catkinslip-Deadline: 1000.5\r\n\r\n'
-        received, calls = trio.run(converse, request)
+        received, calls = trio.run(exchange_bytes, request)
         self.assertEqual((status_of(received), calls), (504, []))
         self.assertIn(b'catkinslip-outcome: not-run', received)
 
-    def test_a_body_is_asked_for_when_the_caller_waits(self):
+    def test_a_caller_that_expects_100_continue_gets_it(self):
         head = POST % (b'Content-Length: 2\r\nExpect: 100-continue', b'')
-        received, (call,) = trio.run(converse, head, b'ab')
+        received, (call,) = trio.run(exchange_bytes, head, b'ab')
         self.assertTrue(received.startswith(b'HTTP/1.1 100 '))
         self.assertEqual(call.body, b'ab')
         head = POST % (b'Content-Length: 70000\r\nExpect: 100-continue', b'')
-        received, _ = trio.run(converse, head)
+        received, _ = trio.run(exchange_bytes, head)
         self.assertEqual(status_of(received), 413)
 
     def test_absolute_targets_are_turned_into_paths(self):
         request = GET.replace(b'/a', b'http://limits/b?c')
-        _, (call,) = trio.run(converse, request)
+        _, (call,) = trio.run(exchange_bytes, request)
         self.assertEqual((call.target, call.service), (b'/b?c', 'limits'))
 
     def test_refusals_of_head_requests_have_no_body(self):
-        received, calls = trio.run(converse, GET.replace(b'GET', b'HEAD') + GET)
+        received, calls = trio.run(exchange_bytes, GET.replace(b'GET', b'HEAD') + GET)
         self.assertEqual(len(calls), 2)
         self.assertEqual(received.count(b'"status":503'), 1)
 
 
-async def stall(part: bytes, **limits):
-    return await converse(part, stays=True, **limits)
+async def exchange_and_stall(part: bytes, **limits):
+    return await exchange_bytes(part, keeps_open=True, **limits)
 
 
-PIECES = st.sampled_from(
+FRAGMENTS = st.sampled_from(
     [
         GET,
         b'GET /a HTTP/1.1\r\n',
@@ -184,18 +186,18 @@
         b'abc',
     ]
 )
-NOISE = st.lists(PIECES | st.binary(max_size=6), max_size=12)
+FRAGMENT_LISTS = st.lists(FRAGMENTS | st.binary(max_size=6), max_size=12)
 
 
 class FuzzTest(unittest.TestCase):
     """On any input, only well-formed requests pass and the connection ends."""
 
     @settings(max_examples=300, derandomize=True, deadline=None, database=None)
-    @given(NOISE)
+    @given(FRAGMENT_LISTS)
     @example([b'\r\n', GET])
-    def test_any_input_gets_sound_answers_and_an_end(self, parts):
+    def test_any_input_gets_valid_answers_and_a_closed_connection(self, parts):
         with self.assertNoLogs('request', 'ERROR'):
-            received, calls = trio.run(converse, *parts)
+            received, calls = trio.run(exchange_bytes, *parts)
         statuses = STATUS.findall(received)
         self.assertEqual(statuses.count(b'503'), len(calls))
         self.assertLessEqual(len(statuses) - len(calls), 1)
@@ -208,13 +210,13 @@
         data = GET[:at] + new + GET[at + cut :]
         head = extract_head(data)
         if isinstance(head, bytes):
-            self.assertRegex(head, SOUND)
+            self.assertRegex(head, WELL_FORMED_HEAD)
             self.assertNotRegex(head, rb'\n[ \t]|[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]')
 
     @settings(max_examples=300, derandomize=True, deadline=None, database=None)
-    @given(NOISE, st.integers(1, 7))
+    @given(FRAGMENT_LISTS, st.integers(1, 7))
     @example([b'a\r\n0123456789\r\n', b'0\r\n', b'A: 1\r\n', b'\r\n'], 3)
-    def test_chunks_are_judged_alike_however_they_arrive(self, parts, step):
+    def test_chunk_checks_do_not_depend_on_how_data_is_split(self, parts, step):
         data = b''.join(parts)
         whole, split = ChunkCheck(), ChunkCheck()
         fault = whole.feed(data)
--- a/tests/test_proxy_process.py
+++ b/tests/test_proxy_process.py
@@ -11,7 +11,7 @@
 from tests.builders import document_plain
 from tests.small_fleet import new_process_group
 
-GENEROUS_SECONDS = 30
+TIMEOUT_SECONDS = 30
 GET = b'GET /a HTTP/1.1\r\nHost: limits\r\n\r\n'
 POST = b'POST /a HTTP/1.1\r\nHost: limits\r\nContent-Length: 2\r\n\r\nhi'
 CUT = RawAnswer(b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc', closes=True)
@@ -41,24 +41,26 @@
         return Address.parse(daemon.address)
 
     def test_faults_of_a_backend_and_a_caller(self):
-        trio.run(self.provoke, RawBackend())
+        trio.run(self.check_faults, RawBackend())
 
-    async def provoke(self, backend: RawBackend):
+    async def check_faults(self, backend: RawBackend):
         async with trio.open_nursery() as nursery:
             listeners = await nursery.start(trio.serve_tcp, backend.serve, 0)
             port = listeners[0].socket.getsockname()[1]
             address = await trio.to_thread.run_sync(
                 self.start_daemon, f'127.0.0.1:{port}'
             )
-            with trio.fail_after(GENEROUS_SECONDS):
-                while not (await self.ask(address, GET)).startswith(b'HTTP/1.1 200'):
+            with trio.fail_after(TIMEOUT_SECONDS):
+                while not (await self.send_request(address, GET)).startswith(
+                    b'HTTP/1.1 200'
+                ):
                     await trio.sleep(0.05)
                 await self.check_cut_answer(backend, address)
                 await self.check_closed_connection(backend, address)
-                await self.check_leaving_caller(backend, address)
+                await self.check_disconnecting_caller(backend, address)
             nursery.cancel_scope.cancel()
 
-    async def ask(self, address: Address, request: bytes) -> bytes:
+    async def send_request(self, address: Address, request: bytes) -> bytes:
         """Return all bytes of an answer, followed by RESET if the connection was reset."""
         stream = await trio.open_tcp_stream(address.host, address.port)
         await stream.send_all(
@@ -75,17 +77,17 @@
 
     async def check_cut_answer(self, backend: RawBackend, address: Address):
         backend.answers = [CUT]
-        self.assertTrue((await self.ask(address, POST)).endswith(b'RESET'))
+        self.assertTrue((await self.send_request(address, POST)).endswith(b'RESET'))
 
     async def check_closed_connection(self, backend: RawBackend, address: Address):
         for request, status in ((GET, b'200'), (POST, b'502')):
             backend.answers = [ok(), CLOSE, ok()]
-            await self.ask(address, GET)
-            answer = await self.ask(address, request)
+            await self.send_request(address, GET)
+            answer = await self.send_request(address, request)
             self.assertEqual(answer.split(b' ')[1], status)
             self.assertEqual(b'catkinslip-outcome: unknown' in answer, status == b'502')
 
-    async def check_leaving_caller(self, backend: RawBackend, address: Address):
+    async def check_disconnecting_caller(self, backend: RawBackend, address: Address):
         backend.answers, backend.left, backend.asked = (
             [WAIT],
             trio.Event(),
--- a/tests/test_proxy_start.py
+++ b/tests/test_proxy_start.py
@@ -13,20 +13,20 @@
 from tests.builders import plain_call
 
 #: Minimum seconds from start to readiness on slow machines.
-LEAST_START_SECONDS = 0.4
+MIN_START_SECONDS = 0.4
 
 
 class StartTest(unittest.TestCase):
     """The answer to a caller of an instance that is starting."""
 
-    def test_caller_comes_back_when_the_instance_may_be_ready(self):
+    def test_retry_after_is_not_shorter_than_a_start(self):
         directory = Directory(lambda: LeastInFlight(Random(1)))
         forwarder = Forwarder(
             directory, None, SystemClock(), limits=None, health=None, hedges=None
         )
         refusal = trio.run(forwarder.forward, plain_call('limits'), None)
         self.assertIs(refusal.reason, Reason.NOT_READY)
-        self.assertGreaterEqual(refusal.retry_after, LEAST_START_SECONDS)
+        self.assertGreaterEqual(refusal.retry_after, MIN_START_SECONDS)
 
 
 if __name__ == '__main__':
