--- a/tests/test_addresses_answers.py
+++ b/tests/test_addresses_answers.py
@@ -128,7 +128,7 @@
         prefixes = {each['address']: each['key_prefix'] for each in plain['instances']}
         self.assertEqual(plain['key_prefix_by_address'], prefixes)
         for requested in ZONES:
-            instances = self.answer(f'zone={asked}')['instances']
+            instances = self.answer(f'zone={requested}')['instances']
             zones = [each['zone'] for each in instances]
             self.assertEqual(zones, sorted(zones, key=lambda zone: zone != requested))
 
