--- a/catkinslip/addresses/home.py
+++ b/catkinslip/addresses/home.py
@@ -14,8 +14,8 @@
 
 #: Calls per second that one instance handles with half of a CPU core.
 CALLS_PER_SECOND_PER_INSTANCE = 1000.0
-#: Assumed service time in seconds, as the register has none; services with shorter
-#: ones need a greater minimum home set.
+#: Assumed service time in seconds, as the register has none; shorter service times
+#: require a greater minimum home set.
 ASSUMED_SERVICE_SECONDS = 0.02
 #: Number of instances beyond those that the load needs, so that some can fail.
 SPARE_INSTANCES = 2
--- a/catkinslip/proxy/answers.py
+++ b/catkinslip/proxy/answers.py
@@ -29,8 +29,8 @@
 async def drain_body(wire: Wire) -> None:
     """Read and discard the rest of an answer that is not forwarded.
 
-    A connection whose answer is cut off or longer than MAX_REFUSAL_BYTES is marked
-    as spoiled, so that it is not reused.
+    A connection whose answer is cut off or exceeds MAX_REFUSAL_BYTES is marked as
+    spoiled, so that it is not reused.
     """
     remaining = MAX_REFUSAL_BYTES
     try:
--- a/catkinslip/proxy/callers.py
+++ b/catkinslip/proxy/callers.py
@@ -96,7 +96,7 @@
 
     async def _serve_requests(self, wire: Wire) -> None:
         if self.connections > self.limits.max_connections:
-            detail = f'at most {self.limits.max_connections} callers'
+            detail = f'at most {self.limits.max_connections} connections are allowed'
             await self._refuse(wire, NotRun(Reason.CONNECTION_LIMIT, detail))
             return
         while await self._serve_request(wire):
--- a/catkinslip/proxy/calls.py
+++ b/catkinslip/proxy/calls.py
@@ -61,7 +61,10 @@
     is_suspect: bool = False
 
     def record_spent(self, seconds: float) -> None:
-        """Record the seconds that the caller had waited before this attempt."""
+        """Record the seconds that the caller had waited before this attempt.
+
+        The target deadline becomes earlier by as much.
+        """
         self.spent = seconds
         self.target_deadline -= seconds
 
--- a/catkinslip/proxy/dialect.py
+++ b/catkinslip/proxy/dialect.py
@@ -69,7 +69,7 @@
 
     @abstractmethod
     def find_refusal(self, status: int, headers: list[Header]) -> Reason | None:
-        """Return why the backend server did not run a request; None if it may have."""
+        """Return why a server did not run a request; None if it may have run it."""
 
     @abstractmethod
     def read_report(self, headers: Sequence[Header]) -> LoadReport | None:
--- a/catkinslip/proxy/headers.py
+++ b/catkinslip/proxy/headers.py
@@ -40,7 +40,7 @@
         b'upgrade',
     }
 )
-# This instance sets these headers on each request, so those of the caller are dropped.
+# The caller's values are dropped; this instance sets its own on each request.
 REPLACED_IN_REQUESTS = HOP_BY_HOP | {
     SERVICE,
     REQUEST_ID,
@@ -53,7 +53,7 @@
     b'content-length',
     b'expect',
 }
-# This instance sets these headers on each answer, so those of the server are dropped.
+# Only this instance states the outcome of a request, so a server's value is dropped.
 REPLACED_IN_ANSWERS = HOP_BY_HOP | {REQUEST_ID, OUTCOME}
 
 
@@ -81,9 +81,9 @@
 
 
 def end_to_end(headers: Iterable[Header], replaced: frozenset[bytes]) -> list[Header]:
-    """Return the headers to forward, without `replaced` and hop-by-hop ones.
+    """Return the headers to forward, without those in `replaced`.
 
-    The headers that a connection header names are hop-by-hop, except content-length
+    Headers that the connection header names are dropped too, except content-length
     and host.
     """
     headers = list(headers)
--- a/catkinslip/proxy/native_dialect.py
+++ b/catkinslip/proxy/native_dialect.py
@@ -67,7 +67,7 @@
         return answers.find_framing_fault(headers)
 
     def find_refusal(self, status: int, headers: list[Header]) -> Reason | None:
-        """Return why the backend server did not run a request; None if it may have."""
+        """Return why a server did not run a request; None if it may have run it."""
         refused = names.find(headers, names.OUTCOME) == names.NOT_RUN
         return Reason.SHED if status == 503 and refused else None
 
--- a/catkinslip/proxy/observer.py
+++ b/catkinslip/proxy/observer.py
@@ -21,14 +21,14 @@
     def on_attempt_ended(
         self, call: Call, backend_id: str, outcome: Outcome, seconds: float
     ) -> None:
-        """Record the outcome and the duration of an attempt in seconds."""
+        """Record the outcome of an attempt and its duration in seconds."""
 
     def on_connection_broken(self, call: Call, broken: Break) -> None:  # noqa: B027
         """Record a connection that broke during an attempt."""
 
     @abstractmethod
     def on_request_ended(self, call: Call, outcome: Outcome, seconds: float) -> None:
-        """Record the outcome sent to the caller and the request duration in seconds."""
+        """Record the outcome of a request and its duration in seconds."""
 
 
 @frozen
@@ -45,7 +45,7 @@
     def on_attempt_ended(
         self, call: Call, backend_id: str, outcome: Outcome, seconds: float
     ) -> None:
-        """Record the outcome and the duration of an attempt in seconds."""
+        """Record the outcome of an attempt and its duration in seconds."""
         for observer in self.observers:
             observer.on_attempt_ended(call, backend_id, outcome, seconds)
 
@@ -55,6 +55,6 @@
             observer.on_connection_broken(call, broken)
 
     def on_request_ended(self, call: Call, outcome: Outcome, seconds: float) -> None:
-        """Record the outcome sent to the caller and the request duration in seconds."""
+        """Record the outcome of a request and its duration in seconds."""
         for observer in self.observers:
             observer.on_request_ended(call, outcome, seconds)
--- a/catkinslip/proxy/outcomes.py
+++ b/catkinslip/proxy/outcomes.py
@@ -129,7 +129,10 @@
 
 
 def attempt_result(outcome: Outcome, latency: float) -> AttemptResult:
-    """Return the result of an attempt for routing to its server; latency in seconds."""
+    """Return the result that routing records for the outcome of an attempt.
+
+    `latency` is in seconds.
+    """
     match outcome:
         case Answered(status, report):
             failed = status in SERVER_ERRORS
