--- a/catkinslip/addresses/answers.py
+++ b/catkinslip/addresses/answers.py
@@ -90,7 +90,7 @@
     key_issuer: KeyIssuer
     config: ConfigHolder = Factory(ConfigHolder)
     limits: HomeSetLimits = Factory(HomeSetLimits)
-    _home_set_by_key: dict[tuple[str, str], list[Member]] = field(
+    _home_set_by_service_and_region: dict[tuple[str, str], list[Member]] = field(
         factory=dict, init=False
     )
     _cached_state: tuple | None = field(default=None, init=False)
@@ -126,14 +126,14 @@
         """
         self._clear_cache_if_changed()
         region = self._region_of(zone)
-        found = self._home_set_by_key.get((service, region))
+        found = self._home_set_by_service_and_region.get((service, region))
         if found is None:
             # Any instance serves any service, so leaving instances are used if no
             # others exist.
             usable = self.members.usable() or self.members.live()
             size = home_set_size(configured, self._count_backends(service), self.limits)
             found = choose_home_set(service, region, usable, size)
-            self._home_set_by_key[service, region] = found
+            self._home_set_by_service_and_region[service, region] = found
         return found
 
     def _clear_cache_if_changed(self) -> None:
@@ -144,7 +144,7 @@
         )
         if self._cached_state != state:
             self._cached_state = state
-            self._home_set_by_key = {}
+            self._home_set_by_service_and_region = {}
 
     def _region_of(self, zone: str) -> str:
         for member in self.members.live():
--- a/catkinslip/addresses/zonal.py
+++ b/catkinslip/addresses/zonal.py
@@ -50,14 +50,14 @@
         to are preferred to others, so that request bodies do not pass through a third
         region.
         """
-        regions = self._find_regions(caller.host)
+        regions = self._allowed_regions(caller.host)
         entries = self.instances.usable(caller.zone, caller.region, regions)
         if len(entries) > MAX_ADDRESSES:
             entries = self.random.sample(entries, MAX_ADDRESSES)
         addresses = tuple(entry.caller_address for entry in entries)
         return ZoneAnswer(addresses, self.lifetime)
 
-    def _find_regions(self, host: str) -> frozenset[str]:
+    def _allowed_regions(self, host: str) -> frozenset[str]:
         document = self.config.current.document
         if document is not self._document:
             self._document = document
