--- a/tests/test_proxy_process.py
+++ b/tests/test_proxy_process.py
@@ -61,7 +61,7 @@
             nursery.cancel_scope.cancel()
 
     async def send_request(self, address: Address, request: bytes) -> bytes:
-        """Return the bytes of an answer, followed by RESET if it was cut off."""
+        """Return the answer's bytes, followed by RESET if the connection was reset."""
         stream = await trio.open_tcp_stream(address.host, address.port)
         await stream.send_all(
             request.replace(b'\r\n\r\n', b'\r\nConnection: close\r\n\r\n')
