--- a/catkinslip/health/sampler.py
+++ b/catkinslip/health/sampler.py
@@ -316,8 +316,8 @@
             router.apply_peer_report(
                 load.backend_id, answer.report, answered_at, picks_before
             )
-        router.apply_signals(load, answer.words, AnswerKind.PROBE, sent_at, now)
-        if answer.words.is_leaving:
+        router.apply_signals(load, answer.signals, AnswerKind.PROBE, sent_at, now)
+        if answer.signals.is_leaving:
             self.health.mark_leaving(load.backend_id)
         if answer.cold_seconds is None:
             log.info('health: cold time not readable. backend=%s', load.backend_id)
@@ -327,6 +327,6 @@
             way_back = now - answered_at if answer.cold_seconds > 0 else 0.0
             cold_seconds = answer.cold_seconds + way_back
             router.apply_cold_report(load.backend_id, cold_seconds, answered_at)
-        if not answer.is_well:
+        if not answer.is_healthy:
             router.mark_unhealthy(load.backend_id, now)
         return True
--- a/catkinslip/platform/dialect.py
+++ b/catkinslip/platform/dialect.py
@@ -10,7 +10,11 @@
 from catkinslip.proxy import answers
 from catkinslip.proxy import headers as names
 from catkinslip.proxy.calls import Call
-from catkinslip.proxy.dialect import CallTerms, Dialect, ProbeAnswer
+from catkinslip.proxy.dialect import (
+    CallParameters,
+    Dialect,
+    ProbeAnswer,
+)
 from catkinslip.proxy.head_checks import malformed
 from catkinslip.proxy.headers import Header, RequestHead
 from catkinslip.proxy.outcomes import NotRun, Reason, Unknown
@@ -51,7 +55,9 @@
 class PlatformDialect(Dialect):
     """Spell the platform's headers."""
 
-    def read_terms(self, request: RequestHead, wall: float) -> CallTerms | NotRun:
+    def read_parameters(
+        self, request: RequestHead, wall: float
+    ) -> CallParameters | NotRun:
         """Read a caller's headers, or refuse one that is malformed."""
         headers = request.headers
         request_id = names.find(headers, wire.REQUEST_ID)
@@ -64,7 +70,7 @@
                 return malformed('the deadline is no number of milliseconds')
             timeout = float(given) / 1000
         host = (names.find(headers, b'host') or b'').decode('latin-1')
-        return CallTerms(
+        return CallParameters(
             service='',
             host=host.partition(':')[0],
             request_id=request_id.decode() if request_id else None,
@@ -72,13 +78,13 @@
         )
 
     def request_headers(
-        self, call: Call, backend_id: str, number: int, time_left: float
+        self, call: Call, backend_id: str, number: int, remaining: float
     ) -> list[Header]:
         """Return the headers of an attempt, without those that frame the body."""
         headers = names.end_to_end(call.headers, REPLACED_IN_REQUESTS)
         if names.find(headers, wire.REQUEST_ID) is None:
             headers.append((wire.REQUEST_ID, call.request_id.encode()))
-        headers.append((wire.DEADLINE, b'%d' % max(1, int(time_left * 1000))))
+        headers.append((wire.DEADLINE, b'%d' % max(1, int(remaining * 1000))))
         headers.append((wire.TARGET, backend_id.encode()))
         return headers
 
@@ -111,7 +117,7 @@
         value = names.find(headers, wire.SERVER_LOAD)
         return None if value is None else parse_load(value)
 
-    def read_words(self, status: int, headers: Sequence[Header]) -> ServerSignals:
+    def read_signals(self, status: int, headers: Sequence[Header]) -> ServerSignals:
         """Return what an answer asks for in the name of its server."""
         leaving = names.find(headers, wire.LEAVING)
         return ServerSignals(
@@ -169,7 +175,7 @@
             report,
             server_id.decode('latin-1'),
             cold,
-            self.read_words(status, headers),
+            self.read_signals(status, headers),
         )
 
 
--- a/catkinslip/proxy/answers.py
+++ b/catkinslip/proxy/answers.py
@@ -1,4 +1,4 @@
-"""Read and judge the heads of backend servers' answers."""
+"""Reading and checking of response heads from backend servers."""
 
 import h11
 
@@ -12,8 +12,11 @@
 
 
 async def receive_response(wire: Wire) -> h11.Response:
-    """Return the final response head."""
-    # Nothing of the answer can be in the codec yet.
+    """Return the final response head of the exchange, skipping 1xx responses.
+
+    Raises h11.RemoteProtocolError when the connection closes before one arrives.
+    """
+    # The codec holds no bytes of the answer yet, so read before parsing.
     await wire.fill()
     while True:
         event = await wire.receive()
@@ -24,26 +27,30 @@
 
 
 async def drain_body(wire: Wire) -> None:
-    """Read the rest of a short answer that is not passed on."""
-    left = MAX_REFUSAL_BYTES
+    """Read and discard the rest of an answer that is not forwarded.
+
+    A connection whose answer is cut off or exceeds MAX_REFUSAL_BYTES is marked as
+    spoiled, so that it is not reused.
+    """
+    remaining = MAX_REFUSAL_BYTES
     try:
-        while left > 0:
+        while remaining > 0:
             event = await wire.receive()
             if type(event) is h11.EndOfMessage:
                 return
-            left -= len(event.data)
+            remaining -= len(event.data)
     except (*ConnectionErrors, h11.RemoteProtocolError):
         pass
     wire.is_spoiled = True
 
 
 def has_begun(wire: Wire) -> bool:
-    """Tell whether any byte of an answer came."""
+    """Return whether any byte of an answer was received."""
     return wire.codec.their_state is h11.SEND_BODY or bool(wire.codec.trailing_data[0])
 
 
 def find_framing_fault(headers: list[names.Header]) -> Unknown | None:
-    """Return what is wrong with how an answer is framed; None when nothing is."""
+    """Return the fault in how headers frame an answer; None if there is none."""
     length = names.find(headers, b'content-length')
     coding = names.find(headers, b'transfer-encoding')
     if length is not None and coding is not None:
@@ -52,7 +59,7 @@
 
 
 def is_unframed(status: int, headers: list[names.Header], method: bytes) -> bool:
-    """Tell whether only the end of the connection ends an answer."""
+    """Return whether only the end of the connection marks the end of an answer."""
     if not may_have_body(status, method):
         return False
     length = names.find(headers, b'content-length')
@@ -60,11 +67,11 @@
 
 
 def may_have_body(status: int, method: bytes) -> bool:
-    """Tell whether a body may follow an answer's head."""
+    """Return whether a body may follow the head of an answer."""
     return method != b'HEAD' and status not in STATUS_WITHOUT_BODY
 
 
 def read_report(headers: list[names.Header]) -> reports.LoadReport | None:
-    """Return the load report of an answer."""
+    """Return the load report in an answer's headers; None if there is none."""
     value = names.find(headers, reports.HEADER)
     return None if value is None else reports.parse_report(value)
--- a/catkinslip/proxy/bodies.py
+++ b/catkinslip/proxy/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of requests: small ones are kept, large ones are passed on as they come."""
+"""Request bodies: small ones are buffered, large ones are streamed."""
 
 import h11
 import trio
@@ -8,22 +8,22 @@
 from catkinslip.proxy.outcomes import NotRun, Reason
 from catkinslip.proxy.wire import ConnectionErrors, Wire
 
-KEPT_BODY_BYTES = 64 << 10
+MAX_BUFFERED_BODY_BYTES = 64 << 10
 
 
 @define
-class RestOfBody:
-    """The part of a body that is read only while it is sent on."""
+class BodyRemainder:
+    """The part of a request body that is read only while it is being forwarded."""
 
     caller: Wire
-    bytes_left: int
+    remaining_bytes: int
     length: int | None = None
     nursery: trio.Nursery | None = None
     is_started: bool = False
     fault: Reason | None = None
 
     async def receive(self) -> h11.Data | h11.EndOfMessage | None:
-        """Return the next event of the body; None at a fault."""
+        """Return the next event of the body; None after setting `fault`."""
         self.is_started = True
         try:
             event = await self.caller.receive()
@@ -34,8 +34,8 @@
             self.fault = Reason.CALLER_LEFT
             return None
         if type(event) is h11.Data:
-            self.bytes_left -= len(event.data)
-        if self.bytes_left < 0:
+            self.remaining_bytes -= len(event.data)
+        if self.remaining_bytes < 0:
             self.fault = Reason.BODY_TOO_LARGE
             return None
         return event
@@ -43,10 +43,10 @@
 
 @frozen
 class Body:
-    """What was read of a body, and the rest when it is large."""
+    """The buffered start of a request body, and the remainder of a large one."""
 
     start: bytes = b''
-    rest: RestOfBody | None = None
+    remainder: BodyRemainder | None = None
 
 
 NO_BODY = Body()
@@ -54,32 +54,35 @@
 
 @frozen
 class BodyReader:
-    """Read the start of bodies; the timeout is in seconds."""
+    """Reader of the starts of request bodies; the timeout is in seconds."""
 
     max_bytes: int
     timeout: float
 
     async def read(self, caller: Wire, request: names.RequestHead) -> Body | NotRun:
-        """Return a small body whole, a large one with its rest, or a refusal."""
+        """Return a small body whole, a large one with its remainder, or a refusal."""
         length = declared_length(request)
         if length is not None and length > self.max_bytes:
             return too_large(self.max_bytes)
-        if length is not None and length > KEPT_BODY_BYTES:
-            return Body(rest=RestOfBody(caller, self.max_bytes, length))
+        if length is not None and length > MAX_BUFFERED_BODY_BYTES:
+            return Body(remainder=BodyRemainder(caller, self.max_bytes, length))
         if not has_body(request):
             await caller.receive()
             return NO_BODY
         try:
             with trio.move_on_after(self.timeout):
-                return await self._keep(caller)
+                return await self._read_start(caller)
         except h11.RemoteProtocolError as error:
             return NotRun(Reason.BAD_REQUEST, str(error))
-        return NotRun(Reason.SLOW_REQUEST, f'no whole body in {self.timeout:g} s')
+        return NotRun(
+            Reason.SLOW_REQUEST,
+            f'no whole body in {self.timeout:g} s',
+        )
 
-    async def _keep(self, caller: Wire) -> Body | NotRun:
+    async def _read_start(self, caller: Wire) -> Body | NotRun:
         parts = []
         size = 0
-        while size <= KEPT_BODY_BYTES:
+        while size <= MAX_BUFFERED_BODY_BYTES:
             event = await caller.receive()
             if type(event) is not h11.Data:
                 return Body(b''.join(parts))
@@ -87,11 +90,11 @@
             size += len(event.data)
         if size > self.max_bytes:
             return too_large(self.max_bytes)
-        return Body(b''.join(parts), RestOfBody(caller, self.max_bytes - size))
+        return Body(b''.join(parts), BodyRemainder(caller, self.max_bytes - size))
 
 
 def has_body(request: names.RequestHead) -> bool:
-    """Tell whether a request has a body."""
+    """Return whether a request has a body."""
     length = declared_length(request)
     if length is not None:
         return length > 0
@@ -99,11 +102,11 @@
 
 
 def declared_length(request: names.RequestHead) -> int | None:
-    """Return the length that a request declares."""
+    """Return the content-length of a request in bytes; None if there is none."""
     length = names.find(request.headers, b'content-length')
     return None if length is None else int(length)
 
 
 def too_large(max_bytes: int) -> NotRun:
-    """Return the refusal of a large body."""
+    """Return the refusal of a body that is larger than allowed."""
     return NotRun(Reason.BODY_TOO_LARGE, f'at most {max_bytes} bytes are taken')
--- a/catkinslip/proxy/callers.py
+++ b/catkinslip/proxy/callers.py
@@ -1,4 +1,4 @@
-"""Serve callers' connections."""
+"""Server side of callers' connections."""
 
 import logging
 
@@ -8,16 +8,16 @@
 
 from catkinslip.config.holder import ConfigHolder
 from catkinslip.environment import Environment
-from catkinslip.proxy.base import CallForwarder, OwnPages
-from catkinslip.proxy.bodies import BodyReader, RestOfBody
-from catkinslip.proxy.calls import Call, CallMaker
+from catkinslip.proxy.base import CallForwarder, LocalPages
+from catkinslip.proxy.bodies import BodyReader, BodyRemainder
+from catkinslip.proxy.calls import Call, CallFactory
 from catkinslip.proxy.dialect import Dialect
 from catkinslip.proxy.draining import CallerDrain
+from catkinslip.proxy.head_reader import HeadReader
 from catkinslip.proxy.headers import RequestHead
-from catkinslip.proxy.intake import HeadReader
+from catkinslip.proxy.native_dialect import NativeDialect
 from catkinslip.proxy.observer import ObserverGroup, RequestObserver
 from catkinslip.proxy.outcomes import Answered, NotRun, Outcome, Reason, Unknown
-from catkinslip.proxy.own_dialect import OwnDialect
 from catkinslip.proxy.presence import CallerWatch
 from catkinslip.proxy.wire import ConnectionErrors, Wire
 
@@ -26,7 +26,7 @@
 
 @frozen
 class CallerLimits:
-    """What callers may ask for; times are in seconds."""
+    """Limits on callers' requests and connections; times are in seconds."""
 
     request_timeout: float = 10.0
     head_timeout: float = 10.0
@@ -34,21 +34,21 @@
     idle_timeout: float = 75.0
     max_body_bytes: int = 64 << 20
     max_connections: int = 4096
-    trusts_wall_clock: bool = True
+    uses_wall_clock: bool = True
 
 
 @define
 class CallerServer:
-    """Read requests of callers and answer each."""
+    """Server that reads callers' requests and answers each of them."""
 
     environment: Environment
     config: ConfigHolder
     forwarder: CallForwarder
-    #: None where callers ask another listener for addresses.
-    pages: OwnPages | None
+    #: Local pages; None where another listener serves the addresses.
+    pages: LocalPages | None
     limits: CallerLimits
     observer: RequestObserver = ObserverGroup()
-    dialect: Dialect = Factory(OwnDialect)
+    dialect: Dialect = Factory(NativeDialect)
     drain: CallerDrain = Factory(CallerDrain)
     watch: CallerWatch = Factory(CallerWatch)
     connections: int = 0
@@ -60,14 +60,14 @@
         lambda self: BodyReader(self.limits.max_body_bytes, self.limits.body_timeout),
         takes_self=True,
     )
-    calls: CallMaker = Factory(
-        lambda self: CallMaker(
+    calls: CallFactory = Factory(
+        lambda self: CallFactory(
             self.environment.clock,
             self.environment.random,
             self.config,
             self.limits.request_timeout,
             self.dialect,
-            self.limits.trusts_wall_clock,
+            self.limits.uses_wall_clock,
         ),
         takes_self=True,
     )
@@ -82,10 +82,12 @@
         except ConnectionErrors:
             pass
         except h11.ProtocolError as error:
-            log.info('request: a connection ended, %s.', error)
+            log.info(
+                'request: a connection was closed after a protocol error, %s.', error
+            )
         except Exception:
             # One caller's connection must not stop the process.
-            log.exception('request: a connection failed.')
+            log.exception('request: a connection was closed after an unexpected error.')
         finally:
             self.connections -= 1
             with trio.CancelScope(shield=True):
@@ -110,7 +112,7 @@
         if isinstance(body, NotRun):
             return await self._refuse(wire, body, request)
         if self.pages is not None and self.pages.has(request.target):
-            return await self._answer_itself(wire, request, self.pages)
+            return await self._answer_locally(wire, request, self.pages)
         call = self.calls.make(request, body, wire.peer)
         if isinstance(call, NotRun):
             return await self._refuse(wire, call, request)
@@ -124,7 +126,7 @@
             outcome,
             call.route,
             seconds * 1e3,
-            (call.caller_leaves - began_at) * 1e3,
+            (call.caller_deadline - began_at) * 1e3,
             call.spent * 1e3,
         )
         return await self._report(wire, call, outcome)
@@ -136,29 +138,31 @@
         try:
             outcome = await self._forward(call, wire)
         finally:
-            self.observer.ended(call, outcome, clock.monotonic() - began_at)
+            self.observer.on_request_ended(call, outcome, clock.monotonic() - began_at)
         return outcome
 
     async def _forward(self, call: Call, wire: Wire) -> Outcome:
-        if call.is_late(self.environment.clock):
+        if call.is_expired(self.environment.clock):
             return NotRun(Reason.TOO_LATE)
         outcome: Outcome = Unknown(Reason.CALLER_LEFT)
         with trio.CancelScope() as scope:
             descriptor = self.watch.add(wire, scope)
             try:
-                if call.rest is None:
+                if call.body_remainder is None:
                     outcome = await self.forwarder.forward(call, wire)
                 else:
-                    outcome = await self._forward_streamed(call, call.rest, wire)
+                    outcome = await self._forward_streamed(
+                        call, call.body_remainder, wire
+                    )
             finally:
                 self.watch.remove(descriptor)
         return outcome
 
     async def _forward_streamed(
-        self, call: Call, rest: RestOfBody, wire: Wire
+        self, call: Call, body_remainder: BodyRemainder, wire: Wire
     ) -> Outcome:
         async with trio.open_nursery() as nursery:
-            rest.nursery = nursery
+            body_remainder.nursery = nursery
             outcome = await self.forwarder.forward(call, wire)
             nursery.cancel_scope.cancel()
         return outcome
@@ -173,8 +177,8 @@
             return False
         return await self._send_problem(wire, outcome, call.request_id, call.method)
 
-    async def _answer_itself(
-        self, wire: Wire, request: RequestHead, pages: OwnPages
+    async def _answer_locally(
+        self, wire: Wire, request: RequestHead, pages: LocalPages
     ) -> bool:
         answer = pages.answer(request)
         if isinstance(answer, NotRun):
@@ -214,10 +218,10 @@
 
 
 def has_begun(wire: Wire) -> bool:
-    """Tell whether a byte of an answer may have gone to the caller."""
+    """Return whether any byte of an answer may have been sent to the caller."""
     return wire.codec.our_state not in (h11.IDLE, h11.SEND_RESPONSE)
 
 
 def is_reusable(wire: Wire) -> bool:
-    """Tell whether both sides ended an exchange cleanly."""
+    """Return whether the connection is reusable: both sides completed the exchange."""
     return wire.codec.our_state is h11.DONE and wire.codec.their_state is h11.DONE
--- a/catkinslip/proxy/calls.py
+++ b/catkinslip/proxy/calls.py
@@ -1,4 +1,4 @@
-"""A caller's request as the request path knows it."""
+"""A caller's request as the request path handles it."""
 
 from math import inf
 from random import Random
@@ -8,8 +8,8 @@
 from catkinslip.clock import Clock
 from catkinslip.config.documents import Document, Service
 from catkinslip.config.holder import ConfigHolder
-from catkinslip.proxy.bodies import Body, RestOfBody
-from catkinslip.proxy.dialect import CallTerms, Dialect
+from catkinslip.proxy.bodies import Body, BodyRemainder
+from catkinslip.proxy.dialect import CallParameters, Dialect
 from catkinslip.proxy.head_checks import origin_form
 from catkinslip.proxy.headers import Header, RequestHead
 from catkinslip.proxy.outcomes import NotRun
@@ -18,7 +18,10 @@
 
 @define
 class Call:
-    """One request of a caller; the deadline is on the monotonic clock."""
+    """One request of a caller.
+
+    `deadline` is in seconds on the monotonic clock, `wall_deadline` in Unix seconds.
+    """
 
     request_id: str
     service: str
@@ -31,123 +34,131 @@
     attempt: int = 1
     wall_deadline: float = inf
     peer: str = ''
-    rest: RestOfBody | None = None
-    #: Name of the route, if one matched.
+    body_remainder: BodyRemainder | None = None
+    #: Name of the matching route; empty if no route matched.
     route: str = ''
-    #: Seconds from the caller's first attempt after which an answer is worth little.
+    #: Target latency in seconds, from the caller's first attempt; a later answer is of
+    #: little use.
     target_latency: float = inf
-    #: The end of this time, on the monotonic clock.
-    best_until: float = inf
-    #: Seconds that the caller had waited before this attempt, as far as known.
+    #: End of the target latency, in seconds on the monotonic clock.
+    target_deadline: float = inf
+    #: Estimated seconds that the caller had waited before this attempt.
     spent: float = 0.0
-    #: Seconds that the caller says it will wait; None if it does not say.
-    patience: float | None = None
-    #: The end of this time, or the deadline where it is not known.
-    caller_leaves: float = inf
-    #: 0 is the most urgent.
+    #: Timeout in seconds that the caller declared; None if it declared none.
+    caller_timeout: float | None = None
+    #: End of the caller's timeout, or the deadline if it declared none, in seconds on
+    #: the monotonic clock.
+    caller_deadline: float = inf
+    #: Priority of the request; 0 is the most urgent.
     priority: int = 0
-    #: Backend servers that the request may be sent to; None leaves it to settings.
+    #: Maximum number of backend servers that the request is sent to; None for the
+    #: limit of the settings.
     max_attempts: int | None = None
-    #: Regions in which it may run; none named stands for any.
+    #: Regions in which the request may run; empty for any region.
     regions: tuple[str, ...] = ()
-    #: Whether servers ended under the same request: no second one may run it.
+    #: Whether servers crashed while running the same request, so that at most one
+    #: server may run this one.
     is_suspect: bool = False
 
-    def note_spent(self, seconds: float) -> None:
-        """Take note of the time that the caller had waited before this attempt."""
+    def record_spent(self, seconds: float) -> None:
+        """Record the seconds that the caller had waited before this attempt.
+
+        The target deadline becomes earlier by as much.
+        """
         self.spent = seconds
-        self.best_until -= seconds
+        self.target_deadline -= seconds
 
     @property
     def is_resendable(self) -> bool:
-        """Tell whether the whole request can still be sent."""
-        return self.rest is None or not self.rest.is_started
+        """Return whether the whole request can still be sent to a server."""
+        return self.body_remainder is None or not self.body_remainder.is_started
 
-    def is_late(self, clock: Clock) -> bool:
-        """Tell whether the deadline passed on either clock.
+    def is_expired(self, clock: Clock) -> bool:
+        """Return whether the deadline has passed on either clock.
 
-        Either may be late: one that is set back, the other where the system's steady
-        clock does not count suspensions.
+        Either clock may lag: the wall clock after being set back, the monotonic
+        clock on systems where it does not count suspensions.
         """
         return clock.monotonic() >= self.deadline or clock.wall() >= self.wall_deadline
 
 
 @define
-class CallMaker:
-    """Turn requests into calls."""
+class CallFactory:
+    """Factory of calls from request heads and bodies; the timeout is in seconds."""
 
     clock: Clock
     random: Random
     config: ConfigHolder
     request_timeout: float
     dialect: Dialect
-    #: Whether deadlines hold on the wall clock too; not where it is set in jumps.
-    trusts_wall_clock: bool = True
-    #: The document that the services were taken from.
+    #: Whether deadlines also apply on the wall clock; False where that clock is set in
+    #: jumps.
+    uses_wall_clock: bool = True
+    #: Configuration document that the services and routes were read from.
     document: Document | None = None
     service_by_name: dict[str, Service] = Factory(dict)
     routes: RouteTable = Factory(lambda self: RouteTable(self.random), takes_self=True)
 
     def new_request_id(self) -> str:
-        """Return an ID for a request that has none."""
+        """Return a new random ID for a request that has none."""
         return f'{self.random.getrandbits(64):016x}'
 
     def make(self, request: RequestHead, body: Body, peer: str) -> Call | NotRun:
-        """Return the call, or a refusal when a header of ours is wrong."""
-        terms = self.dialect.read_terms(request, self.clock.wall())
-        if isinstance(terms, NotRun):
-            return terms
-        self._follow_document()
+        """Return the call of a request, or a refusal if a call header is malformed."""
+        parameters = self.dialect.read_parameters(request, self.clock.wall())
+        if isinstance(parameters, NotRun):
+            return parameters
+        self._update_document()
         target = origin_form(request.target)
         call = Call(
-            request_id=terms.request_id or self.new_request_id(),
-            service=terms.service,
+            request_id=parameters.request_id or self.new_request_id(),
+            service=parameters.service,
             method=request.method,
             target=target,
             headers=request.headers,
             body=body.start,
             repeatable=False,
             deadline=inf,
-            attempt=terms.attempt,
-            patience=terms.timeout,
+            attempt=parameters.attempt,
+            caller_timeout=parameters.timeout,
             peer=peer,
-            rest=body.rest,
+            body_remainder=body.remainder,
         )
         path = target.decode('latin-1').partition('?')[0]
-        timeout = self._apply_rules(call, terms, path)
-        if terms.timeout is not None:
-            timeout = min(timeout, terms.timeout)
+        timeout = self._apply_rules(call, parameters, path)
+        if parameters.timeout is not None:
+            timeout = min(timeout, parameters.timeout)
         now = self.clock.monotonic()
         call.deadline = now + timeout
-        call.caller_leaves = now + (terms.timeout or timeout)
-        if self.trusts_wall_clock:
+        call.caller_deadline = now + (parameters.timeout or timeout)
+        if self.uses_wall_clock:
             call.wall_deadline = self.clock.wall() + timeout
         return call
 
-    def _follow_document(self) -> None:
+    def _update_document(self) -> None:
         document = self.config.current.document
         if document is not self.document:
             self.document = document
             self.service_by_name = document.effective_services()
             self.routes.update(document)
 
-    def _apply_rules(self, call: Call, terms: CallTerms, path: str) -> float:
-        """Set what the rules say of a call; return its longest time in seconds."""
-        turns = self.routes.find(terms.host, path)
+    def _apply_rules(self, call: Call, parameters: CallParameters, path: str) -> float:
+        """Apply the rules to a call and return its maximum duration in seconds."""
+        turns = self.routes.find(parameters.host, path)
         if turns is not None:
             route = turns.route
             call.service = turns.next_service()
             call.route = turns.name
             call.repeatable = route.repeatable
             call.target_latency = route.target_latency
-            call.best_until = self.clock.monotonic() + route.target_latency
+            call.target_deadline = self.clock.monotonic() + route.target_latency
             call.priority = route.priority
             call.max_attempts = route.max_attempts
             call.regions = route.regions
             return min(self.request_timeout, route.timeout)
         method = call.method.decode('latin-1')
         call.repeatable = self.document.is_repeatable(call.service, method, path)
-        known = self.service_by_name.get(call.service)
-        if known is None:
+        service = self.service_by_name.get(call.service)
+        if service is None:
             return self.request_timeout
-        return min(self.request_timeout, known.timeout)
+        return min(self.request_timeout, service.timeout)
--- a/catkinslip/proxy/exchange.py
+++ b/catkinslip/proxy/exchange.py
@@ -12,8 +12,10 @@
 from catkinslip.proxy import headers as names
 from catkinslip.proxy.calls import Call
 from catkinslip.proxy.dialect import Dialect
+from catkinslip.proxy.native_dialect import (
+    NativeDialect,
+)
 from catkinslip.proxy.outcomes import Answered, NotRun, Outcome, Reason, Unknown
-from catkinslip.proxy.own_dialect import OwnDialect
 from catkinslip.proxy.pool import MAX_IDLE_SECONDS, BackendPool
 from catkinslip.proxy.wire import ConnectionErrors, Wire
 from catkinslip.routing import reports
@@ -25,7 +27,7 @@
 # A kept connection that answered this lately is trusted with a request that may
 # not be repeated; servers close idle connections after seconds, not at once.
 RECENT_SECONDS = 1.0
-OWN_DIALECT = OwnDialect()
+OWN_DIALECT = NativeDialect()
 METHODS_WITH_BODY = frozenset({b'POST', b'PUT', b'PATCH'})
 
 log = logging.getLogger('routing')
@@ -165,7 +167,7 @@
         try:
             data = wire.encode(*self._request_events())
             # Nothing may wait between this check and the first byte.
-            if self.call.is_late(self.clock):
+            if self.call.is_expired(self.clock):
                 return NotRun(Reason.TOO_LATE)
             if not self.may_send():
                 return NotRun(Reason.SERVER_LEFT)
@@ -198,16 +200,16 @@
         report = self.dialect.read_report(headers)
         self.on_head(headers, report)
         kind = kind_of(status, refusal)
-        self.on_words(self.dialect.read_words(status, headers), kind, self.sent_at)
+        self.on_words(self.dialect.read_signals(status, headers), kind, self.sent_at)
         if refusal is not None:
             await answers.drain_body(wire)
             return NotRun(refusal, report=report)
         return AnswerHead(response, headers, report, wire)
 
     def _broken(self, wire: Wire, error: Exception) -> Unknown:
-        rest = self.call.rest
-        if rest is not None and rest.fault is not None:
-            return Unknown(rest.fault)
+        body_remainder = self.call.body_remainder
+        if body_remainder is not None and body_remainder.fault is not None:
+            return Unknown(body_remainder.fault)
         broken = self.broken = Break(
             self.clock.monotonic() - self.sent_at,
             wire.is_reused,
@@ -250,12 +252,12 @@
 
     def _request_events(self) -> list[h11.Event]:
         call = self.call
-        time_left = call.deadline - self.clock.monotonic()
+        remaining = call.deadline - self.clock.monotonic()
         headers = self.dialect.request_headers(
-            call, self.backend_id, self.number, time_left
+            call, self.backend_id, self.number, remaining
         )
-        if call.rest is not None:
-            headers.append(framing(call.rest.length))
+        if call.body_remainder is not None:
+            headers.append(framing(call.body_remainder.length))
         elif call.body or call.method in METHODS_WITH_BODY:
             headers.append(framing(len(call.body)))
         events: list[h11.Event] = [
@@ -265,19 +267,19 @@
         ]
         if call.body:
             events.append(h11.Data(data=call.body))
-        if call.rest is None:
+        if call.body_remainder is None:
             events.append(h11.EndOfMessage())
         return events
 
     def _start_upload(self, wire: Wire) -> None:
-        rest = self.call.rest
-        if rest is not None:
-            rest.is_started = True
-            rest.nursery.start_soon(self._upload, wire)
+        body_remainder = self.call.body_remainder
+        if body_remainder is not None:
+            body_remainder.is_started = True
+            body_remainder.nursery.start_soon(self._upload, wire)
 
     async def _upload(self, wire: Wire) -> None:
         while True:
-            event = await self.call.rest.receive()
+            event = await self.call.body_remainder.receive()
             if event is None:
                 await wire.close()
                 return
--- a/catkinslip/proxy/head_checks.py
+++ b/catkinslip/proxy/head_checks.py
@@ -1,6 +1,6 @@
-"""Check request heads more strictly than the codec does.
+"""Checks of request heads that are stricter than those of the codec.
 
-Whatever two servers could read differently is refused:
+A head that two servers could parse differently is refused:
 https://www.rfc-editor.org/rfc/rfc9112#section-11.2
 """
 
@@ -21,7 +21,7 @@
 
 
 def find_line_fault(head: bytes) -> str | None:
-    """Return what is wrong with the whole lines of a head."""
+    """Return the fault in the complete lines of a head; None if there is none."""
     lines = head.count(CRLF)
     if head.count(b'\n') != lines or head.count(b'\r') != lines:
         return 'a line does not end in CRLF'
@@ -33,7 +33,7 @@
 
 
 def check_framing(head: bytes) -> NotRun | None:
-    """Refuse a head whose body could end at two places."""
+    """Return the refusal of a head with ambiguous body framing; None if it is clear."""
     found = FRAMING.findall(head)
     if not found:
         return None
@@ -53,7 +53,7 @@
 
 
 def check_request(request: names.RequestHead) -> NotRun | None:
-    """Refuse a parsed head that is not meant for this server."""
+    """Return the refusal of a parsed head; None if this server can handle it."""
     if request.http_version not in VERSIONS:
         return NotRun(Reason.VERSION, 'only HTTP/1.0 and HTTP/1.1 are spoken')
     host = names.find(request.headers, b'host') or b''
@@ -66,7 +66,7 @@
 
 
 def check_target(target: bytes, method: bytes, host: bytes) -> NotRun | None:
-    """Refuse a target that is no path, or names another host."""
+    """Return the refusal of a target that is not a path or names another host."""
     if b'#' in target:
         return malformed('the target has a fragment')
     if target[:1] == b'/' or (target == b'*' and method == b'OPTIONS'):
@@ -80,7 +80,7 @@
 
 
 def origin_form(target: bytes) -> bytes:
-    """Return the path and query of a checked target."""
+    """Return the path and query of a target that check_target accepted."""
     if target[:1] == b'/' or target == b'*':
         return target
     rest = ABSOLUTE.match(target)[2]
--- a/catkinslip/proxy/intake.py
+++ b/catkinslip/proxy/head_reader.py
@@ -1,4 +1,4 @@
-"""Read the heads of callers' requests, and refuse bad ones before the codec."""
+"""Reader of callers' request heads that refuses malformed ones before parsing."""
 
 import h11
 import trio
@@ -17,13 +17,13 @@
 
 @frozen
 class HeadReader:
-    """Read request heads; both timeouts are in seconds."""
+    """Reader of request heads; both timeouts are in seconds."""
 
     idle_timeout: float
     head_timeout: float
 
     async def read(self, wire: Wire) -> RequestHead | NotRun | None:
-        """Return the next head, a refusal, or None when no request comes."""
+        """Return the next request head, a refusal, or None if no request arrives."""
         head = await self._read_raw(wire)
         if not isinstance(head, bytes):
             return head
@@ -39,9 +39,11 @@
         plain = RequestHead(
             request.method, request.target, request.http_version, list(request.headers)
         )
-        return head_checks.check_request(plain) or self._watch_chunks(wire, plain)
+        return head_checks.check_request(plain) or self._start_chunk_check(wire, plain)
 
-    def _watch_chunks(self, wire: Wire, request: RequestHead) -> RequestHead | NotRun:
+    def _start_chunk_check(
+        self, wire: Wire, request: RequestHead
+    ) -> RequestHead | NotRun:
         if names.find(request.headers, b'transfer-encoding') is not None:
             wire.chunk_check = ChunkCheck()
             try:
@@ -58,17 +60,20 @@
             data, is_closed = wire.codec.trailing_data
         if not data:
             return None
-        head = take_head(data)
+        head = extract_head(data)
         if head is not None:
             return head
         with trio.move_on_after(self.head_timeout):
             return await self._read_more(wire)
-        return NotRun(Reason.SLOW_REQUEST, f'no whole head in {self.head_timeout:g} s')
+        return NotRun(
+            Reason.SLOW_REQUEST,
+            f'no whole head in {self.head_timeout:g} s',
+        )
 
     async def _read_more(self, wire: Wire) -> bytes | NotRun | None:
         while True:
             data, is_closed = wire.codec.trailing_data
-            head = take_head(data)
+            head = extract_head(data)
             if head is not None:
                 return head
             if is_closed:
@@ -76,8 +81,8 @@
             await wire.fill()
 
 
-def take_head(data: bytes) -> bytes | NotRun | None:
-    """Return the whole head at the front of the data, a refusal, or None yet."""
+def extract_head(data: bytes) -> bytes | NotRun | None:
+    """Return the head at the start of the data, a refusal, or None if incomplete."""
     end = data.find(HEAD_END)
     is_whole = end >= 0
     size = end + len(HEAD_END) if is_whole else len(data)
--- a/catkinslip/proxy/headers.py
+++ b/catkinslip/proxy/headers.py
@@ -1,4 +1,4 @@
-"""Header names and the headers that do not pass a proxy.
+"""Header names, and the selection of headers that a proxy forwards.
 
 Hop-by-hop headers: https://www.rfc-editor.org/rfc/rfc9110#section-7.6.1
 """
@@ -19,13 +19,13 @@
 OUTCOME = b'catkinslip-outcome'
 NOT_RUN = b'not-run'
 REQUEST_ID_FORM = re.compile(rb'[\x21-\x7e]{1,128}\Z')
-KEY = b'idempotency-key'
+IDEMPOTENCY_KEY = b'idempotency-key'
 PASSED_BY = b'catkinslip-passed-by'
 REPLAYED = b'catkinslip-replayed'
 
 FORWARDED_FOR = b'x-forwarded-for'
 VIA = b'via'
-OUR_VIA = b'1.1 catkinslip'
+VIA_ENTRY = b'1.1 catkinslip'
 
 HOP_BY_HOP = frozenset(
     {
@@ -40,7 +40,7 @@
         b'upgrade',
     }
 )
-# Set anew on each request, so what the caller sent does not pass.
+# The caller's values are dropped; this instance sets its own on each request.
 REPLACED_IN_REQUESTS = HOP_BY_HOP | {
     SERVICE,
     REQUEST_ID,
@@ -53,13 +53,13 @@
     b'content-length',
     b'expect',
 }
-# Only this instance says how a request ended.
+# Only this instance states the outcome of a request, so a server's value is dropped.
 REPLACED_IN_ANSWERS = HOP_BY_HOP | {REQUEST_ID, OUTCOME}
 
 
 @frozen
 class RequestHead:
-    """The head of a request, its headers with names in lower case."""
+    """The head of a request; its header names are in lower case."""
 
     method: bytes
     target: bytes
@@ -68,7 +68,7 @@
 
 
 def find(headers: Iterable[Header], name: bytes) -> bytes | None:
-    """Return the first value of a header, its name in lower case."""
+    """Return the first value of a header, given its name in lower case."""
     for each, value in headers:
         if each == name:
             return value
@@ -76,12 +76,16 @@
 
 
 def find_all(headers: Iterable[Header], name: bytes) -> list[bytes]:
-    """Return every value of a header, its name in lower case."""
+    """Return all values of a header, given its name in lower case."""
     return [value for each, value in headers if each == name]
 
 
 def end_to_end(headers: Iterable[Header], replaced: frozenset[bytes]) -> list[Header]:
-    """Return the headers that pass on to the next hop."""
+    """Return the headers to forward, without those in `replaced`.
+
+    Headers that the connection header names are dropped too, except content-length
+    and host.
+    """
     headers = list(headers)
     named = find(headers, b'connection')
     if named is not None:
@@ -91,25 +95,26 @@
 
 
 def request_headers(headers: list[Header], peer: str) -> list[Header]:
-    """Return a request's headers for a backend server, without those of the call."""
+    """Return the headers to forward to a backend server, without the call headers."""
     passed = end_to_end(headers, REPLACED_IN_REQUESTS)
     if peer:
         hops = [*find_all(headers, FORWARDED_FOR), peer.encode()]
         passed.append((FORWARDED_FOR, b', '.join(hops)))
-    passed.append((VIA, b', '.join([*find_all(headers, VIA), OUR_VIA])))
+    passed.append((VIA, b', '.join([*find_all(headers, VIA), VIA_ENTRY])))
     return passed
 
 
 def answer_headers(headers: Iterable[Header], request_id: str) -> list[Header]:
-    """Return an answer's headers for its caller."""
+    """Return the headers of an answer to forward to its caller."""
     passed = end_to_end(headers, REPLACED_IN_ANSWERS)
     passed.append((REQUEST_ID, request_id.encode()))
     return passed
 
 
 def checked(headers: Iterable[Header]) -> Headers:
-    """Return headers that the codec need not check again.
+    """Return headers in the form that the codec accepts without validation.
 
-    Only for those that it read itself, with names in lower case, and for ours.
+    Only for headers that the codec parsed, with names in lower case, or that this
+    instance created.
     """
     return Headers([(name, name, value) for name, value in headers])
--- a/catkinslip/proxy/problems.py
+++ b/catkinslip/proxy/problems.py
@@ -1,4 +1,4 @@
-"""Refusals as problem documents, https://www.rfc-editor.org/rfc/rfc9457."""
+"""Error answers as problem documents, https://www.rfc-editor.org/rfc/rfc9457."""
 
 import math
 
@@ -21,8 +21,11 @@
     *,
     close: bool = False,
 ) -> list[h11.Event]:
-    """Return the answer that tells a caller how a request ended."""
-    word = NOT_RUN if isinstance(outcome, NotRun) else b'unknown'
+    """Return the problem document of an outcome as the events of an answer.
+
+    `close` announces that the connection closes after the answer.
+    """
+    outcome_value = NOT_RUN if isinstance(outcome, NotRun) else b'unknown'
     reason = outcome.reason
     problem = {
         'type': TYPE_PREFIX + reason.slug,
@@ -30,7 +33,7 @@
         'status': reason.status,
         'detail': outcome.detail,
         'instance': REQUEST_PREFIX + request_id,
-        'outcome': word.decode(),
+        'outcome': outcome_value.decode(),
         'request_id': request_id,
     }
     retry_after = retry_after_seconds(outcome)
@@ -40,7 +43,7 @@
     headers = [
         (b'content-type', MEDIA_TYPE),
         (b'content-length', b'%d' % len(body)),
-        (OUTCOME, word),
+        (OUTCOME, outcome_value),
         (REQUEST_ID, request_id.encode()),
     ]
     if retry_after is not None:
@@ -53,7 +56,7 @@
 
 
 def retry_after_seconds(outcome: NotRun | Unknown) -> float | None:
-    """Return when to come back; None where that is not known."""
+    """Return the seconds after which to retry a request; None if not specified."""
     if isinstance(outcome, NotRun) and outcome.retry_after is not None:
         return outcome.retry_after
     return DEFAULT_RETRY_AFTER_SECONDS if outcome.reason.status == 503 else None
--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -128,7 +128,7 @@
             choice.backend_id,
             reason,
         )
-        self.observer.decided(self.call, choice, number)
+        self.observer.on_server_chosen(self.call, choice, number)
         address = self.health.directory.address_by_backend[choice.backend_id]
         attempt = Attempt(
             call=self.call,
@@ -186,7 +186,7 @@
             self.call.target[:LOGGED_TARGET_BYTES].decode('latin-1'),
             broken.detail,
         )
-        self.observer.broke(self.call, broken)
+        self.observer.on_connection_broken(self.call, broken)
 
     def _tried(self) -> Collection[str]:
         """Return the servers that must not get the call: tried or foreign ones."""
@@ -196,14 +196,14 @@
     async def _await_head(self, launch: Launch) -> Launch:
         now = self.clock.monotonic()
         delay = self._hedge_delay(launch, now)
-        if delay is None or self.call.rest or not self.plan.may_hedge(now):
+        if delay is None or self.call.body_remainder or not self.plan.may_hedge(now):
             await self.start(launch)
             return launch
         return await self._race(launch, delay)
 
     def _hedge_delay(self, launch: Launch, now: float) -> float | None:
         """Return after how many seconds to look whether a hedge is due."""
-        if self.call.best_until == inf:
+        if self.call.target_deadline == inf:
             return self.limits.hedge_delay(now)
         # By then most servers that kept their speed have answered.
         return self.wait.expect(launch.delay)
@@ -350,4 +350,4 @@
             self.router.finished(launch.backend_id, result, now)
         self.limits.ended(launch.backend_id, result, now)
         seconds = now - launch.began
-        self.observer.attempted(self.call, launch.backend_id, outcome, seconds)
+        self.observer.on_attempt_ended(self.call, launch.backend_id, outcome, seconds)
--- a/catkinslip/tickets/gate.py
+++ b/catkinslip/tickets/gate.py
@@ -56,7 +56,9 @@
         """Forward one call within its deadline."""
         if call.repeatable:
             return await self.forwarder.forward(call, caller)
-        text = (names.find(call.headers, names.KEY) or b'').decode('latin-1')
+        text = (names.find(call.headers, names.IDEMPOTENCY_KEY) or b'').decode(
+            'latin-1'
+        )
         recorded = self._record_place(call) is RecordPlace.PLATFORM
         key = parse_key(text)
         if key is None:
@@ -95,7 +97,7 @@
         return REASON_BY_REFUSAL[decision]
 
     async def _run(self, call: Call, caller: Wire, key: TicketKey) -> Outcome:
-        if call.is_late(self.passer.clock):
+        if call.is_expired(self.passer.clock):
             self.table.not_run(key)
             return NotRun(Reason.TOO_LATE)
         recorder = RecordingWire(caller.stream, caller.codec, caller.peer)
--- a/tests/test_addresses_answers.py
+++ b/tests/test_addresses_answers.py
@@ -1,11 +1,11 @@
-"""The home set of a service and the answer to callers."""
+"""Tests of the home set of a service and of the address answers to callers."""
 
 import json
 import unittest
 from random import Random
 
-from catkinslip.addresses.answers import AddressBook, UnknownService
-from catkinslip.addresses.home import HomeSetLimits, home_set, home_set_size
+from catkinslip.addresses.answers import AddressResolver, UnknownService
+from catkinslip.addresses.home import HomeSetLimits, choose_home_set, home_set_size
 from catkinslip.clock import SystemClock
 from catkinslip.config.documents import AcceptedConfig, ConfigVersion, Service
 from catkinslip.config.documents import converter as config_converter
@@ -35,21 +35,22 @@
     return {
         (service, each.member_id)
         for service in SERVICES
-        for each in home_set(service, 'region-1', members, size)
+        for each in choose_home_set(service, 'region-1', members, size)
     }
 
 
 class HomeSetTest(unittest.TestCase):
-    """Which instances share a service."""
+    """The choice of the instances that share a service."""
 
-    def test_little_moves_when_one_instance_goes_or_comes(self):
+    def test_little_moves_when_one_instance_leaves_or_joins(self):
         members = fleet(15)
         before = pairs(members)
         moved = []
-        for gone in members:
-            after = pairs([each for each in members if each != gone])
+        for removed in members:
+            after = pairs([each for each in members if each != removed])
             moved.append(len(before - after) / len(before))
-        # One of 15 goes or comes: a fifteenth moves, and a little for the zones.
+        # When one of 15 instances leaves or joins, a fifteenth moves, and a little more
+        # because of the limit per zone.
         self.assertLess(sum(moved) / len(moved), 1.1 / 15)
         self.assertLess(max(moved), 1.5 / 15)
 
@@ -66,20 +67,20 @@
         members = fleet(15)
         for size in (3, 4, 5):
             for service in SERVICES:
-                chosen = home_set(service, 'region-1', members, size)
+                chosen = choose_home_set(service, 'region-1', members, size)
                 self.assertEqual(len(chosen), size)
                 self.assertGreater(len({each.zone for each in chosen}), 1)
 
     def test_other_regions_only_fill_up(self):
         own = fleet(2)
         others = fleet(9, 'region-2', ('zone-x', 'zone-y'))
-        chosen = home_set('limits', 'region-1', others + own, 3)
+        chosen = choose_home_set('limits', 'region-1', others + own, 3)
         self.assertEqual(set(chosen[:2]), set(own))
         self.assertEqual(len(chosen), 3)
         one_zone = fleet(9, zones=('zone-a',))
-        chosen = home_set('limits', 'region-1', others + one_zone, 5)
+        chosen = choose_home_set('limits', 'region-1', others + one_zone, 5)
         self.assertEqual({each.region for each in chosen}, {'region-1'})
-        others_only = home_set('limits', 'region-2', others + own, 5)
+        others_only = choose_home_set('limits', 'region-2', others + own, 5)
         self.assertEqual({each.region for each in others_only}, {'region-2'})
 
     def test_size_follows_the_load_within_limits(self):
@@ -94,7 +95,7 @@
 
 
 class AnswerTest(unittest.TestCase):
-    """What one instance answers."""
+    """The address answers of one instance."""
 
     def setUp(self):
         self.members = fleet(9)
@@ -102,7 +103,7 @@
         for each in self.members[1:]:
             self.table.merge(each)
         self.config = ConfigHolder()
-        self.book = AddressBook(self.table, 'zone-a', 7.0, ISSUER, self.config)
+        self.resolver = AddressResolver(self.table, 'zone-a', 7.0, ISSUER, self.config)
 
     def configure(self) -> None:
         plain = document_plain({'limits-1': 'one:1'}, slots=2)
@@ -114,9 +115,9 @@
         )
 
     def answer(self, query: str = '') -> dict:
-        return json.loads(self.book.answer('limits', query).to_json())
+        return json.loads(self.resolver.answer('limits', query).to_json())
 
-    def test_answer_names_what_callers_need(self):
+    def test_answer_contains_all_fields_for_callers(self):
         self.configure()
         plain = self.answer('zone=zone-b')
         self.assertEqual(plain['service'], 'limits')
@@ -126,19 +127,19 @@
         self.assertEqual(named, plain['addresses'])
         prefixes = {each['address']: each['key_prefix'] for each in plain['instances']}
         self.assertEqual(plain['key_prefix_by_address'], prefixes)
-        for asked in ZONES:
-            told = self.answer(f'zone={asked}')['instances']
-            zones = [each['zone'] for each in told]
-            self.assertEqual(zones, sorted(zones, key=lambda zone: zone != asked))
+        for requested in ZONES:
+            instances = self.answer(f'zone={requested}')['instances']
+            zones = [each['zone'] for each in instances]
+            self.assertEqual(zones, sorted(zones, key=lambda zone: zone != requested))
 
-    def test_all_zones_are_told_of_the_same_home_set(self):
+    def test_all_zones_get_the_same_home_set(self):
         sets = {frozenset(self.answer(f'zone={zone}')['addresses']) for zone in ZONES}
         self.assertEqual(len(sets), 1)
 
-    def test_unknown_service_is_told_only_once_there_is_a_configuration(self):
+    def test_unknown_service_is_reported_only_with_a_configuration(self):
         self.assertEqual(len(self.answer()['addresses']), 3)
         self.configure()
-        self.assertEqual(self.book.answer('none', ''), UnknownService('none'))
+        self.assertEqual(self.resolver.answer('none', ''), UnknownService('none'))
         self.assertEqual(self.config.current.version, ConfigVersion(0, 3))
 
     def test_leaving_suspected_dead_and_silent_are_left_out(self):
@@ -157,5 +158,5 @@
     def test_leaving_instance_is_named_when_it_is_the_only_one(self):
         table = MemberTable(member('zone-a-0'))
         table.leave()
-        answer = AddressBook(table, 'zone-a', 7.0, ISSUER).answer('limits', '')
+        answer = AddressResolver(table, 'zone-a', 7.0, ISSUER).answer('limits', '')
         self.assertEqual(answer.addresses, ('zone-a-0:80',))
--- a/tests/test_platform_dialect.py
+++ b/tests/test_platform_dialect.py
@@ -24,7 +24,7 @@
 
     def terms(self, *headers: tuple[bytes, bytes]):
         head = RequestHead(b'GET', b'/a/', b'1.1', [(b'host', b'a:81'), *headers])
-        return self.dialect.read_terms(head, 0.0)
+        return self.dialect.read_parameters(head, 0.0)
 
     def fault(self, status: int, *headers: tuple[bytes, bytes]) -> Unknown | None:
         return self.dialect.find_fault(self.call, status, list(headers))
@@ -94,7 +94,7 @@
         read = self.dialect.read_probe
         load, server = (b'server-load', b'1,0,2,100'), (b'instance-id', b'i-1')
         self.assertEqual(read(200, [load, server]).report, LoadReport(1, 1.0))
-        self.assertFalse(read(503, [load, server]).is_well)
+        self.assertFalse(read(503, [load, server]).is_healthy)
         self.assertIsNone(read(200, [load]))
         self.assertIsNone(read(200, [OWN_ID, server]))
 
--- a/tests/test_proxy_calls.py
+++ b/tests/test_proxy_calls.py
@@ -1,4 +1,4 @@
-"""The deadline of a call follows the register, the settings and the caller."""
+"""Tests of how register, settings and caller determine the deadline of a call."""
 
 import unittest
 from random import Random
@@ -8,16 +8,16 @@
 from catkinslip.config.documents import AcceptedConfig, ConfigVersion
 from catkinslip.config.holder import ConfigHolder
 from catkinslip.proxy.bodies import NO_BODY
-from catkinslip.proxy.calls import CallMaker
+from catkinslip.proxy.calls import CallFactory
 from catkinslip.proxy.headers import RequestHead
-from catkinslip.proxy.own_dialect import OwnDialect
+from catkinslip.proxy.native_dialect import NativeDialect
 from tests.builders import document_plain
 
 NOW = 1000.0
 
 
 class StoppedClock(SystemClock):
-    """A clock that stands still."""
+    """A clock that always returns the same time."""
 
     def monotonic(self) -> float:
         return NOW
@@ -27,12 +27,12 @@
 
 
 class TimeoutTest(unittest.TestCase):
-    """The shortest of all timeouts bounds a call."""
+    """The deadline of a call follows from the shortest timeout that applies."""
 
     def setUp(self):
         self.config = ConfigHolder()
-        self.maker = CallMaker(
-            StoppedClock(), Random(1), self.config, 30.0, OwnDialect()
+        self.factory = CallFactory(
+            StoppedClock(), Random(1), self.config, 30.0, NativeDialect()
         )
 
     def offer(self, number: int, rule: dict, **fields):
@@ -44,7 +44,7 @@
 
     def seconds(self, *headers: tuple[bytes, bytes]) -> float:
         head = RequestHead(b'GET', b'/a', b'1.1', [(b'host', b'limits'), *headers])
-        call = self.maker.make(head, NO_BODY, '127.0.0.1')
+        call = self.factory.make(head, NO_BODY, '127.0.0.1')
         self.assertEqual(call.wall_deadline, call.deadline)
         return call.deadline - NOW
 
