--- a/catkinslip/admission/__init__.py
+++ b/catkinslip/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Which calls are sent, wait or are turned away when servers have no room."""
+"""The decision to send, hold or refuse calls when servers have no room."""
--- a/catkinslip/admission/guarded.py
+++ b/catkinslip/admission/guarded.py
@@ -1,9 +1,10 @@
-"""When callers come back that found only servers which may get nothing now.
+"""The retry delay for callers when all servers of a service are restricted.
 
-Load: all servers of a service name rates far below what callers ask, have just started,
-or asked for rest. A call that can still be in time comes back at once where another
-instance may have room: each has turns of its own, and each is asked for rest by itself.
-Who came back already, or is late, comes back when the need may be over.
+Load: all servers of a service advertise rates far below the load of the callers, have
+just started, or asked for a rest period. A call that can still be in time should be
+retried at once where another instance may have room: each instance has turns of its
+own, and servers ask each instance for rest separately. A caller that has retried
+already, or is late, should retry when the restriction may be over.
 """
 
 from random import Random
@@ -11,19 +12,22 @@
 from catkinslip.admission.waiting import WaitingCall
 from catkinslip.routing.gates import Closure, GuardWord
 
-#: Short beside the time within which an answer is worth most.
+#: Seconds after which an early retry may come; short beside the time within which an
+#: answer has the most value.
 SOON_SECONDS = 0.05
 MOST_SOON_SECONDS = 0.06
-#: What a cold server bears is counted in seconds; half of one is left on average.
+#: Seconds after which a call for cold servers may be retried: the requests that a cold
+#: server handles are counted per second, and on average half of a second remains.
 COLD_RETRY_SECONDS = 0.5
-#: Refused together, callers must not come back together.
+#: Maximum factor by which retry delays vary, so that callers that are refused together
+#: do not retry together.
 MOST_SPREAD = 1.3
 
 
 def guarded_retry(
     closure: Closure, waiting: WaitingCall, random: Random, now: float
 ) -> float:
-    """Return the seconds after which a refused call may come back."""
+    """Return the seconds after which a refused call may be retried."""
     if closure.word is GuardWord.COLD:
         return COLD_RETRY_SECONDS
     wait = closure.wait_seconds
--- a/catkinslip/admission/spent.py
+++ b/catkinslip/admission/spent.py
@@ -1,14 +1,14 @@
-"""Estimate how long a caller has been waiting before its request came here.
+"""Estimates of how long a caller has waited before its request arrived.
 
-Load: a crowd of callers that were refused, or found no instance, comes back among
-fresh ones. Its answers can no longer be in time, since the target counts from the
-first attempt. A request tells how long its caller still waits, and no more; a caller
-that asks again has less time than one that asks for the first time. Callers differ in
-their patience, so only one with less time than the least patient fresh one is known to
-have asked before.
+Load: a crowd of callers that were refused, or found no instance, returns among fresh
+ones. Answers to the returning callers can no longer be in time, since the target counts
+from the first attempt. A request states only how long its caller still waits, and a
+caller that retries has less time than one on its first attempt. Callers differ in their
+patience, so only a caller with less time than the least patient fresh one has certainly
+made an attempt before.
 
-While more is asked than servers can answer this is worth 0.029 of what the overload
-benchmark weighs, and 0.011 after the loss of all instances (6 seeds each).
+While callers send more than servers can answer, this is worth 0.029 of what the
+overload benchmark weighs, and 0.011 after the loss of all instances (6 seeds each).
 """
 
 from bisect import bisect_left, insort
@@ -16,40 +16,42 @@
 
 from attrs import Factory, define
 
-#: Requests of a route that are remembered; some seconds of a busy route.
+#: Number of requests of a route that are remembered; some seconds of a busy route.
 WINDOW = 64
-#: Before so many requests of a route nothing is known of its callers' patience.
+#: Minimum number of requests of a route before its callers' patience is estimated.
 LEAST_SAMPLES = 3
-#: At either end this share of the requests is left out, so that a few callers with
+#: Share of the requests that is left out at either end, so that a few callers with
 #: absurd times change nothing.
 OUTLIER_SHARE = 0.05
-#: Routes come from the rules; of more than this the one known longest is forgotten.
+#: Maximum number of routes; beyond it the oldest is removed. Routes come from the
+#: rules.
 MAX_ROUTES = 4096
-#: Fresh callers differ by so much more than what is left of them; without it one
-#: fresh caller in eleven was taken for one that asked before, with it 2 of 8,000.
+#: Factor by which fresh callers differ more than the requests without outliers do;
+#: without it one fresh caller in eleven was counted as a returning one, with it 2 of
+#: 8,000.
 WIDER = 1.2
-#: Until the patience of fresh callers is known it is taken to differ by this share of
-#: the target.
+#: Initial difference between the patience of fresh callers, as a share of the target.
 FIRST_SPREAD_SHARE = 1.2
-#: Callers that were turned away are back or gone after so long.
+#: Seconds after which callers that were turned away have returned or given up.
 CALM_SECONDS = 2.0
-#: What a calm moment tells of the spread replaces so much of what was known.
+#: Weight of a new sample of the spread while no callers return.
 SPREAD_WEIGHT = 0.05
-#: And any moment so much: else callers that are new to a route, and have less time than
-#: its others, would count as late for as long as anybody is turned away.
+#: Weight of a new sample at any other time. Without it, callers that are new to a route
+#: and have less time than its others would count as late for as long as any caller is
+#: turned away.
 CROWD_WEIGHT = 0.0003
 
 
 @define
 class RoutePatience:
-    """The times that callers of one route lately gave, in seconds."""
+    """The times that callers of one route stated lately, in seconds."""
 
     spread: float
     given: deque[float] = Factory(deque)
     ordered: list[float] = Factory(list)
 
     def add(self, seconds: float) -> None:
-        """Remember a time, and forget the oldest."""
+        """Add a time, and drop the oldest beyond the window."""
         if len(self.given) == WINDOW:
             del self.ordered[bisect_left(self.ordered, self.given.popleft())]
         self.given.append(seconds)
@@ -60,14 +62,15 @@
         return self.ordered[round(share * (len(self.ordered) - 1))]
 
     def learn_spread(self, weight: float) -> None:
-        """Take the differences between callers as those between fresh ones."""
+        """Update the spread between fresh callers from the times in the window."""
         middle = self.quantile(1 - OUTLIER_SHARE) - self.quantile(OUTLIER_SHARE)
         self.spread += weight * (WIDER * middle - self.spread)
 
     def spent(self, seconds: float) -> float:
-        """Return the seconds that a caller with so much time has used up.
+        """Return the seconds that a caller with so much remaining time has used up.
 
-        0 if it may be a fresh one; else as a caller of middling patience would have.
+        The result is 0 if the caller may be a fresh one, else the seconds that a caller
+        of medium patience would have used up.
         """
         most = self.quantile(1 - OUTLIER_SHARE)
         if seconds >= most - self.spread:
@@ -77,19 +80,23 @@
 
 @define
 class SpentTimes:
-    """How long callers of each route had been waiting when their request came."""
+    """How long callers of each route had waited when their requests arrived."""
 
-    #: When somebody was last turned away who may come back; at first the start, as
-    #: nobody here knows who was turned away before.
+    #: Time at which a caller that may return was last turned away. Its first value is
+    #: the start, as this instance has no record of callers that were turned away
+    #: before.
     turned_away_at: float
     patience_by_route: dict[str, RoutePatience] = Factory(dict)
 
     def turned_away(self, now: float) -> None:
-        """Note that a caller got no answer and may come back."""
+        """Record that a caller got no answer and may return."""
         self.turned_away_at = now
 
     def observe(self, route: str, given: float, target: float, now: float) -> float:
-        """Take a caller's time; return what it has used up, 0 if that is unknown."""
+        """Record a caller's remaining time and return what the caller has used up.
+
+        The result is in seconds, and 0 if it is unknown.
+        """
         patience = self.patience_by_route.get(route)
         if patience is None:
             patience = self._begin(route, target)
--- a/catkinslip/admission/waiting.py
+++ b/catkinslip/admission/waiting.py
@@ -1,11 +1,12 @@
-"""Decide whether a call is sent, held or refused while servers have no room.
+"""The decision whether a call is sent, held or refused while servers have no room.
 
-Load: all servers are full or slow, and callers that were refused come back among fresh
+Load: all servers are full or slow, and callers that were refused return among fresh
 ones. A call whose answer can still be in time is sent where it will be, and held a
-moment for such a server. A late one, whose target has passed or cannot be met any more,
-is still owed an answer before its deadline, but must not take the place of one that can
-be in time: it gets a free server, or an idle slow one at which a fresh call would be
-late. Else it is refused at once, and comes back when the rush may be over.
+moment for such a server. A late call, whose target has passed or cannot be met any
+more, should still get an answer before its deadline, but must not take the place of one
+that can be in time: it gets a free server, or an idle slow one at which a fresh call
+would be late. Otherwise it is refused at once, and its caller should return when the
+rush may be over.
 """
 
 from collections.abc import Sequence
@@ -17,48 +18,53 @@
 from catkinslip.proxy.outcomes import NotRun, Reason
 from catkinslip.routing.base import GOOD_DELAY, Estimate
 
-#: Between two looks for a server; urgent calls look more often.
+#: Seconds between two searches for a server, and what each step of priority adds:
+#: urgent calls search more often.
 LOOK_SECONDS = 0.015
 LOOK_SECONDS_PER_PRIORITY = 0.005
-#: An estimate of requests in flight that means none; it decays to the mean of all.
+#: Maximum estimate of requests in flight that counts as none; the estimate decays to
+#: the mean of all servers.
 IDLE_IN_FLIGHT = 0.25
-#: Times to come back differ by up to this factor; with the share below they stay
-#: within a third of the caller's time, which is the most that callers wait.
+#: Maximum factor by which retry delays vary; together with `late_retry_share` the
+#: delays stay within a third of the caller's time, which is the longest that callers
+#: wait.
 MOST_SPREAD = 4 / 3
-#: No caller that may come back is told to come sooner.
+#: Minimum retry delay in seconds for callers that may return.
 MIN_RETRY_SECONDS = 0.1
 
 
 @frozen
 class AdmissionSettings:
-    """How long calls wait and what late ones get; shares are of a call's times.
+    """How long calls wait, and which servers late calls get; shares are of call times.
 
-    Figures are what the overload benchmark loses of its total, from 0 to 1, without the
+    Figures are the loss of the overload benchmark's total, from 0 to 1, without the
     mechanism: three loads, six seeds each.
     """
 
-    #: A call that can be in time is held for this share of its target: 0.023 to 0.047.
+    #: Share of its target for which a call that can be in time is held: 0.023 to 0.047.
     hold_share: float = 0.16
-    #: A less urgent call must leave this share of its target free for each priority.
-    #: Without it the least urgent kind is refused half as often, but the most urgent
-    #: one twice as often (ten replayed days); the benchmark gains 0.010 to 0.038.
+    #: Share of its target that a less urgent call must leave free, for each step of
+    #: priority. Without it the least urgent kind is refused half as often, but the most
+    #: urgent one twice as often (ten replayed days); the benchmark gains 0.010 to
+    #: 0.038.
     spare_share_per_priority: float = 0.1
-    #: Whether the time counts that a caller had waited before its request came.
+    #: Whether the time that a caller had waited before its request arrived counts.
     counts_spent: bool = True
     #: Whether late calls may use idle servers at which a fresh one would be late: 0.003
     #: to 0.023, each within its noise.
     uses_slow: bool = True
-    #: An answer of a slow server must be expected in this share of the time left, as
-    #: its speed may fall further.
+    #: Share of the remaining time within which an answer of a slow server must be
+    #: expected, as the server's speed may fall further.
     slow_time_share: float = 0.5
-    #: A late caller comes back after this share of the time that it still waits: 0.005
-    #: to 0.010, and 0.024 of the two worst windows after the loss of all instances.
+    #: Share of the time that a late caller still waits after which the caller returns:
+    #: 0.005 to 0.010, and 0.024 of the two worst windows after the loss of all
+    #: instances.
     late_retry_share: float = 0.25
 
 
 @unique
 class Verdict(Enum):
-    """What to do with a call now."""
+    """The decision on a call at one time."""
 
     SEND = auto()
     HOLD = auto()
@@ -67,18 +73,19 @@
 
 @define
 class WaitingCall:
-    """One call that looks for a server; times are monotonic seconds."""
+    """One call that waits for a server; times are monotonic seconds."""
 
     settings: AdmissionSettings
     began: float
-    #: When an answer ceases to be in time.
+    #: Time until which an answer is in time.
     best_until: float
-    #: When the call is given up here, and when its caller ceases to wait.
+    #: Time at which this instance gives up the call, and at which its caller stops
+    #: waiting.
     deadline: float
     caller_leaves: float
     #: Seconds from the caller's first attempt within which an answer is in time.
     target: float
-    #: 0 is the most urgent.
+    #: Priority of the call; 0 is the most urgent.
     priority: int = 0
     #: Seconds that the caller had waited before, as far as known.
     spent: float = 0.0
@@ -93,12 +100,12 @@
         *,
         is_known: bool = True,
     ) -> Verdict:
-        """Return what to do with the call.
+        """Return the decision on the call.
 
-        The delay is the best server's, in times of work; the work is the seconds that
-        the call takes on an idle server. Where no server answers probes nothing is
-        known, and a refusal could stand for ever: probes that come late would keep it
-        up.
+        The delay is that of the best server, in multiples of the work; the work is the
+        seconds that the call takes on an idle server. If no server answers probes, the
+        delay is not known (`is_known`) and the call is sent: a refusal could persist
+        for ever, kept up by probes that arrive late.
         """
         self.note_time(work, now)
         if delay <= GOOD_DELAY:
@@ -113,10 +120,11 @@
         return Verdict.REFUSE if is_known else Verdict.SEND
 
     def note_time(self, work: float, now: float) -> None:
-        """Take note of what the time leaves for a request of so many seconds.
+        """Mark a returning call as late if a request of the given work would be late.
 
-        Only who comes back is late by that: where the work was learned too long, or
-        takes longer than the target, all would be.
+        Only a call whose caller has waited before is marked: if the estimate of the
+        work is too long, or the work takes longer than the target, all calls would be
+        late.
         """
         if self.spent and now + work > self.best_until:
             self.is_late = True
@@ -124,7 +132,7 @@
     def find_slow(
         self, ranked: Sequence[Estimate], work: float, now: float
     ) -> Estimate | None:
-        """Return an idle server at which a fresh call would be late, best first."""
+        """Return the best idle server at which a fresh call would be late, if any."""
         if not self.settings.uses_slow:
             return None
         latest = self.settings.slow_time_share * (self.deadline - now)
@@ -138,18 +146,19 @@
 
     @property
     def hold_until(self) -> float:
-        """Return until when the call may be held."""
+        """Return the time until which the call may be held."""
         return self.began + self.settings.hold_share * self.target
 
     def look_seconds(self, now: float) -> float:
-        """Return the time until the next look for a server."""
+        """Return the seconds until the next search for a server."""
         usual = LOOK_SECONDS + LOOK_SECONDS_PER_PRIORITY * self.priority
         return max(0.0, min(usual, self.hold_until - now))
 
     def refuse(self, expected: float, now: float, random: Random) -> NotRun:
-        """Return the refusal of a call whose answer is expected in so many seconds.
+        """Return the refusal of a call whose answer is expected after some seconds.
 
-        Its next attempt will be late too, so it comes back when others have gone.
+        The caller's next attempt will be late too, so the caller should return when the
+        others have finished.
         """
         late = now + expected - self.best_until
         detail = f'expected {expected * 1e3:.0f} ms, late by {late * 1e3:.0f} ms'
@@ -157,8 +166,8 @@
         return NotRun(Reason.DEADLINE_UNMET, detail, retry_after=retry_after)
 
     def late_retry(self, now: float, random: Random) -> float:
-        """Return the seconds after which a call that will be late may come back."""
+        """Return the seconds after which a call that will be late may be retried."""
         left = max(0.0, self.caller_leaves - now)
         retry_after = max(MIN_RETRY_SECONDS, self.settings.late_retry_share * left)
-        # Refused together, callers must not come back together.
+        # Callers that are refused together must not retry together.
         return retry_after * random.uniform(1.0, MOST_SPREAD)
--- a/catkinslip/limits/__init__.py
+++ b/catkinslip/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits on work: admission, the budget of extra requests, retries and hedges."""
+"""Limits on load: admission, the budget of extra requests, retries and hedges."""
--- a/catkinslip/limits/admission.py
+++ b/catkinslip/limits/admission.py
@@ -1,4 +1,4 @@
-"""Ways of admission."""
+"""Admission policies."""
 
 from attrs import define
 
@@ -12,16 +12,17 @@
 
 @define
 class SharedLimit(Admission):
-    """Keep the own share of the slots, and lend from it while it is idle.
+    """An admission policy that reserves this instance's share and lends idle slots.
 
-    A call within the own share is always admitted. One beyond it is admitted while
-    all instances together, as the backend servers' reports tell, leave room.
+    A call within this instance's share of the slots is always admitted. A call beyond
+    it is admitted while all instances together, according to the backend servers'
+    reports, leave room.
     """
 
     queue_depth: float = 2.0
 
     def refuse(self, load: ServiceLoad, time_left: float) -> NotRun | None:
-        """Return why a call is refused; None admits it."""
+        """Return the refusal of a call; None admits the call."""
         if load.in_flight < own_share(load, self.queue_depth):
             return None
         if load.total < load.slots * self.queue_depth:
@@ -31,12 +32,12 @@
 
 @define
 class DeadlineLimit(SharedLimit):
-    """Limit as SharedLimit does, and refuse calls that would be answered late."""
+    """A shared limit that also refuses calls that would miss their deadline."""
 
     margin: float = 1.0
 
     def refuse(self, load: ServiceLoad, time_left: float) -> NotRun | None:
-        """Return why a call is refused; None admits it."""
+        """Return the refusal of a call; None admits the call."""
         refusal = SharedLimit.refuse(self, load, time_left)
         if refusal is not None:
             return refusal
@@ -45,26 +46,28 @@
             return None
         if wait + self.margin * load.service_time <= time_left:
             return None
-        detail = f'expected wait {wait * 1e3:.0f} ms, left {time_left * 1e3:.0f} ms'
+        detail = (
+            f'expected wait {wait * 1e3:.0f} ms, remaining {time_left * 1e3:.0f} ms'
+        )
         return NotRun(Reason.DEADLINE_UNMET, detail, retry_after=retry_after(load))
 
 
 def own_share(load: ServiceLoad, queue_depth: float) -> float:
-    """Return the requests in flight that are this instance's own to send."""
+    """Return how many requests in flight this instance may always have."""
     return max(1.0, load.slots * queue_depth / load.instances)
 
 
 def refuse_overloaded(load: ServiceLoad) -> NotRun:
-    """Return a refusal because the service's slots and queues are full."""
+    """Return the refusal of a call because the service's slots and queues are full."""
     detail = f'{load.total:.0f} requests in flight for {load.slots} slots'
     return NotRun(Reason.OVERLOADED, detail, retry_after=retry_after(load))
 
 
 def retry_after(load: ServiceLoad) -> float:
-    """Return after how many seconds to come back.
+    """Return the seconds after which a refused caller should retry.
 
-    The queue's expected wait, longer the more calls were refused lately: so many
-    times more callers than can be served would come back.
+    The result is the expected wait in the queue, and longer the more calls were refused
+    lately: otherwise that many times more callers would return than can be served.
     """
     admitted = max(1 - load.refused_share, MIN_RETRY_AFTER_SECONDS)
     wait = max(load.wait, load.service_time, MIN_RETRY_AFTER_SECONDS)
--- a/catkinslip/limits/base.py
+++ b/catkinslip/limits/base.py
@@ -1,4 +1,4 @@
-"""What every way of admission knows and decides."""
+"""The settings of admission, and the interface of admission policies."""
 
 from abc import ABC, abstractmethod
 
@@ -11,13 +11,13 @@
 
 @frozen
 class LimitSettings:
-    """Limits of one service; shares are parts of one, durations seconds."""
+    """The limits of one service; shares are fractions of one, durations seconds."""
 
     queue_depth: float = 2.0
     deadline_margin: float = 1.0
     extra_share: float = 0.05
     extra_reserve: float = 10.0
-    #: A reserve that all instances share; replaces the reserve of each where given.
+    #: Reserve that all instances share; replaces the reserve of each instance if given.
     extra_slack: float | None = None
     max_attempts: int = 3
     hedge_percentile: float = 99.0
@@ -25,8 +25,8 @@
 
 
 class Admission(ABC):
-    """Admit a call or refuse it at once."""
+    """An admission policy, which admits a call or refuses the call at once."""
 
     @abstractmethod
     def refuse(self, load: ServiceLoad, time_left: float) -> NotRun | None:
-        """Return why a call is refused; None admits it."""
+        """Return the refusal of a call; None admits the call."""
--- a/catkinslip/limits/budget.py
+++ b/catkinslip/limits/budget.py
@@ -8,11 +8,11 @@
 
 @define
 class ExtraBudget:
-    """Earn a share of a token with each call; an extra request takes one.
+    """A token bucket that calls fill and extra requests empty.
 
-    Extra requests never exceed `share` times the calls, since the budget starts
-    empty and saves at most `reserve` tokens; a reserve that instances share comes on
-    top.
+    Each call adds a share of a token, and each extra request takes one token. Extra
+    requests never exceed `share` times the calls, since the budget starts empty and
+    saves at most `reserve` tokens. A reserve that instances share comes in addition.
     """
 
     share: float
@@ -21,10 +21,10 @@
     has_started: bool = False
 
     def set_reserve(self, reserve: float) -> None:
-        """Follow the own share of a reserve that all instances have together.
+        """Set this instance's share of a reserve that all instances have together.
 
-        Half of it is there at the start, so that one restart within the window of
-        the bound spends at most half as much again.
+        Half of the reserve is available at the start, so that one restart within the
+        window of the bound spends at most half as much again.
         """
         if not self.has_started:
             self.has_started = True
@@ -33,13 +33,13 @@
         self.tokens = min(self.tokens, reserve)
 
     def earn(self) -> None:
-        """Count one call."""
+        """Add the share of a token that one call earns."""
         self.tokens = min(self.reserve, self.tokens + self.share)
 
     def has(self, kept: float = 0.0) -> bool:
-        """Tell whether a token can be taken while some tokens are kept."""
+        """Return whether a token can be taken while some tokens stay reserved."""
         return self.tokens - kept >= 1 - TOKEN_TOLERANCE
 
     def take(self) -> None:
-        """Take one token."""
+        """Remove one token."""
         self.tokens -= 1
--- a/catkinslip/limits/latency.py
+++ b/catkinslip/limits/latency.py
@@ -1,4 +1,4 @@
-"""The latency of a service, for the start of hedges."""
+"""The latency of a service, which determines when hedges start."""
 
 from attrs import Factory, define
 from hdrh.histogram import HdrHistogram
@@ -17,7 +17,7 @@
 
 @define
 class LatencyWindow:
-    """Keep latencies of about the last two windows and one percentile of them."""
+    """The latencies of about the last two windows, and one percentile of them."""
 
     percentile: float
     current: HdrHistogram = Factory(new_histogram)
@@ -32,7 +32,7 @@
         self.current.record_value(micros)
 
     def read(self, now: float) -> float | None:
-        """Return the percentile in seconds; None until enough was recorded."""
+        """Return the percentile in seconds; None until enough latencies exist."""
         if now - self.refreshed_at >= REFRESH_SECONDS:
             self.refreshed_at = now
             self._refresh(now)
--- a/catkinslip/limits/load.py
+++ b/catkinslip/limits/load.py
@@ -1,4 +1,4 @@
-"""What one instance knows of the load on one service."""
+"""The load on one service, as one instance estimates it."""
 
 import math
 
@@ -8,14 +8,15 @@
 
 SERVICE_TIME_WEIGHT = 0.05
 REFUSED_WEIGHT = 0.01
-# At 1, instances that see full servers as just full admit too much; see LIMITS.md.
+# At 1, instances that count an overfull server as just full admit too much; see
+# LIMITS.md.
 LONGEST_QUEUE_FACTOR = 1.5
 REPORT_LIFETIME_SECONDS = 1.0
 
 
 @define
 class BackendCount:
-    """Requests at one backend server: sent from here, and estimated in all."""
+    """The requests at one backend server: of this instance, and in all (estimated)."""
 
     own: int = 0
     estimate: float = 0.0
@@ -25,7 +26,7 @@
 
 @define
 class ServiceLoad:
-    """Requests in flight, slots and service time of one service; in seconds."""
+    """The requests in flight, slots and service time of one service; in seconds."""
 
     slots_per_backend: int = 1
     backends: int = 0
@@ -40,7 +41,7 @@
 
     @property
     def slots(self) -> int:
-        """Return the slots of all backend servers that take new work."""
+        """Return the slots of all backend servers that accept new work."""
         return max(1, self.slots_per_backend * self.backends)
 
     @property
@@ -61,10 +62,10 @@
         instances: int,
         queue_depth: float = math.inf,
     ) -> None:
-        """Take over the service's size and the number of instances it shares.
+        """Set the size of the service and the number of instances that share it.
 
-        A long queue at one backend server says little about the others, so it counts
-        up to a limit only.
+        A long queue at one backend server indicates little about the others, so it
+        counts only up to a limit.
         """
         self.slots_per_backend = slots_per_backend
         self.backends = backends
@@ -83,7 +84,7 @@
         self._estimate(count, count.estimate + 1)
 
     def ended(self, backend_id: str, report: LoadReport | None, now: float) -> None:
-        """Count a request that ended, and take its report."""
+        """Count a request that ended, and apply the load report of its answer."""
         count = self.count_by_id[backend_id]
         count.own -= 1
         self.in_flight -= 1
@@ -94,14 +95,17 @@
             self._estimate(count, max(report.in_flight, count.own))
 
     def learn_service_time(self, backend_id: str, latency: float) -> None:
-        """Learn the time in a slot from an answer's latency and the queue behind it."""
+        """Update the mean time in a slot from an answer's latency.
+
+        The latency is divided by the estimated queue at the backend server.
+        """
         queue = (self.count_by_id[backend_id].estimate + 1) / self.slots_per_backend
         sample = latency / max(1.0, queue)
         weight = SERVICE_TIME_WEIGHT if self.service_time else 1.0
         self.service_time += (sample - self.service_time) * weight
 
     def sweep(self, now: float) -> None:
-        """Let reports that are too old fall back to the requests sent from here."""
+        """Replace estimates from expired reports by this instance's own counts."""
         if now - self.swept_at < REPORT_LIFETIME_SECONDS:
             return
         self.swept_at = now
--- a/catkinslip/limits/plan.py
+++ b/catkinslip/limits/plan.py
@@ -1,4 +1,4 @@
-"""Decide which attempts a call makes and what its caller is told."""
+"""The plan of a call's attempts, and the outcome that its caller gets."""
 
 from enum import Enum, unique
 
@@ -12,7 +12,7 @@
 
 @unique
 class Step(Enum):
-    """What comes after an attempt that ended."""
+    """The next step after an attempt that ended."""
 
     RETRY = 'retry'
     WAIT = 'wait'
@@ -23,8 +23,8 @@
 class CallPlan:
     """The attempts of one call; the deadline is on the monotonic clock.
 
-    A call that is not repeatable has at most one attempt whose request may have
-    run. Only the first layer of balancers that a call passes retries it.
+    A call that is not repeatable has at most one attempt whose request may have run.
+    Only the first layer of load balancers that a call passes through retries the call.
     """
 
     repeatable: bool
@@ -40,7 +40,7 @@
     refusal: NotRun = NotRun(Reason.NO_BACKEND)
 
     def may_start(self) -> bool:
-        """Tell whether an attempt may still start; other calls may take tokens."""
+        """Return whether an attempt may still start, as other calls may take tokens."""
         return not self.sent or self.budget.has()
 
     def start(self) -> int:
@@ -52,7 +52,7 @@
         return self.started
 
     def doubted(self, doubt: Unknown) -> None:
-        """Take that a request may have run at the server of the running attempt."""
+        """Record that a request may have run at the server of the running attempt."""
         self._remember(doubt)
 
     def ended(
@@ -63,7 +63,7 @@
         is_sent: bool,
         is_resendable: bool = True,
     ) -> Step:
-        """Take an attempt that ended without an answer and return the next step."""
+        """Record an attempt that ended without an answer and return the next step."""
         self.running -= 1
         self.sent += is_sent
         self._remember(outcome)
@@ -75,7 +75,7 @@
         return Step.RETRY if may_retry else Step.STOP
 
     def may_hedge(self, now: float) -> bool:
-        """Tell whether a second attempt may run beside the first."""
+        """Return whether a second attempt may run in parallel with the first."""
         return (
             self.repeatable
             and self.first_layer
@@ -86,20 +86,20 @@
         )
 
     def hedge(self) -> int:
-        """Count an attempt that starts beside the first and return its number."""
+        """Count an attempt that starts in parallel and return its number."""
         self.sent += 1
         return self.start()
 
     def refused(self, refusal: NotRun) -> None:
-        """Take the reason why no further attempt starts."""
+        """Record the reason why no further attempt starts."""
         self.refusal = refusal
 
     def told(self) -> NotRun | Unknown:
-        """Return what the caller of a call without an answer is told."""
+        """Return the outcome that the caller of a call without an answer gets."""
         return self.refusal if self.doubt is None else self.doubt
 
     def expired(self, sent: int, *, answer_started: bool = False) -> Outcome:
-        """Return what the caller is told when running attempts are given up."""
+        """Return the outcome for the caller when running attempts are abandoned."""
         if sent:
             self._remember(Unknown(Reason.DEADLINE, answer_started=answer_started))
         else:
--- a/catkinslip/limits/service.py
+++ b/catkinslip/limits/service.py
@@ -20,7 +20,7 @@
 
 @define
 class ServiceLimits:
-    """Admission, extra requests and latencies of one service; times in seconds."""
+    """The admission, extra requests and latencies of one service; times in seconds."""
 
     settings: LimitSettings
     admission: Admission
@@ -31,7 +31,7 @@
     resized_at: float = -RESIZE_SECONDS
 
     def refuse(self, time_left: float) -> NotRun | None:
-        """Return why a call is refused; None admits it."""
+        """Return the refusal of a call; None admits the call."""
         refusal = self.admission.refuse(self.load, time_left)
         self.load.decided(refusal is not None)
         return refusal
@@ -55,13 +55,13 @@
         )
 
     def hedge_delay(self, now: float) -> float | None:
-        """Return after how many seconds to hedge; None when hedges are off."""
+        """Return the seconds after which to hedge; None when hedges are disabled."""
         if not self.settings.hedge_percentile:
             return None
         return self.latency.read(now)
 
     def has_idle_slot(self, backend_id: str) -> bool:
-        """Tell whether a hedge would likely find a slot and no queue."""
+        """Return whether a hedge would probably find a free slot and no queue."""
         count = self.load.count_by_id.get(backend_id)
         return count is None or count.estimate < self.load.slots_per_backend
 
@@ -70,12 +70,15 @@
         self.load.started(backend_id)
 
     def answered(self, backend_id: str, latency: float) -> None:
-        """Learn from the time until the head of an answer."""
+        """Record the latency up to the head of an answer."""
         self.latency.record(latency)
         self.load.learn_service_time(backend_id, latency)
 
     def ended(self, backend_id: str, result: AttemptResult, now: float) -> None:
-        """Count an attempt that ended; a cancelled one took at least so long."""
+        """Count an attempt that ended.
+
+        The latency of a cancelled attempt is recorded too, as a lower bound.
+        """
         self.load.ended(backend_id, result.report, now)
         if result.kind is ResultKind.CANCELLED:
             self.latency.record(result.latency)
@@ -83,14 +86,14 @@
 
 @define
 class LimitBook:
-    """Hold the limits of all services, in step with routers and members."""
+    """The limits of all services, kept in step with routers and members."""
 
     settings: LimitSettings
     count_instances: Callable[[str], float]
     limits_by_service: dict[str, ServiceLimits] = Factory(dict)
 
     def use(self, settings: LimitSettings) -> None:
-        """Take over changed settings."""
+        """Apply changed settings."""
         self.settings = settings
         for limits in self.limits_by_service.values():
             limits.settings = settings
