--- a/catkinslip/throttling/__init__.py
+++ b/catkinslip/throttling/__init__.py
@@ -1,1 +1,1 @@
-"""Servers that name the rate they take: what is believed, who may send how much."""
+"""Servers that advertise the request rate they accept, and how instances divide it."""
--- a/catkinslip/throttling/book.py
+++ b/catkinslip/throttling/book.py
@@ -1,4 +1,4 @@
-"""Which servers of a service name a rate, by the newest evidence."""
+"""The servers of a service that advertise a request rate, by the newest evidence."""
 
 import logging
 from collections import Counter
@@ -10,11 +10,14 @@
 from catkinslip.throttling.messages import ToldRate
 from catkinslip.throttling.signs import AnswerKind, RateSign
 
-#: What another instance tells was true a little earlier than its datagram came.
+#: Allowance in seconds for the way of a datagram: what a peer reports was true this
+#: much earlier.
 ON_THE_WAY_SECONDS = 0.05
-#: Entries lapse in outages of the store, those of many servers at once.
+#: Maximum number of removed servers that are remembered; an outage of the store makes
+#: the entries of many servers expire at once.
 MOST_GONE = 1000
-#: A server may name another rate with each answer: one line a second tells of them.
+#: Minimum seconds between two log lines about a changed rate of one server, as a server
+#: may advertise another rate with each answer.
 CHANGE_LOG_SECONDS = 1.0
 
 log = logging.getLogger('throttling')
@@ -22,38 +25,38 @@
 
 @define
 class NamedRate:
-    """What is known of the rate that one server names; monotonic seconds."""
+    """The rate that one server advertises, as far as known; monotonic seconds."""
 
     load: BackendLoad
     per_second: float = 0.0
-    #: When the newest answer that names a rate came.
+    #: Time of the newest answer that advertises a rate.
     named_at: float = NEVER
-    #: When the newest request was sent whose answer names none.
+    #: Time at which the newest request was sent whose answer advertises no rate.
     cleared_at: float = NEVER
-    #: Since when it is named without a pause.
+    #: Time since which the server has advertised a rate without interruption.
     began_at: float = NEVER
-    #: The kinds of answer that named it since then.
+    #: Kinds of answer that have advertised the rate since then.
     kinds: set[AnswerKind] = Factory(set)
-    #: Whether a probe was answered without it in this need.
+    #: Whether a probe was answered without a rate since then.
     are_probes_mute: bool = False
-    #: When this instance told others of it last.
+    #: Time at which this instance last gossiped the rate.
     told_at: float = NEVER
-    #: When this instance sent to it last, as far as that counts for its turns.
+    #: Time of the last request from this instance, as far as it counts for its turns.
     sent_at: float = NEVER
     logged_at: float = NEVER
     has_been_malformed: bool = False
 
     @property
     def holds(self) -> bool:
-        """Tell whether the server names a rate, as far as known.
+        """Return whether the server advertises a rate, as far as known.
 
-        An answer without one ends it only if its request was sent after the last
-        answer that names one had come: others may have been begun before.
+        An answer without a rate ends the throttling only if its request was sent after
+        the last answer with a rate had arrived: other requests may have started before.
         """
         return self.named_at > self.cleared_at
 
     def begin(self, now: float) -> None:
-        """Take that the server names a rate from now on."""
+        """Mark the server as throttled from now on."""
         self.began_at = now
         self.are_probes_mute = False
 
@@ -62,32 +65,33 @@
 
 
 def ignore_seen(rate: NamedRate, is_change: bool) -> None:
-    """Take no notice of what an answer said."""
+    """Ignore an observed rate."""
 
 
 @define
 class RateBook:
-    """Keep what the servers of one service name."""
+    """The rates that the servers of one service advertise."""
 
-    #: Learns what answers to this instance say, and whether it was news.
+    #: Callback for each rate that an answer to this instance carries; its second
+    #: argument is whether the rate changed.
     on_seen: OnSeen = ignore_seen
 
     rate_by_id: dict[str, NamedRate] = Factory(dict)
-    #: Of servers whose entries are gone, as these may be back with the same need.
+    #: Rates of removed servers, which may return with the same rate.
     gone_by_id: dict[str, NamedRate] = Factory(dict)
-    #: How often servers began to name a rate, changed it, ended it, or named none
-    #: that can be read.
+    #: Number of times that servers began to advertise a rate, changed it, ended it or
+    #: sent one that cannot be read, by event.
     events: Counter[str] = Factory(Counter)
 
     def find(self, load: BackendLoad | None) -> NamedRate | None:
-        """Return the rate that a server names; None if it names none."""
+        """Return the rate that a server advertises; None if it advertises none."""
         if load is None or not self.rate_by_id:
             return None
         rate = self.rate_by_id.get(load.backend_id)
         return rate if rate is not None and rate.holds else None
 
     def holding(self) -> list[NamedRate]:
-        """Return the rates that servers name now."""
+        """Return the rates that servers advertise now."""
         return [rate for rate in self.rate_by_id.values() if rate.holds]
 
     def told(
@@ -98,7 +102,7 @@
         sent_at: float,
         now: float,
     ) -> None:
-        """Take what an answer says to a request that was sent at a time."""
+        """Apply the rate in an answer to a request that was sent at a given time."""
         if sign.is_malformed:
             self._take_malformed(load)
         elif sign.per_second is not None:
@@ -107,7 +111,7 @@
             self._take_none(load, kind, sent_at, now)
 
     def heard(self, load: BackendLoad, told: ToldRate, now: float) -> None:
-        """Take what another instance knows of a server."""
+        """Apply a rate that another instance reports."""
         rate = self._known(load)
         was_held = rate.holds
         named_at = now - told.named_seconds
@@ -128,7 +132,7 @@
             rate.kinds.add(AnswerKind.PROBE)
 
     def forget(self, load: BackendLoad) -> None:
-        """Take that a server is gone, for good or until its entry is back."""
+        """Remove a server, for good or until its entry returns."""
         rate = self.rate_by_id.pop(load.backend_id, None)
         if rate is None:
             return
@@ -137,7 +141,7 @@
         self.gone_by_id[load.backend_id] = rate
 
     def take_back(self, load: BackendLoad) -> None:
-        """Take a server that is new here; one that was here before may be in need."""
+        """Add a server, and restore its rate if the same start of it was removed."""
         backend_id = load.backend_id
         rate = self.rate_by_id.pop(backend_id, None)
         rate = self.gone_by_id.pop(backend_id, rate)
@@ -149,7 +153,10 @@
         return self.rate_by_id.setdefault(load.backend_id, NamedRate(load))
 
     def _take_malformed(self, load: BackendLoad) -> None:
-        """Change nothing: the server may still be in need, or never was."""
+        """Count an unreadable rate and change nothing else.
+
+        The server may still be throttled, or never was.
+        """
         self.events['malformed'] += 1
         rate = self._known(load)
         if not rate.has_been_malformed:
@@ -176,7 +183,8 @@
         rate = self.rate_by_id.get(load.backend_id)
         if rate is None:
             return
-        # Whether others than successes name rates is seen only where one did.
+        # An answer other than a success ends the throttling only if that kind of answer
+        # has advertised the rate before: some servers advertise it only in successes.
         if kind is not AnswerKind.ANSWER and kind not in rate.kinds:
             rate.are_probes_mute |= kind is AnswerKind.PROBE
             return
@@ -196,7 +204,7 @@
         self.events['named'] += 1
         rate.logged_at = now
         log.info(
-            'throttling: %s names a rate. per_second=%g by=%s',
+            'throttling: %s advertises a rate. per_second=%g by=%s',
             rate.load.backend_id,
             rate.per_second,
             by,
@@ -208,7 +216,7 @@
             return
         rate.logged_at = now
         log.info(
-            'throttling: %s names another rate. per_second=%g was=%g',
+            'throttling: %s advertises another rate. per_second=%g was=%g',
             rate.load.backend_id,
             rate.per_second,
             before,
@@ -217,7 +225,7 @@
     def _log_ended(self, rate: NamedRate, by: str, now: float) -> None:
         self.events['ended'] += 1
         log.info(
-            'throttling: %s names no rate any more. after_s=%.1f by=%s',
+            'throttling: %s no longer advertises a rate. after_s=%.1f by=%s',
             rate.load.backend_id,
             now - rate.began_at,
             by,
--- a/catkinslip/throttling/gate.py
+++ b/catkinslip/throttling/gate.py
@@ -1,4 +1,4 @@
-"""What this instance may send to servers that name a rate."""
+"""The gate that limits what this instance sends to servers that advertise a rate."""
 
 from collections.abc import Callable, Mapping
 from math import inf
@@ -12,33 +12,34 @@
 from catkinslip.warmup.quotas import Sender
 from catkinslip.warmup.senders import Place
 
-#: A server that nobody was heard of from for so long is asked by the next call that it
-#: could answer at once: its need may be over.
+#: Seconds without an answer that advertises the rate after which the next request that
+#: the server could answer at once goes there, as the throttling may be over.
 HEARD_SECONDS = 1.0
-#: A server that names a rate is probed beside the calls after so long.
+#: Seconds without an answer that advertises the rate after which the server is probed
+#: in addition to requests.
 UNHEARD_SECONDS = 0.5
 
 Divide = Callable[[BackendLoad, float], Mapping[Sender, float]]
 
 
 def no_place() -> Place | None:
-    """Return no place: the instance sends nothing to servers that name a rate."""
+    """Return None: the instance sends nothing to servers that advertise a rate."""
     return None
 
 
 def give_nobody(load: BackendLoad, per_second: float) -> Mapping[Sender, float]:
-    """Let nobody send to a server that names a rate."""
+    """Return no shares: no instance sends to a server that advertises a rate."""
     return {}
 
 
 @define
 class ThrottledServer(GuardedServer):
-    """A server that names a rate, and what this instance may send it."""
+    """A server that advertises a rate, and what this instance may send to it."""
 
     rate: NamedRate
-    #: The beginning of the need that this holds for.
+    #: Start of the throttling for which this state is valid, in monotonic seconds.
     began_at: float = NEVER
-    #: The rate that was divided last, and its parts.
+    #: Requests per second that were divided last, and the share of each sender.
     divided: float = -1.0
     rate_by_sender: Mapping[Sender, float] = Factory(dict)
 
@@ -49,7 +50,7 @@
 
 @define
 class ThrottleGate(Gate):
-    """Keep requests from servers in need beyond this instance's part of their rate."""
+    """A gate that limits requests to throttled servers to this instance's share."""
 
     word = GuardWord.RATE
 
@@ -59,7 +60,7 @@
     server_by_id: dict[str, ThrottledServer] = Factory(dict)
 
     def closed(self, now: float) -> list[str]:
-        """Return the servers that this instance may send nothing now."""
+        """Return the IDs of the servers that this instance may send nothing now."""
         return [
             server.load.backend_id
             for server, wait_seconds in self._waits(now)
@@ -67,7 +68,7 @@
         ]
 
     def due(self, now: float) -> list[str]:
-        """Return the servers with room that nobody has been heard of from lately."""
+        """Return the IDs of the servers with room whose last advertised rate is old."""
         return [
             server.load.backend_id
             for server, wait_seconds in self._waits(now)
@@ -75,9 +76,10 @@
         ]
 
     def unheard(self, now: float) -> list[BackendLoad]:
-        """Return the servers to probe, as their need may be over.
+        """Return the servers to probe because their throttling may be over.
 
-        A rate of 0.1 a second lets a request tell of the end after 10 s.
+        At a rate of 0.1 requests a second, requests alone would show its end only after
+        10 s.
         """
         return [
             rate.load
@@ -86,30 +88,30 @@
         ]
 
     def find(self, load: BackendLoad | None, now: float) -> ThrottledServer | None:
-        """Return a server as it is guarded; None if it is not."""
+        """Return the throttled server of a load; None if it is not throttled."""
         rate = self.book.find(load)
         return None if rate is None else self._server(rate)
 
     def has_room(self, server: ThrottledServer, now: float) -> bool:
-        """Tell whether this instance may send another request."""
+        """Return whether this instance may send the server another request now."""
         return self._wait_seconds(server, self.place(), now) == 0
 
     def carries(self, load: BackendLoad, now: float) -> bool:
-        """Tell whether a server takes its usual share of the load."""
+        """Return whether a server handles its usual share of the load."""
         return self.book.find(load) is None
 
     def take_back(self, load: BackendLoad) -> None:
-        """Take a server that is new here; one that was here before may be in need."""
+        """Add a server, and restore its rate if the same start of it was removed."""
         self.server_by_id.pop(load.backend_id, None)
         self.book.take_back(load)
 
     def forget(self, load: BackendLoad) -> None:
-        """Take that a server is gone."""
+        """Remove a server."""
         self.book.forget(load)
         self.server_by_id.pop(load.backend_id, None)
 
     def _waits(self, now: float) -> list[tuple[ThrottledServer, float]]:
-        """Return the servers that name a rate, and the time until the turn of each."""
+        """Return the throttled servers, each with the seconds until its next turn."""
         if not self.book.rate_by_id:
             return []
         place = self.place()
@@ -123,14 +125,18 @@
             self.server_by_id[rate.load.backend_id] = server
         if server.began_at != rate.began_at:
             server.began_at = rate.began_at
-            # What was sent before the rate was known counts.
+            # Requests that were sent before the rate was known count too.
             rate.sent_at = max(rate.sent_at, *(rate.load.sent_at or ()), NEVER)
         return server
 
     def _wait_seconds(
         self, server: ThrottledServer, place: Place | None, now: float
     ) -> float:
-        """Return the time until another request may be sent; no end without a part."""
+        """Return the seconds until another request may be sent, or infinity.
+
+        The result is infinite if this instance has no share, or has reserved its turn
+        already.
+        """
         per_second = server.rate.per_second
         if server.divided != per_second:
             server.divided = per_second
--- a/catkinslip/throttling/messages.py
+++ b/catkinslip/throttling/messages.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of servers that name a rate, as plain data."""
+"""Messages between instances about servers that advertise a rate, as plain data."""
 
 from collections.abc import Iterable, Iterator
 from math import inf
@@ -11,24 +11,24 @@
 
 @frozen
 class ToldRate:
-    """What an instance knows of one server's rate; ages in seconds."""
+    """What an instance knows about one server's rate; ages in seconds."""
 
     backend_id: str
-    #: Tells one start of the server from another.
+    #: Tag that distinguishes one start of the server from another.
     start: int
     per_second: float
-    #: Since an answer named it.
+    #: Age of the newest answer that advertises the rate.
     named_seconds: float
-    #: Since a request was sent whose answer named none; None if none did.
+    #: Age of the newest request whose answer advertises no rate; None if there is none.
     cleared_seconds: float | None
-    #: Whether answers to probes name it too.
+    #: Whether answers to probes advertise the rate too.
     is_in_probes: bool = False
     by: str = ''
 
 
 @frozen
 class RateDoubt:
-    """A server of which an instance has heard nothing for a while; age in seconds."""
+    """A query about a server whose rate is stale at an instance; age in seconds."""
 
     backend_id: str
     start: int
@@ -51,7 +51,10 @@
 
 
 def rates_from_plain(plain: Any, by: str) -> Iterator[ToldRate]:
-    """Read rates; raise KeyError, TypeError or ValueError for anything else."""
+    """Read rates from plain data.
+
+    Raises KeyError, TypeError or ValueError for anything else.
+    """
     for backend_id, start, per_second, named_ms, cleared_ms, is_in_probes in plain:
         yield ToldRate(
             str(backend_id),
@@ -65,24 +68,30 @@
 
 
 def doubts_to_plain(doubts: Iterable[RateDoubt]) -> list[Any]:
-    """Return doubts as plain data; ages in milliseconds."""
+    """Return queries as plain data; ages in milliseconds."""
     return [[it.backend_id, it.start, to_ms(it.named_seconds)] for it in doubts]
 
 
 def doubts_from_plain(plain: Any) -> Iterator[RateDoubt]:
-    """Read doubts; raise KeyError, TypeError or ValueError for anything else."""
+    """Read queries from plain data.
+
+    Raises KeyError, TypeError or ValueError for anything else.
+    """
     for backend_id, start, named_ms in plain:
         yield RateDoubt(str(backend_id), int(start), to_amount(named_ms) / 1e3)
 
 
 def to_ms(seconds: float) -> int:
-    """Return an age as whole milliseconds; what never was is a day old."""
+    """Return an age in whole milliseconds, limited to the range from zero to one day.
+
+    An event that never occurred has the age of one day.
+    """
     return round(min(max(0.0, seconds), MOST_AGE_SECONDS) * 1e3)
 
 
 def to_amount(value: Any) -> float:
-    """Return a number that is not below zero and not infinite."""
+    """Return a number that is finite and not negative; raise ValueError for others."""
     amount = float(value)
     if not 0 <= amount < inf:
-        raise ValueError(f'{value!r} is no amount')
+        raise ValueError(f'rate or age {value!r} is not a finite number >= 0')
     return amount
--- a/catkinslip/throttling/shares.py
+++ b/catkinslip/throttling/shares.py
@@ -1,17 +1,19 @@
-"""Divide the rate that a server names among the instances.
+"""The division of the rate that a server advertises among the instances.
 
-Load: a server in need takes one request a second or less from all instances, and looks
-idle to each of them. A part for each of 17 would be less than one request in the time
-in which the bound holds, so few instances may send it anything: the two senders of some
-zones, its own first. Each waits for its next turn and saves up none. So in a window of
-w seconds n senders send at most n requests and w times their rates: with 4 s, two
-senders and a rate of 1 that is 6.
+Load: a throttled server accepts one request a second or less from all instances
+together, and looks idle to each of them. A share for each of 17 instances would be less
+than one request in the time in which the bound holds, so few instances may send to the
+server at all: the two senders of some zones, those of its own zone first. Each waits
+for its next turn and saves up no unused turns. So in a window of w seconds n senders
+send at most n requests plus w times their rates: with 4 s, two senders and a rate of 1
+that is 6.
 
 An instance that cannot read the list of instances keeps its place, as the server would
-get nothing in an outage of the store; others may have taken the place meanwhile, so it
-sends at a quarter of its rate. Both sets together stay below one and a half times what
-the rate allows in 4 s, and 5 more: 2n + 5 times the rate, where n is 2 and two more
-for each 4 a second.
+otherwise get no requests in an outage of the store. Another instance may have taken the
+place meanwhile, so the first one sends at a quarter of its rate. Both sets together
+stay below one and a half times what the rate allows in 4 s, plus 5: they send at most
+2n requests plus 5 times the rate, where n is 2 and two more for each 4 requests a
+second.
 """
 
 from collections.abc import Collection
@@ -20,18 +22,19 @@
 from catkinslip.warmup.quotas import SENDERS_PER_ZONE, Sender
 from catkinslip.warmup.senders import Place
 
-#: A server that names less, or nothing at all, is asked so often whether it still does.
+#: Requests per second that are sent to a server that advertises less, or zero, in order
+#: to detect the end of its throttling.
 LEAST_PER_SECOND = 0.1
-#: For each of these another zone's senders may send.
+#: Requests per second for each of which the senders of one more zone may send.
 PER_SECOND_AND_ZONE = 4.0
-#: Part of its rate at which an instance sends that may have lost its place.
+#: Share of its rate at which an instance sends that may have lost its place.
 OLD_PLACE_SHARE = 0.25
 
 
 def sending_zones(
     per_second: float, backend_id: str, zone: str, zones: Collection[str]
 ) -> list[str]:
-    """Return the zones whose senders may send to a server that names a rate."""
+    """Return the zones whose senders may send to a server that advertises a rate."""
     others = [each for each in zones if each != zone]
     others.sort(key=lambda each: weight(backend_id, each))
     ordered = [zone, *others] if zone in zones or not others else others
@@ -42,9 +45,10 @@
 def divide_rate(
     per_second: float, backend_id: str, zone: str, zones: Collection[str]
 ) -> dict[Sender, float]:
-    """Return the requests a second that each sender may send to a server.
+    """Return the requests per second that each sender may send to a server.
 
-    Two of a zone have the same, as they may both take themselves for the second.
+    Both senders of a zone get the same rate, as both may assume that they are the
+    second.
     """
     used = max(per_second, LEAST_PER_SECOND)
     sending = sending_zones(used, backend_id, zone, zones)
@@ -53,7 +57,7 @@
 
 
 def own_rate(rate_by_sender: dict[Sender, float], place: Place | None) -> float:
-    """Return the requests a second of the instance with a place; none has none."""
+    """Return the requests per second for an instance's place; 0 without a place."""
     if place is None:
         return 0.0
     rate = rate_by_sender.get(place.sender, 0.0)
--- a/catkinslip/throttling/signs.py
+++ b/catkinslip/throttling/signs.py
@@ -1,4 +1,4 @@
-"""What answers say of the rate that their server takes."""
+"""The rate signals that answers of servers carry."""
 
 from enum import Enum, unique
 
@@ -7,10 +7,10 @@
 
 @unique
 class AnswerKind(Enum):
-    """What a server answered."""
+    """The kind of an answer from a server."""
 
     ANSWER = 'answer'
-    #: Of a request that failed there.
+    #: The request failed at the server.
     FAILURE = 'failure'
     #: The request did not run.
     REFUSAL = 'refusal'
@@ -19,7 +19,7 @@
 
 @frozen
 class RateSign:
-    """What one answer says: requests a second from all instances, or nothing."""
+    """The rate in one answer: requests per second from all instances, or None."""
 
     per_second: float | None = None
     is_malformed: bool = False
--- a/catkinslip/throttling/telling.py
+++ b/catkinslip/throttling/telling.py
@@ -1,10 +1,12 @@
-"""Tell the instances that serve callers which servers name a rate, and ask in doubt.
-
-Load: who may not send to a server in need learns nothing from it, neither that its
-need began, which one request of each instance would tell, nor that it is over. So
-whoever gets an answer tells all that serve at once, twice, as some datagrams are lost,
-and again each second while answers come. Who has heard nothing for some seconds asks a
-few: a belief never ends by silence, as in a partition all would send again.
+"""The gossip among instances that serve callers about servers that advertise a rate.
+
+Load: an instance that may not send to a throttled server gets no answer from it, and so
+sees neither the start of the throttling, which one request from each instance would
+reveal, nor its end. So the instance that receives an answer sends the rate to all
+serving instances at once, twice, as some datagrams are lost, and again each second
+while answers arrive. An instance that has received nothing for some seconds queries a
+few others. A rate never expires by silence, because in a partition all instances would
+then send again.
 """
 
 from collections.abc import Callable
@@ -30,21 +32,24 @@
 )
 from catkinslip.throttling.signs import AnswerKind
 
-#: Some 45 bytes each.
+#: Maximum number of rates in one datagram; each takes some 45 bytes.
 MOST_TOLD = 28
-#: Between two datagrams of news.
+#: Seconds that updates are collected before a datagram is sent.
 FLUSH_SECONDS = 0.02
 REPEAT_SECONDS = 0.1
-#: What is no news is told so often while answers come, and so long after an end.
+#: Seconds between two datagrams about an unchanged rate while answers arrive, and
+#: seconds after the end of throttling during which the end is repeated.
 REFRESH_SECONDS = 1.0
 END_TOLD_SECONDS = 10.0
-#: A belief so old is asked about, so often, of so many.
+#: Age in seconds from which a rate is queried, seconds between two queries, and the
+#: number of instances that each query goes to.
 DOUBT_AGE_SECONDS = 2.5
 DOUBT_SECONDS = 1.0
 ASKED = 2
-#: Half of what a datagram takes, as names may be long.
+#: Maximum number of servers in one query: half of what fits into a datagram, as names
+#: may be long.
 MOST_ASKED = 14
-#: Evidence that is newer by less is no answer to a doubt.
+#: Seconds by which evidence must be newer than a query's to be sent as its reply.
 NEWER_SECONDS = 0.05
 
 Post = Callable[[bytes, list[Address]], None]
@@ -52,22 +57,22 @@
 
 @define
 class RateTeller:
-    """Tell what this instance saw, take what others did, ask and answer in doubt."""
+    """The exchange of observed rates and of queries with other instances."""
 
     own_id: str
     directory: Directory
     clock: Clock
     random: Random
     targets: Callable[[], list[Address]]
-    #: Returns where a known instance takes datagrams.
+    #: Function that returns the datagram address of a known instance.
     find_address: Callable[[str], Address | None]
     post: Post
-    #: What waits to be told, and whether it is news.
+    #: Rates that wait to be sent, each with whether it changed.
     news_by_id: dict[str, tuple[NamedRate, bool]] = Factory(dict)
     has_news: trio.Event = Factory(trio.Event)
 
     def saw(self, rate: NamedRate, is_change: bool) -> None:
-        """Take what an answer to this instance said of a server's rate."""
+        """Schedule gossip about a rate that an answer to this instance carried."""
         now = self.clock.monotonic()
         if not is_change and not self._is_refresh_due(rate, now):
             return
@@ -84,7 +89,7 @@
         return rate.holds or now - rate.named_at < END_TOLD_SECONDS
 
     async def run(self) -> None:
-        """Tell news and ask in doubt until cancelled."""
+        """Send updates and queries until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._ask_always)
             while True:
@@ -97,11 +102,12 @@
 
     async def _repeat(self, rates: list[NamedRate]) -> None:
         await trio.sleep(REPEAT_SECONDS)
-        # With the ages of now: told with those of before it would look newer.
+        # The ages are computed again: with those of the first datagram, the evidence
+        # would look newer than it is.
         self._tell(rates, self.targets())
 
     def _tell(self, rates: list[NamedRate], addresses: list[Address]) -> None:
-        """Tell some rates in one datagram, or in more where names are long."""
+        """Send some rates in one datagram, or in several where the names are long."""
         data = self.encode(rates)
         if len(data) <= MAX_DATAGRAM_BYTES or len(rates) == 1:
             self.post(data, addresses)
@@ -111,7 +117,7 @@
         self._tell(rates[half:], addresses)
 
     def _take_news(self) -> tuple[list[NamedRate], bool]:
-        """Return the rates to tell next, and whether one of them is news."""
+        """Remove and return the next rates to send, and whether one of them changed."""
         taken = list(self.news_by_id)[:MOST_TOLD]
         told = [self.news_by_id.pop(backend_id) for backend_id in taken]
         if not self.news_by_id:
@@ -120,15 +126,17 @@
         return [rate for rate, _ in told], is_change
 
     def encode(self, rates: list[NamedRate]) -> bytes:
-        """Return a datagram that tells some rates."""
+        """Return a datagram with some rates."""
         now = self.clock.monotonic()
         told = [told_of(rate, now) for rate in rates]
         return orjson.dumps({'rates': rates_to_plain(told), 'by': self.own_id})
 
     def take_rates(self, told: dict) -> None:
-        """Take what another instance tells; raise ValueError or so for no such thing.
+        """Apply the rates in a datagram from another instance.
 
-        It is not told on: all that serve are told by whoever got the answer.
+        Raises KeyError, TypeError or ValueError for anything else. The rates are not
+        forwarded, as the instance that received the answer sends them to all serving
+        instances.
         """
         now = self.clock.monotonic()
         for each in rates_from_plain(told['rates'], str(told['by'])):
@@ -141,7 +149,7 @@
         while True:
             await trio.sleep(DOUBT_SECONDS * self.random.uniform(0.8, 1.2))
             if self.news_by_id:
-                # What is no news goes together.
+                # Unchanged rates are sent together, once per interval.
                 self.has_news.set()
             doubts = self.doubts()
             targets = self.targets()
@@ -151,7 +159,7 @@
                 self.post(orjson.dumps(data), asked)
 
     def doubts(self) -> list[RateDoubt]:
-        """Return some of the servers that nobody was heard of from lately."""
+        """Return queries about some of the servers whose advertised rate is stale."""
         now = self.clock.monotonic()
         old = [
             rate
@@ -166,7 +174,10 @@
         ]
 
     def take_doubts(self, told: dict) -> None:
-        """Answer where this instance knows more; raise as `take_rates` does."""
+        """Reply to a query with the rates of which this instance has newer evidence.
+
+        Raises KeyError, TypeError or ValueError for anything that is not a query.
+        """
         now = self.clock.monotonic()
         newer = []
         for each in doubts_from_plain(told['doubts']):
@@ -182,12 +193,12 @@
 
 
 def knows_more(rate: NamedRate, named_at: float) -> bool:
-    """Tell whether what is known is newer than a rate that was named at a time."""
+    """Return whether the evidence on a rate is newer than a time, by a margin."""
     return max(rate.named_at, rate.cleared_at) > named_at + NEWER_SECONDS
 
 
 def told_of(rate: NamedRate, now: float) -> ToldRate:
-    """Return what to tell of a rate."""
+    """Return the report on a rate for other instances."""
     cleared = None if rate.cleared_at == NEVER else now - rate.cleared_at
     load = rate.load
     return ToldRate(
--- a/tests/test_throttling_book.py
+++ b/tests/test_throttling_book.py
@@ -68,9 +68,9 @@
         self.assertEqual(
             [record.getMessage() for record in logs.records],
             [
-                'throttling: i-1 names a rate. per_second=1.2 by=answer',
-                'throttling: i-1 names another rate. per_second=0.5 was=1.2',
-                'throttling: i-1 names no rate any more. after_s=2.9 by=answer',
+                'throttling: i-1 advertises a rate. per_second=1.2 by=answer',
+                'throttling: i-1 advertises another rate. per_second=0.5 was=1.2',
+                'throttling: i-1 no longer advertises a rate. after_s=2.9 by=answer',
             ],
         )
 
--- a/tests/test_throttling_path.py
+++ b/tests/test_throttling_path.py
@@ -115,7 +115,7 @@
                     for number in range(2)
                 ]
             text = '\n'.join(record.getMessage() for record in logs.records)
-            self.assertIn('i-1 names a rate. per_second=1.2 by=answer', text)
+            self.assertIn('i-1 advertises a rate. per_second=1.2 by=answer', text)
             page = (await metrics_page(entry, '')).body.decode()
             self.assertIn('catkinslip_throttled_backends{service="one"} 1', page)
             self.assertIn('catkinslip_rate_events_total{event="named"} 1', page)
