--- a/tests/test_admission_need.py
+++ b/tests/test_admission_need.py
@@ -1,4 +1,4 @@
-"""Servers in need under load, replayed on the virtual clock: a tenth, half and all."""
+"""A tenth, half and all servers throttled under load, on the virtual clock."""
 
 import unittest
 from unittest.mock import patch
@@ -12,10 +12,10 @@
 PER_SECOND = 1.2
 WINDOW_SECONDS = 4.0
 BOUND = 1.5 * PER_SECOND * WINDOW_SECONDS + 5
-#: How long after the first naming the bound holds.
+#: Seconds after the first advertised rate from which the bound holds.
 TOLD_SECONDS = 3.0
 SEEDS = (1, 2)
-#: When a tenth, half and all of the servers are in need.
+#: Spans in which a tenth, half and all of the servers are throttled.
 SPANS = ((3.0, 11.0), (16.0, 24.0), (30.0, 38.0))
 
 
@@ -42,7 +42,7 @@
 
 
 class NeedTest(unittest.TestCase):
-    """What servers in need get, and what callers do."""
+    """The requests that throttled servers get, and the outcomes for callers."""
 
     def test_each_gets_about_what_it_names_and_never_its_bound(self):
         for seed in SEEDS:
@@ -66,7 +66,7 @@
             world = play(seed)
             self.assertGreater(in_time(world, SPANS[0]), 0.97)
             self.assertGreater(in_time(world, SPANS[1]), 0.9)
-            # Afterwards all is as before.
+            # After the throttling the service is as before.
             self.assertGreater(in_time(world, (39.0, 46.0)), 0.98)
 
     def test_callers_that_come_back_at_once_are_in_time_more_often(self):
--- a/tests/test_admission_overload.py
+++ b/tests/test_admission_overload.py
@@ -1,4 +1,4 @@
-"""The worst loads, replayed on the virtual clock with and without a mechanism."""
+"""The heaviest loads, replayed on the virtual clock with and without a mechanism."""
 
 import statistics
 import tempfile
@@ -15,9 +15,9 @@
 from catkinslip.routing.sample import SAMPLE_SIZE
 
 SEEDS = (1, 2, 3)
-#: More than any load has.
+#: Sample size above the number of servers in any load.
 ALL_SERVERS = 100_000
-#: For what makes less of a difference.
+#: Seeds for mechanisms that make less of a difference.
 MORE_SEEDS = (1, 2, 3, 4, 5, 6)
 USUAL = AdmissionSettings()
 
@@ -37,7 +37,7 @@
 
 
 class ReturningCrowdTest(unittest.TestCase):
-    """More calls than the servers can answer, and callers that come back."""
+    """More calls than the servers can answer, and callers that return."""
 
     def test_fresh_calls_are_in_time_though_late_ones_come_back(self):
         with_it, without = play('rush'), play('rush', evolve(USUAL, counts_spent=False))
@@ -66,7 +66,7 @@
 
 
 class SeedTest(unittest.TestCase):
-    """What a run depends on."""
+    """The dependence of a run on its seed."""
 
     def test_same_seed_gives_the_same_run(self):
         load = named_load('returning')
@@ -78,7 +78,7 @@
 
 
 class LoadFileTest(unittest.TestCase):
-    """What is told of a load that cannot be played."""
+    """The error messages for a load that cannot be played."""
 
     def read(self, text: str) -> str:
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/test_admission_rest.py
+++ b/tests/test_admission_rest.py
@@ -1,4 +1,4 @@
-"""Servers that ask for rest under load, replayed on the virtual clock."""
+"""Servers that ask for a rest period under load, replayed on the virtual clock."""
 
 import unittest
 
@@ -9,15 +9,16 @@
 from catkinslip.admission.waiting import AdmissionSettings
 
 REST_SECONDS = 3.0
-#: What was on its way as a server asked does not count.
+#: Seconds in which requests that were in transit as the server asked do not count.
 ON_THE_WAY_SECONDS = 0.5
 MOST_IN_REST = 2
-#: A smaller share of the requests is none.
+#: Difference in the share of requests below which two runs count as equal.
 NOISE = 0.03
 SEEDS = (1, 2)
-#: When a tenth, a third and all of the servers turn away.
+#: Spans in which a tenth, a third and all of the servers turn requests away.
 SPANS = ((3.0, 12.0), (16.0, 25.0), (30.0, 39.0))
-#: The fleets that one load is played on, and how long, as many decide more.
+#: Numbers of instances that the load is played with, each with its seconds, as larger
+#: fleets take longer.
 SIZES = ((118, 12.0), (313, 8.0))
 
 
@@ -34,7 +35,7 @@
 
 
 def sized(instances: int, seconds: float) -> Load:
-    """Return the load as it comes to so many instances, cut after some seconds."""
+    """Return the load with so many instances, cut after some seconds."""
     load = named_load('rest')
     each = instances // len(load.zones)
     zones = [evolve(zone, instances=each) for zone in load.zones]
@@ -43,7 +44,7 @@
 
 
 def most_in_rest(world: World) -> int:
-    """Return the most requests of an instance that a server got in a rest."""
+    """Return the most requests of one instance that a server got in a rest period."""
     most = 0
     for server in world.server_by_id.values():
         for came_at in server.turned_away_by_instance.values():
@@ -64,7 +65,7 @@
 
 
 class RestTest(unittest.TestCase):
-    """What servers that want rest get, and what callers do."""
+    """The requests that resting servers get, and the outcomes for callers."""
 
     def test_no_instance_sends_to_a_server_that_asked_it_for_rest(self):
         for seed in SEEDS:
--- a/tests/test_admission_spent.py
+++ b/tests/test_admission_spent.py
@@ -1,4 +1,4 @@
-"""What callers' own deadlines tell of the time that they have waited before."""
+"""Estimates, from callers' own deadlines, of the time that they have waited before."""
 
 import unittest
 from random import Random
@@ -12,12 +12,12 @@
 )
 
 TARGET = 0.25
-#: Fresh callers of the tests wait from 1.7 to 2 s.
+#: Minimum and maximum seconds that fresh callers of the tests wait: 1.7 and 2 s.
 LEAST, MOST = 1.7, 2.0
 
 
 class SpentTimesTest(unittest.TestCase):
-    """Fresh callers of different patience, and some that asked before."""
+    """Fresh callers of different patience, and some that made an attempt before."""
 
     def setUp(self):
         self.random = Random(4)
@@ -29,7 +29,7 @@
         return self.spent.observe(route, given, TARGET, self.now)
 
     def see_fresh(self, count: int = 200) -> list[float]:
-        """See fresh callers; return what each is taken to have spent."""
+        """Observe fresh callers and return the estimated time spent of each."""
         given = [self.random.uniform(LEAST, MOST) for _ in range(count)]
         return [self.observe(each) for each in given]
 
--- a/tests/test_admission_waiting.py
+++ b/tests/test_admission_waiting.py
@@ -1,4 +1,4 @@
-"""Calls are sent where they are in time, else held a moment and refused."""
+"""Calls that are sent where they are in time, or else held a moment and refused."""
 
 import unittest
 from random import Random
@@ -16,12 +16,12 @@
 TARGET = 0.4
 WORK = 0.1
 SETTINGS = AdmissionSettings()
-#: The longest that callers wait before they come back, of the time that they have.
+#: Longest that callers wait before they return, as a share of their time.
 LONGEST_WAIT_SHARE = 1 / 3
 
 
 class WorkTimesTest(unittest.TestCase):
-    """The work of a route is learned from its answers."""
+    """The estimate of a route's work from its answers."""
 
     def setUp(self):
         self.work = WorkTimes()
@@ -43,7 +43,7 @@
 
 
 def make_call(spent: float = 0.0, **fields) -> WaitingCall:
-    """Return a call that came at second 10, of a caller that waits 2 s in all."""
+    """Return a call that arrived at second 10, of a caller that waits 2 s in all."""
     left = 2.0 - spent
     defaults = {
         'settings': SETTINGS,
@@ -62,7 +62,7 @@
 
 
 class FreshCallTest(unittest.TestCase):
-    """What becomes of a call whose answer can still be in time."""
+    """Decisions on a call whose answer can still be in time."""
 
     def setUp(self):
         self.call = make_call()
@@ -76,7 +76,7 @@
         self.assertIs(self.call.judge(5.0, WORK, self.after), Verdict.REFUSE)
 
     def test_idle_server_is_always_used(self):
-        # Else a wrong estimate would refuse all calls and never be corrected.
+        # Otherwise a wrong estimate would refuse all calls and never be corrected.
         self.assertIs(self.call.judge(GOOD_DELAY, 9.0, 10.3), Verdict.SEND)
 
     def test_call_whose_work_exceeds_its_target_is_held_like_others(self):
@@ -103,7 +103,7 @@
 
 
 class LateCallTest(unittest.TestCase):
-    """What becomes of a call whose target has passed before it came."""
+    """Decisions on a call whose target had passed before it arrived."""
 
     def setUp(self):
         self.call = make_call(spent=0.6)
--- a/tests/test_limits_admission.py
+++ b/tests/test_limits_admission.py
@@ -1,4 +1,4 @@
-"""Admission, the budget of extra requests, and when to come back."""
+"""Admission, the budget of extra requests, and the delay before a retry."""
 
 import json
 import unittest
@@ -29,14 +29,14 @@
 
 
 def report(load: ServiceLoad, in_flight: float, now: float = 0.0) -> None:
-    """Take the same report from every backend server."""
+    """Apply the same report from every backend server."""
     for backend_id in BACKENDS:
         load.started(backend_id)
         load.ended(backend_id, LoadReport(in_flight), now)
 
 
 class AdmissionTest(unittest.TestCase):
-    """A share of the slots is one's own, idle ones are lent."""
+    """Admission within an instance's share of the slots, and beyond it."""
 
     def test_own_share_is_admitted_whatever_others_use(self):
         load = make_load()
@@ -115,7 +115,7 @@
 
 
 class ExtraBudgetTest(unittest.TestCase):
-    """Extra requests stay under their share of the calls."""
+    """The limit of extra requests to a share of the calls."""
 
     @settings(derandomize=True, deadline=None)
     @given(st.lists(st.integers(0, 40)), st.sampled_from((0.05, 0.25)))
@@ -134,7 +134,7 @@
 
 
 class RetryAfterTest(unittest.TestCase):
-    """Callers are told when to come back."""
+    """The retry delay in the response to a refused caller."""
 
     def test_header_is_in_whole_seconds_and_the_document_in_milliseconds(self):
         for seconds, header, millis in ((0.02, b'1', 20), (1.2, b'2', 1200)):
--- a/tests/test_limits_attempts.py
+++ b/tests/test_limits_attempts.py
@@ -47,7 +47,7 @@
 
 
 class TrioClock(Clock):
-    """Tell the time of the running loop."""
+    """A clock with the time of the running event loop."""
 
     def monotonic(self) -> float:
         return trio.current_time()
@@ -58,7 +58,7 @@
 
 @define
 class ScriptedPool:
-    """Open connections to backend servers that each follow a script."""
+    """A pool of connections to backend servers that each follow a script."""
 
     nursery: trio.Nursery
     scripts: list[str]
@@ -124,7 +124,7 @@
 
 @define
 class Result:
-    """What one call came to."""
+    """The outcome and the side effects of one call."""
 
     outcome: object
     pool: ScriptedPool
@@ -136,7 +136,7 @@
 
 @define
 class Rival(NoSampler):
-    """Take the budget's tokens, as another call may, while a retry waits."""
+    """A sampler that takes the budget's tokens while a retry waits, as a call may."""
 
     budget: ExtraBudget | None = None
     waits: int = 0
@@ -189,7 +189,7 @@
 
 
 async def expecting_wire(near, far):
-    """Return the caller's wire after a request came in on it."""
+    """Return the caller's wire after a request arrived on it."""
     wire = server_wire(near)
     await far.send_all(b'POST / HTTP/1.1\r\nHost: limits\r\nContent-Length: 0\r\n\r\n')
     while type(await wire.receive()) is not h11.EndOfMessage:
@@ -198,7 +198,7 @@
 
 
 async def read_all(stream) -> bytes:
-    """Return all that the caller received."""
+    """Return all bytes that the caller received."""
     data = b''
     while chunk := await stream.receive_some(65536):
         data += chunk
@@ -218,7 +218,7 @@
 
 
 class AttemptsTest(unittest.TestCase):
-    """What callers are told follows from the attempts."""
+    """The outcomes that callers get from the attempts."""
 
     @settings(derandomize=True, max_examples=300, deadline=None)
     @given(
@@ -288,7 +288,7 @@
         self.assertEqual(result.pool.reached, ['slow shed', 'slow'])
 
     def test_heads_that_come_together_are_one_answer(self):
-        # trio runs the two tasks in an order of its own choice.
+        # trio runs the two tasks in an arbitrary order.
         for _ in range(20):
             result = forward(['slow', 'with the slow'], repeatable=True, tokens=10.0)
             self.assertEqual(result.outcome, Answered(200))
@@ -410,7 +410,7 @@
 
 
 def requests_at_the_last_layer(layers: int, attempt: int) -> int:
-    """Return how many requests reach the backend servers when all fail."""
+    """Return how many requests reach the backend servers when all of them fail."""
     if not layers:
         return 1
     budget = ExtraBudget(1.0, 100.0, 100.0)
--- a/tests/test_limits_overload.py
+++ b/tests/test_limits_overload.py
@@ -1,4 +1,4 @@
-"""Overload of real processes: what was told not-run did not run."""
+"""Overload of real processes: a request with the outcome not-run must not have run."""
 
 import json
 import unittest
@@ -19,7 +19,7 @@
 
 
 class Caller(LoadCaller):
-    """Insist on being told when to come back after a refusal."""
+    """A caller that requires a retry delay in each refusal."""
 
     async def exchange(self, sending: Sending, subject: str):
         status, headers, body = await super().exchange(sending, subject)
--- a/tests/test_throttling_book.py
+++ b/tests/test_throttling_book.py
@@ -1,4 +1,4 @@
-"""Which servers name a rate: what is read, what ends it, what is told of it."""
+"""Servers that advertise a rate: reading it, detecting its end, and the log lines."""
 
 import unittest
 
@@ -17,7 +17,7 @@
 
 
 class RateHeaderTest(unittest.TestCase):
-    """What an answer says."""
+    """The rate in the headers of an answer."""
 
     def read(self, *values: bytes) -> RateSign:
         return read_rate([(b'server-limit', value) for value in values])
@@ -42,7 +42,7 @@
 
 
 class RateBookTest(unittest.TestCase):
-    """What is believed of one server."""
+    """The registry's record of one server."""
 
     def setUp(self):
         self.book = RateBook()
--- a/tests/test_throttling_fleet.py
+++ b/tests/test_throttling_fleet.py
@@ -1,9 +1,9 @@
-"""What a server in need gets from a whole fleet, whatever each instance knows.
+"""The requests that a throttled server gets from a fleet with different views of it.
 
-Load: every instance tries to send all the time and in every way: with leave that it
-uses at once, with leave that it holds while a connection is waited for, without any
-leave, and a second time on the same. Instances come and leave, read the list late or
-not at all, and read one that is seconds old.
+Load: every instance tries to send all the time and in every way: with a permit that it
+uses at once, with a permit that it holds while it waits for a connection, without any
+permit, and a second time with the same one. Instances join and leave, read the list
+late or not at all, and read one that is seconds old.
 """
 
 import unittest
@@ -28,15 +28,15 @@
 RATES = (0.0, 0.1, 1.0, 1.2, 3.9, 4.0, 12.0)
 WINDOW_SECONDS = 4.0
 TICK_SECONDS = 0.25
-#: Before it all instances have read the list for long enough.
+#: Seconds after which all instances have read the list for long enough.
 WARM_SECONDS = 40
 PLAY_SECONDS = 30
-#: A request holds its leave at most so long until a connection is there.
+#: Maximum seconds that a request holds its permit until a connection exists.
 LONGEST_WAIT_SECONDS = 1.0
 
 
 def bound(per_second: float) -> float:
-    """Return what a server may get in any window."""
+    """Return the number of requests that a server may get in any window."""
     return 1.5 * per_second * WINDOW_SECONDS + 5
 
 
@@ -47,11 +47,11 @@
     table: InstanceTable
     load: BackendLoad
     gates: Gates
-    #: Leave that waits for a connection, and when that is there.
+    #: Permits that wait for a connection, each with the time at which it exists.
     waiting: list[tuple[Permits, float]] = Factory(list)
 
     def tick(self, random: Random, now: float) -> int:
-        """Try each kind of send; return how many requests left."""
+        """Try each kind of send and return the number of requests sent."""
         used: list[Permits] = [[None]]
         ready = [each for each in self.waiting if each[1] <= now]
         self.waiting = [each for each in self.waiting if each[1] > now]
@@ -65,7 +65,7 @@
         random.shuffle(used)
         sent = 0
         for permits in used:
-            # The second is a send of the same request on another connection.
+            # The second call is a send of the same request on another connection.
             sent += self.gates.may_send(self.load, permits, now)
             sent += self.gates.may_send(self.load, permits, now)
             give_back(permits)
@@ -74,7 +74,7 @@
 
 @define
 class Fleet:
-    """All instances, and when requests of theirs reached the server."""
+    """All instances, and the times at which their requests reached the server."""
 
     site: Site
     random: Random
@@ -83,7 +83,7 @@
     came_at: list[float] = Factory(list)
 
     def take_in(self) -> None:
-        """Let new instances know the server and what it names, and send."""
+        """Add new instances, which have received the server's rate, as senders."""
         for instance_id, table in self.site.table_by_id.items():
             if instance_id not in self.sending_by_id:
                 self.sending_by_id[instance_id] = self._sending(table)
@@ -100,14 +100,14 @@
         return Sending(table, load, Gates((gate,)))
 
     def tick(self) -> None:
-        """Let all instances try to send once."""
+        """Make all instances try to send once."""
         now = trio.current_time()
         for sending in self.sending_by_id.values():
             self.came_at.extend([now] * sending.tick(self.random, now))
 
 
 async def pass_time(site: Site, seconds: float) -> None:
-    """Let time pass on the loop's clock and the site's."""
+    """Advance the loop's clock and the site's."""
     await trio.sleep(seconds)
     site.now += seconds
 
@@ -126,14 +126,15 @@
 
 
 def on_virtual_clock(run) -> None:
-    """Run an async check whose waits take no time."""
+    """Run an async check on a virtual clock, so that its waits take no time."""
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
 async def play(fleet: Fleet, parted: set[str], changes: Sequence[str]) -> None:
-    """Let instances send for a while.
+    """Make instances send for a while.
 
-    Some read no list, others come and leave; who is cut off may change.
+    Some read no list, others join and leave; the set of partitioned instances may
+    change.
     """
     site, random = fleet.site, fleet.random
     for step in range(round(PLAY_SECONDS / TICK_SECONDS)):
@@ -146,7 +147,7 @@
                 if name not in parted:
                     site.read(table)
             if 'come' in changes and random.random() < 0.5:
-                # Strong ones take the places of those that send.
+                # Strong instances replace those that send.
                 site.come(random.choice(ZONES), 4.0)
                 fleet.take_in()
             if 'leave' in changes and random.random() < 0.3:
@@ -155,10 +156,10 @@
 
 
 class FleetTest(unittest.TestCase):
-    """The bound of a server in need, and that it gets work."""
+    """The bound of a throttled server, and its minimum of requests."""
 
     def check(self, size: int, per_second: float, seed: int, part, changes=()) -> int:
-        """Play a fleet; return how many requests came in all."""
+        """Play a fleet and return the number of requests that the server got."""
         came = []
 
         async def run():
@@ -179,7 +180,7 @@
         for size in SIZES:
             for rate in RATES:
                 came = self.check(size, rate, seed=size, part=lambda *_: set())
-                # Leave that waits for a connection keeps others from their turn.
+                # A permit that waits for a connection keeps others from their turn.
                 self.assertGreaterEqual(came, 0.4 * rate * PLAY_SECONDS)
                 self.assertGreaterEqual(came, 2)
 
--- a/tests/test_throttling_incident.py
+++ b/tests/test_throttling_incident.py
@@ -1,17 +1,13 @@
-"""Two servers in need went on to get three times what they had named.
-
-A server that is in need names in its answers how many requests a second it takes from
-all instances together. Two did, 1.3 and 1.0, and got 4.9 and 2.3 a second from then on,
-where it had been 3.75 and 2.5. Every choice rested on the reported load alone, and the
-two reported an idle slot at the usual speed, so they looked like the best. No instance
-sent either of them more than 4 requests in four seconds; 13 instances together sent 23:
-whatever each had kept for itself, the sum would have been as high. The limit was named
-at 8.0, and ten instances still chose the server three seconds later:
-
-    11.294 edge-port-bloscon-1 goes to i-b440932977, delay=1.00 in_flight=0.0 speed=1.00
-    11.458 edge-halle-brest-2 goes to i-b440932977, delay=1.07 in_flight=0.0 speed=1.00
-    11.570 edge-port-bloscon-2 goes to i-b440932977, delay=1.00 in_flight=0.0 speed=1.00
-    11.570 edge-tri-quimper-3 goes to i-b440932977, delay=1.15 in_flight=0.0 speed=1.00
+"""Throttled servers that get more requests than the rate they advertise.
+
+A throttled server advertises in its answers how many requests a second it accepts from
+all instances together. The test guards against a fleet that ignores the rate: servers
+that advertised 1.3 and 1.0 got 4.9 and 2.3 a second, after 3.75 and 2.5 before. Servers
+were chosen by the reported load alone, and the two reported an idle slot at the usual
+speed (in_flight=0.0 speed=1.00, delay=1.00 to 1.15), so they looked like the best. No
+instance sent either of them more than 4 requests in four seconds, but 13 instances
+together sent 23: a limit for each instance by itself would have changed nothing. Ten
+instances still chose the server three seconds after it advertised its rate.
 """
 
 import unittest
@@ -27,15 +23,17 @@
 WORK_SECONDS = 0.02
 PER_SECOND = 1.0
 WINDOW_SECONDS = 4.0
-#: One and a half times what the rate allows in the window, and five more.
+#: Maximum number of requests in the window: one and a half times what the rate allows,
+#: and five more.
 BOUND = 1.5 * PER_SECOND * WINDOW_SECONDS + 5
-#: From then on every instance has passed an answer with the rate on.
+#: Seconds after which every instance has received an answer with the rate or gossip
+#: about it.
 TOLD_SECONDS = 1.0
 PLAY_SECONDS = TOLD_SECONDS + WINDOW_SECONDS + 1.0
 
 
 async def fleet_with_one_in_need(platform: SmallPlatform) -> Worker:
-    """Start instances that may send, and servers of which one will name a rate."""
+    """Start instances that may send, and servers of which one will advertise a rate."""
     for number in range(3):
         await platform.add_worker(f'i-{number}', work_seconds=WORK_SECONDS)
     for _ in range(INSTANCES):
@@ -58,7 +56,7 @@
 
 
 async def call_for(platform: SmallPlatform, seconds: float) -> Counter:
-    """Let callers of all instances call for a while; return the statuses."""
+    """Send requests to all instances for a while and return the statuses."""
     statuses: Counter = Counter()
     async with trio.open_nursery() as nursery:
         for instance in range(INSTANCES):
@@ -71,7 +69,7 @@
 
 
 class IncidentTest(unittest.TestCase):
-    """What a server that names a rate gets from the whole fleet."""
+    """The requests that a server with an advertised rate gets from the whole fleet."""
 
     def test_server_in_need_gets_at_most_its_bound_from_all_instances(self):
         async def check(platform):
@@ -82,7 +80,7 @@
             statuses = await call_for(platform, PLAY_SECONDS)
             came = [at for at in worker.arrived_at if at >= began + TOLD_SECONDS]
             self.assertLessEqual(most_within(WINDOW_SECONDS, came), BOUND)
-            # It still gets some of what it takes, and the others carry the rest.
+            # The server still gets part of its rate, and the others handle the rest.
             self.assertGreaterEqual(len(came), PER_SECOND * WINDOW_SECONDS / 2)
             self.assertGreater(statuses[200], statuses.total() * 0.9)
 
--- a/tests/test_throttling_path.py
+++ b/tests/test_throttling_path.py
@@ -1,4 +1,4 @@
-"""Servers that name a rate, on the users' platform, in one loop."""
+"""Servers that advertise a rate, on the users' platform, in one event loop."""
 
 import unittest
 from functools import partial
@@ -40,14 +40,14 @@
 
 
 def sender_gate(per_second: float) -> ThrottleGate:
-    """Return the gate of an instance that may send so much to a server in need."""
+    """Return the gate of an instance that may send at a rate to a throttled server."""
     return ThrottleGate(
         lambda *_: {SENDER: per_second}, lambda: Place(SENDER, is_recent=True)
     )
 
 
 async def one_sender(platform: SmallPlatform) -> Entry:
-    """Start a server that names a high rate, and an instance that may send to it."""
+    """Start a server with a high advertised rate and an instance that may use it."""
     await platform.add_worker('i-1', named_rate=b'50')
     entry = await platform.add_entry()
     lease = entry.instances.sender_lease
@@ -57,14 +57,17 @@
 
 
 def throttle_of(entry: Entry) -> ThrottleGate:
-    """Return the throttled servers of the one service, as an instance knows them."""
+    """Return an instance's gate for the throttled servers of the one service."""
     return entry.sampler.health.directory.router_by_service['one'].throttle
 
 
 async def in_need(
     platform: SmallPlatform, server_ids: tuple[str, ...], instances: int = 1
 ) -> None:
-    """Start servers that name a rate, and instances that have all heard of them."""
+    """Start throttled servers and instances that know one another.
+
+    Returns when the first instance has received the rates of all servers.
+    """
     for server_id in server_ids:
         await platform.add_worker(server_id, named_rate=b'0.1', is_rate_everywhere=True)
     for _ in range(instances):
@@ -102,7 +105,7 @@
 
 
 class SightTest(unittest.TestCase):
-    """What an operator sees of a server that names a rate."""
+    """Logs and metrics about a server that advertises a rate."""
 
     def test_lines_and_metrics_tell_what_a_server_names(self):
         async def check(platform):
@@ -119,7 +122,7 @@
             page = (await metrics_page(entry, '')).body.decode()
             self.assertIn('catkinslip_throttled_backends{service="one"} 1', page)
             self.assertIn('catkinslip_rate_events_total{event="named"} 1', page)
-            # It has not been listed for long enough to be a sender.
+            # The instance has not been listed for long enough to be a sender.
             self.assertEqual([it.status_code for it in answers], [200, 503])
             self.assertIn('throttled', answers[1].text)
             self.assertIn('r1 one is refused, 1 servers in need at their rates', text)
@@ -141,7 +144,7 @@
 
 
 class KindsOfSendTest(unittest.TestCase):
-    """No kind of send passes by the rate."""
+    """The rate as a limit for every kind of send."""
 
     def test_second_send_after_a_refusal(self):
         async def check(platform):
@@ -180,7 +183,7 @@
             answer = await platform.ask('POST', '/p/x', request_id='r9')
             self.assertEqual(answer.status_code, 503)
             self.assertLess(trio.current_time() - began, 1.0)
-            # Another instance may have a turn, at once or after the need.
+            # Another instance may have a turn, now or after the throttling.
             self.assertGreaterEqual(float(answer.headers['retry-after']), 0.05)
             self.assertEqual(platform.runs('r9'), 0)
 
@@ -207,7 +210,7 @@
         self.assertTrue(gates.may_send(load, gates.reserve(load, NOW), NOW))
         throttle.book.told(load, RateSign(1.0), AnswerKind.ANSWER, NOW, NOW)
         throttle.find(load, NOW).count_sent(NOW)
-        # What the one refuses is not counted by the other.
+        # A request that one gate refuses is not counted by the other.
         for _ in range(5):
             self.assertFalse(gates.may_send(load, (None, None), NOW + 0.5))
         self.assertEqual(len(cold.find(load, NOW).sent_at), 1)
@@ -250,7 +253,7 @@
 
 
 class NewsTest(unittest.TestCase):
-    """Who learns of a need, and of its end."""
+    """Gossip among instances about the start and the end of throttling."""
 
     def test_instances_that_sent_nothing_know_and_hear_of_the_end(self):
         async def check(platform):
@@ -258,7 +261,8 @@
             books = [throttle_of(entry).book for entry in platform.entries]
             await wait_for(lambda: all(book.holding() for book in books))
             platform.worker_by_id['i-1'].named_rate = None
-            # A call that is refused has it probed; no request was sent to learn this.
+            # A refused call makes the instance probe the server; no request is sent for
+            # it.
             await trio.sleep(0.8)
             before = len(platform.worker_by_id['i-1'].arrived_at)
             answer = await platform.ask('POST', '/p/x', entry=2, request_id='r2')
