--- a/benchmarks/overload_instances.py
+++ b/benchmarks/overload_instances.py
@@ -36,8 +36,8 @@
 from catkinslip.routing.router import ServiceRouter
 from catkinslip.routing.words import ServerWords
 from catkinslip.store.budget import TokenBucket
-from catkinslip.throttling.book import NamedRate
-from catkinslip.throttling.messages import ToldRate
+from catkinslip.throttling.book import AdvertisedRate
+from catkinslip.throttling.messages import RateReport
 from catkinslip.throttling.signs import AnswerKind
 from catkinslip.throttling.telling import REFRESH_SECONDS, told_of
 from catkinslip.warmup.senders import Place
@@ -348,7 +348,7 @@
         if now < self.world.quiet_at:
             self.world.after(FLUSH_SECONDS, self.share, None)
 
-    def tell_rate(self, service: str, rate: NamedRate, is_change: bool) -> None:
+    def tell_rate(self, service: str, rate: AdvertisedRate, is_change: bool) -> None:
         """Tell the other instances what an answer said of a server's rate."""
         now = self.world.now
         if not is_change and now - rate.told_at < REFRESH_SECONDS:
@@ -360,7 +360,7 @@
                 delay = self.world.hop(self.zone, other.zone)
                 self.world.after(delay, other.hear_rate, told)
 
-    def hear_rate(self, told: tuple[str, ToldRate]) -> None:
+    def hear_rate(self, told: tuple[str, RateReport]) -> None:
         """Take what another instance tells of a server's rate."""
         service, rate = told
         router = self.desk_by_service[service].router
--- a/benchmarks/overload_servers.py
+++ b/benchmarks/overload_servers.py
@@ -9,7 +9,7 @@
 from catkinslip.resting.signs import RestSign
 from catkinslip.routing.base import LoadReport, ResultKind
 from catkinslip.routing.words import ServerWords
-from catkinslip.throttling.signs import RateSign
+from catkinslip.throttling.signs import RateSignal
 
 if TYPE_CHECKING:
     from benchmarks.overload_instances import Call, Instance
@@ -159,6 +159,6 @@
         """Send an answer with a load report."""
         hop = self.world.hop(run.instance.zone, self.zone)
         rest = RestSign(self.rest if kind is ResultKind.SHED else None)
-        words = ServerWords(RateSign(self.named_rate), rest)
+        words = ServerWords(RateSignal(self.named_rate), rest)
         told = (run, kind, self.report(), words)
         self.world.after(hop, run.instance.answered, told)
--- a/benchmarks/throttling.py
+++ b/benchmarks/throttling.py
@@ -18,7 +18,7 @@
 from catkinslip.routing.sample import Sample
 from catkinslip.throttling.gate import ThrottleGate
 from catkinslip.throttling.shares import divide_rate
-from catkinslip.throttling.signs import AnswerKind, RateSign
+from catkinslip.throttling.signs import AnswerKind, RateSignal
 from catkinslip.warmup.quotas import Sender
 from catkinslip.warmup.senders import Place
 
@@ -51,7 +51,7 @@
     for number, load in enumerate(router.loads):
         router.learned(load.backend_id, LoadReport(random.randrange(SLOTS), 1.0), NOW)
         if number < in_need:
-            sign = RateSign(PER_SECOND)
+            sign = RateSignal(PER_SECOND)
             gate.book.told(load, sign, AnswerKind.ANSWER, NOW, NOW)
     return router
 
--- a/catkinslip/platform/dialect.py
+++ b/catkinslip/platform/dialect.py
@@ -17,7 +17,7 @@
 from catkinslip.resting.signs import MALFORMED_REST, NO_REST, RestSign
 from catkinslip.routing.base import LoadReport
 from catkinslip.routing.words import ServerWords
-from catkinslip.throttling.signs import MALFORMED_RATE, NO_RATE, RateSign
+from catkinslip.throttling.signs import MALFORMED_RATE, NO_RATE, RateSignal
 
 MILLISECONDS = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?\Z')
 #: Decimal requests a second.
@@ -186,7 +186,7 @@
     return min(float(value) / 1000, MOST_COLD_SECONDS)
 
 
-def read_rate(headers: Sequence[Header]) -> RateSign:
+def read_rate(headers: Sequence[Header]) -> RateSignal:
     """Return what an answer says of the rate that its server takes.
 
     Of several rates the lowest counts; one that cannot be read spoils all.
@@ -196,7 +196,7 @@
         return NO_RATE
     if any(RATE_FORM.match(value) is None for value in values):
         return MALFORMED_RATE
-    return RateSign(min(map(float, values)))
+    return RateSignal(min(map(float, values)))
 
 
 def read_rest(status: int, headers: Sequence[Header]) -> RestSign:
--- a/catkinslip/routing/directory.py
+++ b/catkinslip/routing/directory.py
@@ -15,7 +15,7 @@
 from catkinslip.routing.base import BackendLoad, Policy
 from catkinslip.routing.router import ServiceRouter, ignore_news
 from catkinslip.routing.sample import Sample
-from catkinslip.throttling.book import OnSeen, ignore_seen
+from catkinslip.throttling.book import OnObservation, ignore_observation
 from catkinslip.throttling.gate import ThrottleGate
 from catkinslip.warmup.gate import ColdGate
 
@@ -43,7 +43,7 @@
     #: Makes what keeps requests from the cold servers of a service.
     make_gate: Callable[[], ColdGate] = ColdGate
     #: Learns what answers say of the rates that servers name.
-    on_rate_seen: OnSeen = ignore_seen
+    on_rate_seen: OnObservation = ignore_observation
     #: Makes what keeps requests from servers of a service that name a rate.
     make_throttle: Callable[[], ThrottleGate] = ThrottleGate
     #: Requests to one cold server in any second, from what it bears in one.
@@ -112,7 +112,7 @@
         throttle = self.throttle_by_service.get(service)
         if throttle is None:
             throttle = self.make_throttle()
-            throttle.book.on_seen = self.on_rate_seen
+            throttle.book.on_observation = self.on_rate_seen
             self.throttle_by_service[service] = throttle
         return throttle
 
--- a/catkinslip/routing/words.py
+++ b/catkinslip/routing/words.py
@@ -3,14 +3,14 @@
 from attrs import frozen
 
 from catkinslip.resting.signs import NO_REST, RestSign
-from catkinslip.throttling.signs import NO_RATE, RateSign
+from catkinslip.throttling.signs import NO_RATE, RateSignal
 
 
 @frozen
 class ServerWords:
     """What one answer asks for in the name of its server."""
 
-    rate: RateSign = NO_RATE
+    rate: RateSignal = NO_RATE
     rest: RestSign = NO_REST
     #: Whether it leaves and takes no new requests.
     is_leaving: bool = False
--- a/catkinslip/throttling/book.py
+++ b/catkinslip/throttling/book.py
@@ -7,8 +7,8 @@
 from attrs import Factory, define
 
 from catkinslip.routing.base import NEVER, BackendLoad
-from catkinslip.throttling.messages import ToldRate
-from catkinslip.throttling.signs import AnswerKind, RateSign
+from catkinslip.throttling.messages import RateReport
+from catkinslip.throttling.signs import AnswerKind, RateSignal
 
 #: Allowance in seconds for the way of a datagram: what a peer reports was true this
 #: much earlier.
@@ -24,7 +24,7 @@
 
 
 @define
-class NamedRate:
+class AdvertisedRate:
     """The rate that one server advertises, as far as known; monotonic seconds."""
 
     load: BackendLoad
@@ -61,43 +61,43 @@
         self.are_probes_mute = False
 
 
-OnSeen = Callable[[NamedRate, bool], None]
+OnObservation = Callable[[AdvertisedRate, bool], None]
 
 
-def ignore_seen(rate: NamedRate, is_change: bool) -> None:
+def ignore_observation(rate: AdvertisedRate, is_change: bool) -> None:
     """Ignore an observed rate."""
 
 
 @define
-class RateBook:
+class RateRegistry:
     """The rates that the servers of one service advertise."""
 
     #: Callback for each rate that an answer to this instance carries; its second
     #: argument is whether the rate changed.
-    on_seen: OnSeen = ignore_seen
+    on_observation: OnObservation = ignore_observation
 
-    rate_by_id: dict[str, NamedRate] = Factory(dict)
+    rate_by_id: dict[str, AdvertisedRate] = Factory(dict)
     #: Rates of removed servers, which may return with the same rate.
-    gone_by_id: dict[str, NamedRate] = Factory(dict)
+    gone_by_id: dict[str, AdvertisedRate] = Factory(dict)
     #: Number of times that servers began to advertise a rate, changed it, ended it or
     #: sent one that cannot be read, by event.
     events: Counter[str] = Factory(Counter)
 
-    def find(self, load: BackendLoad | None) -> NamedRate | None:
+    def find(self, load: BackendLoad | None) -> AdvertisedRate | None:
         """Return the rate that a server advertises; None if it advertises none."""
         if load is None or not self.rate_by_id:
             return None
         rate = self.rate_by_id.get(load.backend_id)
         return rate if rate is not None and rate.holds else None
 
-    def holding(self) -> list[NamedRate]:
+    def holding(self) -> list[AdvertisedRate]:
         """Return the rates that servers advertise now."""
         return [rate for rate in self.rate_by_id.values() if rate.holds]
 
     def told(
         self,
         load: BackendLoad,
-        sign: RateSign,
+        sign: RateSignal,
         kind: AnswerKind,
         sent_at: float,
         now: float,
@@ -110,7 +110,7 @@
         else:
             self._take_none(load, kind, sent_at, now)
 
-    def heard(self, load: BackendLoad, told: ToldRate, now: float) -> None:
+    def heard(self, load: BackendLoad, told: RateReport, now: float) -> None:
         """Apply a rate that another instance reports."""
         rate = self._known(load)
         was_held = rate.holds
@@ -149,8 +149,8 @@
             rate.load = load
             self.rate_by_id[backend_id] = rate
 
-    def _known(self, load: BackendLoad) -> NamedRate:
-        return self.rate_by_id.setdefault(load.backend_id, NamedRate(load))
+    def _known(self, load: BackendLoad) -> AdvertisedRate:
+        return self.rate_by_id.setdefault(load.backend_id, AdvertisedRate(load))
 
     def _take_malformed(self, load: BackendLoad) -> None:
         """Count an unreadable rate and change nothing else.
@@ -164,7 +164,7 @@
             log.warning('throttling: unreadable rate. backend=%s', load.backend_id)
 
     def _take_named(
-        self, rate: NamedRate, per_second: float, kind: AnswerKind, now: float
+        self, rate: AdvertisedRate, per_second: float, kind: AnswerKind, now: float
     ) -> None:
         before = rate.per_second if rate.holds else None
         rate.named_at = max(rate.named_at, now)
@@ -175,7 +175,7 @@
         elif per_second != before:
             self._log_changed(rate, before, now)
         rate.kinds.add(kind)
-        self.on_seen(rate, per_second != before)
+        self.on_observation(rate, per_second != before)
 
     def _take_none(
         self, load: BackendLoad, kind: AnswerKind, sent_at: float, now: float
@@ -194,13 +194,13 @@
         if has_ended:
             self._end(rate, kind.value, now)
         if not rate.holds:
-            self.on_seen(rate, has_ended)
+            self.on_observation(rate, has_ended)
 
-    def _end(self, rate: NamedRate, by: str, now: float) -> None:
+    def _end(self, rate: AdvertisedRate, by: str, now: float) -> None:
         rate.kinds.clear()
         self._log_ended(rate, by, now)
 
-    def _log_begun(self, rate: NamedRate, by: str, now: float) -> None:
+    def _log_begun(self, rate: AdvertisedRate, by: str, now: float) -> None:
         self.events['named'] += 1
         rate.logged_at = now
         log.info(
@@ -210,7 +210,7 @@
             by,
         )
 
-    def _log_changed(self, rate: NamedRate, before: float, now: float) -> None:
+    def _log_changed(self, rate: AdvertisedRate, before: float, now: float) -> None:
         self.events['changed'] += 1
         if now - rate.logged_at < CHANGE_LOG_SECONDS:
             return
@@ -222,7 +222,7 @@
             before,
         )
 
-    def _log_ended(self, rate: NamedRate, by: str, now: float) -> None:
+    def _log_ended(self, rate: AdvertisedRate, by: str, now: float) -> None:
         self.events['ended'] += 1
         log.info(
             'throttling: %s no longer advertises a rate. after_s=%.1f by=%s',
--- a/catkinslip/throttling/gate.py
+++ b/catkinslip/throttling/gate.py
@@ -7,7 +7,7 @@
 
 from catkinslip.routing.base import NEVER, BackendLoad
 from catkinslip.routing.gates import Gate, GuardedServer, GuardWord
-from catkinslip.throttling.book import NamedRate, RateBook
+from catkinslip.throttling.book import AdvertisedRate, RateRegistry
 from catkinslip.throttling.shares import own_rate
 from catkinslip.warmup.quotas import Sender
 from catkinslip.warmup.senders import Place
@@ -36,7 +36,7 @@
 class ThrottledServer(GuardedServer):
     """A server that advertises a rate, and what this instance may send to it."""
 
-    rate: NamedRate
+    rate: AdvertisedRate
     #: Start of the throttling for which this state is valid, in monotonic seconds.
     began_at: float = NEVER
     #: Requests per second that were divided last, and the share of each sender.
@@ -56,7 +56,7 @@
 
     divide: Divide = give_nobody
     place: Callable[[], Place | None] = no_place
-    book: RateBook = Factory(RateBook)
+    book: RateRegistry = Factory(RateRegistry)
     server_by_id: dict[str, ThrottledServer] = Factory(dict)
 
     def closed(self, now: float) -> list[str]:
@@ -118,7 +118,7 @@
         servers = [self._server(rate) for rate in self.book.holding()]
         return [(each, self._wait_seconds(each, place, now)) for each in servers]
 
-    def _server(self, rate: NamedRate) -> ThrottledServer:
+    def _server(self, rate: AdvertisedRate) -> ThrottledServer:
         server = self.server_by_id.get(rate.load.backend_id)
         if server is None:
             server = ThrottledServer(rate.load, rate)
--- a/catkinslip/throttling/messages.py
+++ b/catkinslip/throttling/messages.py
@@ -10,7 +10,7 @@
 
 
 @frozen
-class ToldRate:
+class RateReport:
     """What an instance knows about one server's rate; ages in seconds."""
 
     backend_id: str
@@ -27,7 +27,7 @@
 
 
 @frozen
-class RateDoubt:
+class RateQuery:
     """A query about a server whose rate is stale at an instance; age in seconds."""
 
     backend_id: str
@@ -35,7 +35,7 @@
     named_seconds: float
 
 
-def rates_to_plain(rates: Iterable[ToldRate]) -> list[Any]:
+def rates_to_plain(rates: Iterable[RateReport]) -> list[Any]:
     """Return rates as plain data; ages in milliseconds."""
     return [
         [
@@ -50,13 +50,13 @@
     ]
 
 
-def rates_from_plain(plain: Any, by: str) -> Iterator[ToldRate]:
+def rates_from_plain(plain: Any, by: str) -> Iterator[RateReport]:
     """Read rates from plain data.
 
     Raises KeyError, TypeError or ValueError for anything else.
     """
     for backend_id, start, per_second, named_ms, cleared_ms, is_in_probes in plain:
-        yield ToldRate(
+        yield RateReport(
             str(backend_id),
             int(start),
             to_amount(per_second),
@@ -67,18 +67,18 @@
         )
 
 
-def doubts_to_plain(doubts: Iterable[RateDoubt]) -> list[Any]:
+def doubts_to_plain(doubts: Iterable[RateQuery]) -> list[Any]:
     """Return queries as plain data; ages in milliseconds."""
     return [[it.backend_id, it.start, to_ms(it.named_seconds)] for it in doubts]
 
 
-def doubts_from_plain(plain: Any) -> Iterator[RateDoubt]:
+def doubts_from_plain(plain: Any) -> Iterator[RateQuery]:
     """Read queries from plain data.
 
     Raises KeyError, TypeError or ValueError for anything else.
     """
     for backend_id, start, named_ms in plain:
-        yield RateDoubt(str(backend_id), int(start), to_amount(named_ms) / 1e3)
+        yield RateQuery(str(backend_id), int(start), to_amount(named_ms) / 1e3)
 
 
 def to_ms(seconds: float) -> int:
--- a/catkinslip/throttling/signs.py
+++ b/catkinslip/throttling/signs.py
@@ -18,12 +18,12 @@
 
 
 @frozen
-class RateSign:
+class RateSignal:
     """The rate in one answer: requests per second from all instances, or None."""
 
     per_second: float | None = None
     is_malformed: bool = False
 
 
-NO_RATE = RateSign()
-MALFORMED_RATE = RateSign(is_malformed=True)
+NO_RATE = RateSignal()
+MALFORMED_RATE = RateSignal(is_malformed=True)
--- a/catkinslip/throttling/telling.py
+++ b/catkinslip/throttling/telling.py
@@ -21,10 +21,10 @@
 from catkinslip.models import Address
 from catkinslip.routing.base import NEVER
 from catkinslip.routing.directory import Directory
-from catkinslip.throttling.book import NamedRate
+from catkinslip.throttling.book import AdvertisedRate
 from catkinslip.throttling.messages import (
-    RateDoubt,
-    ToldRate,
+    RateQuery,
+    RateReport,
     doubts_from_plain,
     doubts_to_plain,
     rates_from_plain,
@@ -56,7 +56,7 @@
 
 
 @define
-class RateTeller:
+class RateGossip:
     """The exchange of observed rates and of queries with other instances."""
 
     own_id: str
@@ -68,10 +68,10 @@
     find_address: Callable[[str], Address | None]
     post: Post
     #: Rates that wait to be sent, each with whether it changed.
-    news_by_id: dict[str, tuple[NamedRate, bool]] = Factory(dict)
+    news_by_id: dict[str, tuple[AdvertisedRate, bool]] = Factory(dict)
     has_news: trio.Event = Factory(trio.Event)
 
-    def saw(self, rate: NamedRate, is_change: bool) -> None:
+    def saw(self, rate: AdvertisedRate, is_change: bool) -> None:
         """Schedule gossip about a rate that an answer to this instance carried."""
         now = self.clock.monotonic()
         if not is_change and not self._is_refresh_due(rate, now):
@@ -83,7 +83,7 @@
         if is_change:
             self.has_news.set()
 
-    def _is_refresh_due(self, rate: NamedRate, now: float) -> bool:
+    def _is_refresh_due(self, rate: AdvertisedRate, now: float) -> bool:
         if now - rate.told_at < REFRESH_SECONDS:
             return False
         return rate.holds or now - rate.named_at < END_TOLD_SECONDS
@@ -100,13 +100,13 @@
                 if is_change:
                     nursery.start_soon(self._repeat, rates)
 
-    async def _repeat(self, rates: list[NamedRate]) -> None:
+    async def _repeat(self, rates: list[AdvertisedRate]) -> None:
         await trio.sleep(REPEAT_SECONDS)
         # The ages are computed again: with those of the first datagram, the evidence
         # would look newer than it is.
         self._tell(rates, self.targets())
 
-    def _tell(self, rates: list[NamedRate], addresses: list[Address]) -> None:
+    def _tell(self, rates: list[AdvertisedRate], addresses: list[Address]) -> None:
         """Send some rates in one datagram, or in several where the names are long."""
         data = self.encode(rates)
         if len(data) <= MAX_DATAGRAM_BYTES or len(rates) == 1:
@@ -116,7 +116,7 @@
         self._tell(rates[:half], addresses)
         self._tell(rates[half:], addresses)
 
-    def _take_news(self) -> tuple[list[NamedRate], bool]:
+    def _take_news(self) -> tuple[list[AdvertisedRate], bool]:
         """Remove and return the next rates to send, and whether one of them changed."""
         taken = list(self.news_by_id)[:MOST_TOLD]
         told = [self.news_by_id.pop(backend_id) for backend_id in taken]
@@ -125,7 +125,7 @@
         is_change = any(is_change for _, is_change in told)
         return [rate for rate, _ in told], is_change
 
-    def encode(self, rates: list[NamedRate]) -> bytes:
+    def encode(self, rates: list[AdvertisedRate]) -> bytes:
         """Return a datagram with some rates."""
         now = self.clock.monotonic()
         told = [told_of(rate, now) for rate in rates]
@@ -158,7 +158,7 @@
                 data = {'doubts': doubts_to_plain(doubts), 'by': self.own_id}
                 self.post(orjson.dumps(data), asked)
 
-    def doubts(self) -> list[RateDoubt]:
+    def doubts(self) -> list[RateQuery]:
         """Return queries about some of the servers whose advertised rate is stale."""
         now = self.clock.monotonic()
         old = [
@@ -169,7 +169,7 @@
         ]
         some = self.random.sample(old, min(MOST_ASKED, len(old)))
         return [
-            RateDoubt(it.load.backend_id, it.load.start_tag, now - it.named_at)
+            RateQuery(it.load.backend_id, it.load.start_tag, now - it.named_at)
             for it in some
         ]
 
@@ -192,16 +192,16 @@
             self._tell(newer, [asker])
 
 
-def knows_more(rate: NamedRate, named_at: float) -> bool:
+def knows_more(rate: AdvertisedRate, named_at: float) -> bool:
     """Return whether the evidence on a rate is newer than a time, by a margin."""
     return max(rate.named_at, rate.cleared_at) > named_at + NEWER_SECONDS
 
 
-def told_of(rate: NamedRate, now: float) -> ToldRate:
+def told_of(rate: AdvertisedRate, now: float) -> RateReport:
     """Return the report on a rate for other instances."""
     cleared = None if rate.cleared_at == NEVER else now - rate.cleared_at
     load = rate.load
-    return ToldRate(
+    return RateReport(
         load.backend_id,
         load.start_tag,
         rate.per_second,
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -58,7 +58,7 @@
 from catkinslip.routing.sample import Sample
 from catkinslip.throttling.gate import ThrottleGate
 from catkinslip.throttling.shares import divide_rate
-from catkinslip.throttling.telling import RateTeller
+from catkinslip.throttling.telling import RateGossip
 from catkinslip.warmup.gate import ColdGate
 from catkinslip.warmup.quotas import Sender, divide
 
@@ -143,7 +143,7 @@
     evacuations: Follower[ZoneEvacuation]
     guard: CrashGuard
     teller: CrashTeller
-    rate_teller: RateTeller
+    rate_teller: RateGossip
     sources: tuple[MetricSource, ...]
 
     @property
@@ -235,7 +235,7 @@
         sharer.post,
     )
     guard.listeners.append(teller)
-    rate_teller = RateTeller(
+    rate_teller = RateGossip(
         settings.own.instance_id,
         directory,
         clock,
--- a/tests/test_throttling_book.py
+++ b/tests/test_throttling_book.py
@@ -4,22 +4,22 @@
 
 from catkinslip.platform.dialect import read_rate
 from catkinslip.routing.base import BackendLoad
-from catkinslip.throttling.book import MOST_GONE, RateBook
+from catkinslip.throttling.book import MOST_GONE, RateRegistry
 from catkinslip.throttling.signs import (
     MALFORMED_RATE,
     NO_RATE,
     AnswerKind,
-    RateSign,
+    RateSignal,
 )
 
 NOW = 100.0
-RATE = RateSign(1.2)
+RATE = RateSignal(1.2)
 
 
 class RateHeaderTest(unittest.TestCase):
     """The rate in the headers of an answer."""
 
-    def read(self, *values: bytes) -> RateSign:
+    def read(self, *values: bytes) -> RateSignal:
         return read_rate([(b'server-limit', value) for value in values])
 
     def test_decimal_numbers(self):
@@ -45,7 +45,7 @@
     """The registry's record of one server."""
 
     def setUp(self):
-        self.book = RateBook()
+        self.book = RateRegistry()
         self.load = BackendLoad('i-1', 'zone-a', 2)
 
     def tell(self, sign, sent_at, now, kind=AnswerKind.ANSWER):
@@ -61,7 +61,7 @@
         with self.assertLogs('throttling', 'INFO') as logs:
             self.tell(RATE, NOW, NOW + 0.2)
             self.assertEqual(self.per_second(), 1.2)
-            self.tell(RateSign(0.5), NOW + 2, NOW + 2.1)
+            self.tell(RateSignal(0.5), NOW + 2, NOW + 2.1)
             self.assertEqual(self.per_second(), 0.5)
             self.tell(NO_RATE, NOW + 3, NOW + 3.1)
             self.assertIsNone(self.per_second())
@@ -107,7 +107,7 @@
         with self.assertLogs('throttling', 'INFO') as logs:
             for step in range(100):
                 now = NOW + step / 50
-                self.tell(RateSign(1 + step / 100), now, now)
+                self.tell(RateSignal(1 + step / 100), now, now)
         self.assertLessEqual(len(logs.records), 3)
         self.assertEqual(self.per_second(), 1.99)
 
--- a/tests/test_throttling_fleet.py
+++ b/tests/test_throttling_fleet.py
@@ -19,7 +19,7 @@
 from catkinslip.routing.gates import Gates, Permits, give_back
 from catkinslip.throttling.gate import ThrottleGate
 from catkinslip.throttling.shares import divide_rate
-from catkinslip.throttling.signs import AnswerKind, RateSign
+from catkinslip.throttling.signs import AnswerKind, RateSignal
 from standins.workers import most_within
 from tests.sender_builders import Site
 
@@ -95,7 +95,7 @@
             table.sender_place,
         )
         now = trio.current_time()
-        sign = RateSign(self.per_second)
+        sign = RateSignal(self.per_second)
         gate.book.told(load, sign, AnswerKind.ANSWER, now, now)
         return Sending(table, load, Gates((gate,)))
 
--- a/tests/test_throttling_path.py
+++ b/tests/test_throttling_path.py
@@ -23,11 +23,11 @@
 from catkinslip.routing.gates import Gates
 from catkinslip.routing.policies import LeastInFlight
 from catkinslip.routing.router import ServiceRouter
-from catkinslip.throttling.book import NamedRate
+from catkinslip.throttling.book import AdvertisedRate
 from catkinslip.throttling.gate import ThrottleGate
-from catkinslip.throttling.messages import ToldRate
-from catkinslip.throttling.signs import NO_RATE, AnswerKind, RateSign
-from catkinslip.throttling.telling import MOST_TOLD, RateTeller
+from catkinslip.throttling.messages import RateReport
+from catkinslip.throttling.signs import NO_RATE, AnswerKind, RateSignal
+from catkinslip.throttling.telling import MOST_TOLD, RateGossip
 from catkinslip.warmup.gate import ColdGate
 from catkinslip.warmup.quotas import Sender
 from catkinslip.warmup.senders import Place
@@ -194,7 +194,7 @@
         gate = ThrottleGate(lambda *_: {SENDER: 1.0})
         gates = Gates((gate,))
         permits = gates.reserve(load, NOW)
-        gate.book.told(load, RateSign(1.0), AnswerKind.ANSWER, NOW, NOW)
+        gate.book.told(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
         self.assertFalse(gates.may_send(load, permits, NOW))
         gate.place = lambda: Place(SENDER, is_recent=True)
         self.assertTrue(gates.may_send(load, permits, NOW))
@@ -208,7 +208,7 @@
         gates = Gates((cold, throttle))
         cold.begin(load, 60.0, NOW, 'test')
         self.assertTrue(gates.may_send(load, gates.reserve(load, NOW), NOW))
-        throttle.book.told(load, RateSign(1.0), AnswerKind.ANSWER, NOW, NOW)
+        throttle.book.told(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
         throttle.find(load, NOW).count_sent(NOW)
         # A request that one gate refuses is not counted by the other.
         for _ in range(5):
@@ -222,7 +222,7 @@
         router = ServiceRouter(LeastInFlight(Random(1)), throttle=gate)
         router.update(Service(), document, NOW)
         load = router.load_by_id['i-1']
-        gate.book.told(load, RateSign(1.0), AnswerKind.ANSWER, NOW, NOW)
+        gate.book.told(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
         self.assertTrue(router.gates.may_send(load, router.reserve('i-1', NOW), NOW))
         router.update(Service(), {}, NOW)
         self.assertEqual(gate.closed(NOW), [])
@@ -239,7 +239,7 @@
         backend = Backend('one', zone='zone-a', host='10.0.0.1', port=80)
         router.update(Service(), {'i-1': backend}, NOW)
         load = router.load_by_id['i-1']
-        gate.book.told(load, RateSign(1.0), AnswerKind.ANSWER, NOW, NOW)
+        gate.book.told(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
         self.assertEqual(choose(router, is_suspect=False).backend_id, 'i-1')
         self.assertIsNone(choose(router, is_suspect=True))
 
@@ -247,7 +247,7 @@
         load = BackendLoad('i-1', 'zone-a', 2)
         gate = sender_gate(0.5)
         load.note_sent(NOW - 0.5)
-        gate.book.told(load, RateSign(1.0), AnswerKind.ANSWER, NOW, NOW)
+        gate.book.told(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
         self.assertEqual(gate.closed(NOW + 1.4), ['i-1'])
         self.assertEqual(gate.closed(NOW + 1.5), [])
 
@@ -309,7 +309,7 @@
             await trio.sleep(0.5)
             rate = first.rate_by_id['i-1']
             now = platform.entries[0].sampler.clock.monotonic()
-            first.on_seen = lambda *_: None
+            first.on_observation = lambda *_: None
             first.told(rate.load, NO_RATE, AnswerKind.ANSWER, now, now)
             self.assertTrue(second.holding())
             await wait_for(lambda: not second.holding())
@@ -343,7 +343,7 @@
 
     def test_rates_of_servers_with_long_names_fit_into_datagrams(self):
         sent = []
-        teller = RateTeller(
+        teller = RateGossip(
             'edge-1',
             Directory(LeastInFlight),
             SimpleNamespace(monotonic=lambda: NOW),
@@ -354,7 +354,7 @@
         )
         names = [f'server-{number:02}-{"x" * 80}' for number in range(MOST_TOLD)]
         rates = [
-            NamedRate(BackendLoad(name, 'zone-a', 2), 1.2, named_at=NOW - 1)
+            AdvertisedRate(BackendLoad(name, 'zone-a', 2), 1.2, named_at=NOW - 1)
             for name in names
         ]
         teller._tell(rates, [])
@@ -363,9 +363,9 @@
         self.assertEqual(told, names)
 
     def test_news_in_any_order_and_twice_is_the_same(self):
-        named = ToldRate('i-1', 0, 2.0, named_seconds=3.0, cleared_seconds=None)
-        ended = ToldRate('i-1', 0, 2.0, named_seconds=3.0, cleared_seconds=1.0)
-        again = ToldRate('i-1', 0, 1.0, named_seconds=0.5, cleared_seconds=1.0)
+        named = RateReport('i-1', 0, 2.0, named_seconds=3.0, cleared_seconds=None)
+        ended = RateReport('i-1', 0, 2.0, named_seconds=3.0, cleared_seconds=1.0)
+        again = RateReport('i-1', 0, 1.0, named_seconds=0.5, cleared_seconds=1.0)
         load = BackendLoad('i-1', 'zone-a', 2)
         for order in ((named, ended, again), (again, named, ended), (ended, again)):
             gate = ThrottleGate()
