--- a/benchmarks/overload_instances.py
+++ b/benchmarks/overload_instances.py
@@ -351,9 +351,9 @@
     def tell_rate(self, service: str, rate: AdvertisedRate, is_change: bool) -> None:
         """Tell the other instances what an answer said of a server's rate."""
         now = self.world.now
-        if not is_change and now - rate.told_at < REFRESH_SECONDS:
+        if not is_change and now - rate.gossiped_at < REFRESH_SECONDS:
             return
-        rate.told_at = now
+        rate.gossiped_at = now
         for other in self.world.instances:
             if other is not self:
                 told = (service, told_of(rate, now))
@@ -366,7 +366,7 @@
         router = self.desk_by_service[service].router
         load = router.load_by_id.get(rate.backend_id)
         if load is not None:
-            router.throttle.book.heard(load, rate, self.world.now)
+            router.throttle.book.apply_peer_report(load, rate, self.world.now)
 
     def hear(self, told: tuple[str, str, LoadReport, float]) -> None:
         """Take a report of another instance."""
--- a/catkinslip/proxy/server_wait.py
+++ b/catkinslip/proxy/server_wait.py
@@ -94,7 +94,9 @@
         """
         if not self.call.is_suspect:
             return tried
-        in_need = [rate.load.backend_id for rate in self.router.throttle.book.holding()]
+        in_need = [
+            rate.load.backend_id for rate in self.router.throttle.book.active_rates()
+        ]
         return [*tried, *self.router.cold.cold(self.clock.monotonic()), *in_need]
 
     def _refuse_guarded(self) -> NotRun | None:
--- a/catkinslip/routing/router.py
+++ b/catkinslip/routing/router.py
@@ -309,7 +309,7 @@
         now: float,
     ) -> None:
         """Take what an answer asks for to a request that was sent at a time."""
-        self.throttle.book.told(load, words.rate, kind, sent_at, now)
+        self.throttle.book.apply_answer(load, words.rate, kind, sent_at, now)
         self.rest.book.told(load, words.rest, kind, sent_at, now)
 
     def narrowed(self, load: BackendLoad | None, now: float) -> str:
--- a/catkinslip/throttling/book.py
+++ b/catkinslip/throttling/book.py
@@ -12,10 +12,10 @@
 
 #: Allowance in seconds for the way of a datagram: what a peer reports was true this
 #: much earlier.
-ON_THE_WAY_SECONDS = 0.05
+TRANSIT_SECONDS = 0.05
 #: Maximum number of removed servers that are remembered; an outage of the store makes
 #: the entries of many servers expire at once.
-MOST_GONE = 1000
+MAX_REMOVED = 1000
 #: Minimum seconds between two log lines about a changed rate of one server, as a server
 #: may advertise another rate with each answer.
 CHANGE_LOG_SECONDS = 1.0
@@ -30,7 +30,7 @@
     load: BackendLoad
     per_second: float = 0.0
     #: Time of the newest answer that advertises a rate.
-    named_at: float = NEVER
+    advertised_at: float = NEVER
     #: Time at which the newest request was sent whose answer advertises no rate.
     cleared_at: float = NEVER
     #: Time since which the server has advertised a rate without interruption.
@@ -38,27 +38,27 @@
     #: Kinds of answer that have advertised the rate since then.
     kinds: set[AnswerKind] = Factory(set)
     #: Whether a probe was answered without a rate since then.
-    are_probes_mute: bool = False
+    are_probes_without_rate: bool = False
     #: Time at which this instance last gossiped the rate.
-    told_at: float = NEVER
+    gossiped_at: float = NEVER
     #: Time of the last request from this instance, as far as it counts for its turns.
     sent_at: float = NEVER
     logged_at: float = NEVER
     has_been_malformed: bool = False
 
     @property
-    def holds(self) -> bool:
+    def is_active(self) -> bool:
         """Return whether the server advertises a rate, as far as known.
 
         An answer without a rate ends the throttling only if its request was sent after
         the last answer with a rate had arrived: other requests may have started before.
         """
-        return self.named_at > self.cleared_at
+        return self.advertised_at > self.cleared_at
 
     def begin(self, now: float) -> None:
         """Mark the server as throttled from now on."""
         self.began_at = now
-        self.are_probes_mute = False
+        self.are_probes_without_rate = False
 
 
 OnObservation = Callable[[AdvertisedRate, bool], None]
@@ -78,7 +78,7 @@
 
     rate_by_id: dict[str, AdvertisedRate] = Factory(dict)
     #: Rates of removed servers, which may return with the same rate.
-    gone_by_id: dict[str, AdvertisedRate] = Factory(dict)
+    removed_by_id: dict[str, AdvertisedRate] = Factory(dict)
     #: Number of times that servers began to advertise a rate, changed it, ended it or
     #: sent one that cannot be read, by event.
     events: Counter[str] = Factory(Counter)
@@ -88,47 +88,49 @@
         if load is None or not self.rate_by_id:
             return None
         rate = self.rate_by_id.get(load.backend_id)
-        return rate if rate is not None and rate.holds else None
+        return rate if rate is not None and rate.is_active else None
 
-    def holding(self) -> list[AdvertisedRate]:
+    def active_rates(self) -> list[AdvertisedRate]:
         """Return the rates that servers advertise now."""
-        return [rate for rate in self.rate_by_id.values() if rate.holds]
+        return [rate for rate in self.rate_by_id.values() if rate.is_active]
 
-    def told(
+    def apply_answer(
         self,
         load: BackendLoad,
-        sign: RateSignal,
+        signal: RateSignal,
         kind: AnswerKind,
         sent_at: float,
         now: float,
     ) -> None:
         """Apply the rate in an answer to a request that was sent at a given time."""
-        if sign.is_malformed:
-            self._take_malformed(load)
-        elif sign.per_second is not None:
-            self._take_named(self._known(load), sign.per_second, kind, now)
+        if signal.is_malformed:
+            self._record_malformed(load)
+        elif signal.per_second is not None:
+            self._record_rate(self._find_or_add(load), signal.per_second, kind, now)
         else:
-            self._take_none(load, kind, sent_at, now)
+            self._record_no_rate(load, kind, sent_at, now)
 
-    def heard(self, load: BackendLoad, told: RateReport, now: float) -> None:
+    def apply_peer_report(
+        self, load: BackendLoad, report: RateReport, now: float
+    ) -> None:
         """Apply a rate that another instance reports."""
-        rate = self._known(load)
-        was_held = rate.holds
-        named_at = now - told.named_seconds
-        if named_at > rate.named_at:
-            rate.named_at = named_at
-            rate.per_second = told.per_second
-        if told.cleared_seconds is not None:
-            cleared_at = now - told.cleared_seconds - ON_THE_WAY_SECONDS
+        rate = self._find_or_add(load)
+        was_active = rate.is_active
+        advertised_at = now - report.named_seconds
+        if advertised_at > rate.advertised_at:
+            rate.advertised_at = advertised_at
+            rate.per_second = report.per_second
+        if report.cleared_seconds is not None:
+            cleared_at = now - report.cleared_seconds - TRANSIT_SECONDS
             rate.cleared_at = max(rate.cleared_at, cleared_at)
-        if not rate.holds:
-            if was_held:
-                self._end(rate, told.by, now)
+        if not rate.is_active:
+            if was_active:
+                self._end(rate, report.by, now)
             return
-        if not was_held:
+        if not was_active:
             rate.begin(now)
-            self._log_begun(rate, told.by, now)
-        if told.is_in_probes:
+            self._log_begun(rate, report.by, now)
+        if report.is_in_probes:
             rate.kinds.add(AnswerKind.PROBE)
 
     def forget(self, load: BackendLoad) -> None:
@@ -136,38 +138,38 @@
         rate = self.rate_by_id.pop(load.backend_id, None)
         if rate is None:
             return
-        if len(self.gone_by_id) >= MOST_GONE:
-            del self.gone_by_id[next(iter(self.gone_by_id))]
-        self.gone_by_id[load.backend_id] = rate
+        if len(self.removed_by_id) >= MAX_REMOVED:
+            del self.removed_by_id[next(iter(self.removed_by_id))]
+        self.removed_by_id[load.backend_id] = rate
 
-    def take_back(self, load: BackendLoad) -> None:
+    def restore(self, load: BackendLoad) -> None:
         """Add a server, and restore its rate if the same start of it was removed."""
         backend_id = load.backend_id
         rate = self.rate_by_id.pop(backend_id, None)
-        rate = self.gone_by_id.pop(backend_id, rate)
+        rate = self.removed_by_id.pop(backend_id, rate)
         if rate is not None and rate.load.incarnation == load.incarnation:
             rate.load = load
             self.rate_by_id[backend_id] = rate
 
-    def _known(self, load: BackendLoad) -> AdvertisedRate:
+    def _find_or_add(self, load: BackendLoad) -> AdvertisedRate:
         return self.rate_by_id.setdefault(load.backend_id, AdvertisedRate(load))
 
-    def _take_malformed(self, load: BackendLoad) -> None:
+    def _record_malformed(self, load: BackendLoad) -> None:
         """Count an unreadable rate and change nothing else.
 
         The server may still be throttled, or never was.
         """
         self.events['malformed'] += 1
-        rate = self._known(load)
+        rate = self._find_or_add(load)
         if not rate.has_been_malformed:
             rate.has_been_malformed = True
             log.warning('throttling: unreadable rate. backend=%s', load.backend_id)
 
-    def _take_named(
+    def _record_rate(
         self, rate: AdvertisedRate, per_second: float, kind: AnswerKind, now: float
     ) -> None:
-        before = rate.per_second if rate.holds else None
-        rate.named_at = max(rate.named_at, now)
+        before = rate.per_second if rate.is_active else None
+        rate.advertised_at = max(rate.advertised_at, now)
         rate.per_second = per_second
         if before is None:
             rate.begin(now)
@@ -177,7 +179,7 @@
         rate.kinds.add(kind)
         self.on_observation(rate, per_second != before)
 
-    def _take_none(
+    def _record_no_rate(
         self, load: BackendLoad, kind: AnswerKind, sent_at: float, now: float
     ) -> None:
         rate = self.rate_by_id.get(load.backend_id)
@@ -186,14 +188,14 @@
         # An answer other than a success ends the throttling only if that kind of answer
         # has advertised the rate before: some servers advertise it only in successes.
         if kind is not AnswerKind.ANSWER and kind not in rate.kinds:
-            rate.are_probes_mute |= kind is AnswerKind.PROBE
+            rate.are_probes_without_rate |= kind is AnswerKind.PROBE
             return
-        was_held = rate.holds
+        was_active = rate.is_active
         rate.cleared_at = max(rate.cleared_at, sent_at)
-        has_ended = was_held and not rate.holds
+        has_ended = was_active and not rate.is_active
         if has_ended:
             self._end(rate, kind.value, now)
-        if not rate.holds:
+        if not rate.is_active:
             self.on_observation(rate, has_ended)
 
     def _end(self, rate: AdvertisedRate, by: str, now: float) -> None:
--- a/catkinslip/throttling/gate.py
+++ b/catkinslip/throttling/gate.py
@@ -72,7 +72,7 @@
         return [
             server.load.backend_id
             for server, wait_seconds in self._waits(now)
-            if wait_seconds == 0 and now - server.rate.named_at >= HEARD_SECONDS
+            if wait_seconds == 0 and now - server.rate.advertised_at >= HEARD_SECONDS
         ]
 
     def unheard(self, now: float) -> list[BackendLoad]:
@@ -83,8 +83,9 @@
         """
         return [
             rate.load
-            for rate in self.book.holding()
-            if not rate.are_probes_mute and now - rate.named_at >= UNHEARD_SECONDS
+            for rate in self.book.active_rates()
+            if not rate.are_probes_without_rate
+            and now - rate.advertised_at >= UNHEARD_SECONDS
         ]
 
     def find(self, load: BackendLoad | None, now: float) -> ThrottledServer | None:
@@ -103,7 +104,7 @@
     def take_back(self, load: BackendLoad) -> None:
         """Add a server, and restore its rate if the same start of it was removed."""
         self.server_by_id.pop(load.backend_id, None)
-        self.book.take_back(load)
+        self.book.restore(load)
 
     def forget(self, load: BackendLoad) -> None:
         """Remove a server."""
@@ -115,7 +116,7 @@
         if not self.book.rate_by_id:
             return []
         place = self.place()
-        servers = [self._server(rate) for rate in self.book.holding()]
+        servers = [self._server(rate) for rate in self.book.active_rates()]
         return [(each, self._wait_seconds(each, place, now)) for each in servers]
 
     def _server(self, rate: AdvertisedRate) -> ThrottledServer:
--- a/catkinslip/throttling/telling.py
+++ b/catkinslip/throttling/telling.py
@@ -76,7 +76,7 @@
         now = self.clock.monotonic()
         if not is_change and not self._is_refresh_due(rate, now):
             return
-        rate.told_at = now
+        rate.gossiped_at = now
         backend_id = rate.load.backend_id
         _, was_change = self.news_by_id.get(backend_id, (rate, False))
         self.news_by_id[backend_id] = (rate, is_change or was_change)
@@ -84,9 +84,9 @@
             self.has_news.set()
 
     def _is_refresh_due(self, rate: AdvertisedRate, now: float) -> bool:
-        if now - rate.told_at < REFRESH_SECONDS:
+        if now - rate.gossiped_at < REFRESH_SECONDS:
             return False
-        return rate.holds or now - rate.named_at < END_TOLD_SECONDS
+        return rate.is_active or now - rate.advertised_at < END_TOLD_SECONDS
 
     async def run(self) -> None:
         """Send updates and queries until cancelled."""
@@ -143,7 +143,7 @@
             router = self.directory.find_started(each.backend_id, each.start)
             if router is not None:
                 load = router.load_by_id[each.backend_id]
-                router.throttle.book.heard(load, each, now)
+                router.throttle.book.apply_peer_report(load, each, now)
 
     async def _ask_always(self) -> None:
         while True:
@@ -164,12 +164,12 @@
         old = [
             rate
             for router in self.directory.router_by_service.values()
-            for rate in router.throttle.book.holding()
-            if now - rate.named_at >= DOUBT_AGE_SECONDS
+            for rate in router.throttle.book.active_rates()
+            if now - rate.advertised_at >= DOUBT_AGE_SECONDS
         ]
         some = self.random.sample(old, min(MOST_ASKED, len(old)))
         return [
-            RateQuery(it.load.backend_id, it.load.start_tag, now - it.named_at)
+            RateQuery(it.load.backend_id, it.load.start_tag, now - it.advertised_at)
             for it in some
         ]
 
@@ -192,9 +192,9 @@
             self._tell(newer, [asker])
 
 
-def knows_more(rate: AdvertisedRate, named_at: float) -> bool:
+def knows_more(rate: AdvertisedRate, advertised_at: float) -> bool:
     """Return whether the evidence on a rate is newer than a time, by a margin."""
-    return max(rate.named_at, rate.cleared_at) > named_at + NEWER_SECONDS
+    return max(rate.advertised_at, rate.cleared_at) > advertised_at + NEWER_SECONDS
 
 
 def told_of(rate: AdvertisedRate, now: float) -> RateReport:
@@ -205,7 +205,7 @@
         load.backend_id,
         load.start_tag,
         rate.per_second,
-        now - rate.named_at,
+        now - rate.advertised_at,
         cleared,
         AnswerKind.PROBE in rate.kinds,
     )
--- a/tests/test_admission_rest.py
+++ b/tests/test_admission_rest.py
@@ -10,7 +10,7 @@
 
 REST_SECONDS = 3.0
 #: Seconds in which requests that were in transit as the server asked do not count.
-ON_THE_WAY_SECONDS = 0.5
+TRANSIT_SECONDS = 0.5
 MOST_IN_REST = 2
 #: Difference in the share of requests below which two runs count as equal.
 NOISE = 0.03
@@ -49,7 +49,7 @@
     for server in world.server_by_id.values():
         for came_at in server.turned_away_by_instance.values():
             for at in came_at:
-                since, until = at + ON_THE_WAY_SECONDS, at + REST_SECONDS
+                since, until = at + TRANSIT_SECONDS, at + REST_SECONDS
                 most = max(most, sum(since <= other < until for other in came_at))
     return most
 
--- a/tests/test_throttling_book.py
+++ b/tests/test_throttling_book.py
@@ -4,7 +4,7 @@
 
 from catkinslip.platform.dialect import read_rate
 from catkinslip.routing.base import BackendLoad
-from catkinslip.throttling.book import MOST_GONE, RateRegistry
+from catkinslip.throttling.book import MAX_REMOVED, RateRegistry
 from catkinslip.throttling.signs import (
     MALFORMED_RATE,
     NO_RATE,
@@ -48,8 +48,8 @@
         self.book = RateRegistry()
         self.load = BackendLoad('i-1', 'zone-a', 2)
 
-    def tell(self, sign, sent_at, now, kind=AnswerKind.ANSWER):
-        self.book.told(self.load, sign, kind, sent_at, now)
+    def tell(self, signal, sent_at, now, kind=AnswerKind.ANSWER):
+        self.book.apply_answer(self.load, signal, kind, sent_at, now)
 
     def per_second(self) -> float | None:
         rate = self.book.find(self.load)
@@ -114,9 +114,9 @@
     def test_server_whose_entry_is_back_is_still_in_need(self):
         self.tell(RATE, NOW, NOW)
         self.book.forget(self.load)
-        self.assertEqual(self.book.holding(), [])
+        self.assertEqual(self.book.active_rates(), [])
         self.load = BackendLoad('i-1', 'zone-a', 2)
-        self.book.take_back(self.load)
+        self.book.restore(self.load)
         self.assertEqual(self.per_second(), 1.2)
         self.assertIs(self.book.find(self.load).load, self.load)
         self.tell(NO_RATE, NOW + 1, NOW + 1.1)
@@ -124,21 +124,21 @@
 
     def test_another_start_of_a_server_is_in_no_need(self):
         self.tell(RATE, NOW, NOW)
-        for is_gone in (True, False):
-            if is_gone:
+        for is_removed in (True, False):
+            if is_removed:
                 self.book.forget(self.load)
             other = BackendLoad('i-1', 'zone-a', 2, incarnation=7)
-            self.book.take_back(other)
+            self.book.restore(other)
             self.assertIsNone(self.book.find(other))
-            self.assertEqual(self.book.gone_by_id, {})
+            self.assertEqual(self.book.removed_by_id, {})
             self.tell(RATE, NOW, NOW)
 
     def test_few_of_the_servers_that_are_gone_are_remembered(self):
-        for number in range(MOST_GONE + 5):
+        for number in range(MAX_REMOVED + 5):
             load = BackendLoad(f'i-{number}', 'zone-a', 2)
-            self.book.told(load, RATE, AnswerKind.ANSWER, NOW, NOW)
+            self.book.apply_answer(load, RATE, AnswerKind.ANSWER, NOW, NOW)
             self.book.forget(load)
-        self.assertEqual(len(self.book.gone_by_id), MOST_GONE)
+        self.assertEqual(len(self.book.removed_by_id), MAX_REMOVED)
 
 
 if __name__ == '__main__':
--- a/tests/test_throttling_fleet.py
+++ b/tests/test_throttling_fleet.py
@@ -95,8 +95,8 @@
             table.sender_place,
         )
         now = trio.current_time()
-        sign = RateSignal(self.per_second)
-        gate.book.told(load, sign, AnswerKind.ANSWER, now, now)
+        signal = RateSignal(self.per_second)
+        gate.book.apply_answer(load, signal, AnswerKind.ANSWER, now, now)
         return Sending(table, load, Gates((gate,)))
 
     def tick(self) -> None:
--- a/tests/test_throttling_path.py
+++ b/tests/test_throttling_path.py
@@ -76,7 +76,7 @@
     for entry in platform.entries:
         await wait_for(lambda e=entry: len(e.instances.serving()) == instances - 1)
     first = platform.entries[0]
-    while len(throttle_of(first).book.holding()) < len(server_ids):
+    while len(throttle_of(first).book.active_rates()) < len(server_ids):
         await platform.ask('POST', '/p/x', request_id='first')
 
 
@@ -194,7 +194,7 @@
         gate = ThrottleGate(lambda *_: {SENDER: 1.0})
         gates = Gates((gate,))
         permits = gates.reserve(load, NOW)
-        gate.book.told(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
+        gate.book.apply_answer(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
         self.assertFalse(gates.may_send(load, permits, NOW))
         gate.place = lambda: Place(SENDER, is_recent=True)
         self.assertTrue(gates.may_send(load, permits, NOW))
@@ -208,7 +208,7 @@
         gates = Gates((cold, throttle))
         cold.begin(load, 60.0, NOW, 'test')
         self.assertTrue(gates.may_send(load, gates.reserve(load, NOW), NOW))
-        throttle.book.told(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
+        throttle.book.apply_answer(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
         throttle.find(load, NOW).count_sent(NOW)
         # A request that one gate refuses is not counted by the other.
         for _ in range(5):
@@ -222,7 +222,7 @@
         router = ServiceRouter(LeastInFlight(Random(1)), throttle=gate)
         router.update(Service(), document, NOW)
         load = router.load_by_id['i-1']
-        gate.book.told(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
+        gate.book.apply_answer(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
         self.assertTrue(router.gates.may_send(load, router.reserve('i-1', NOW), NOW))
         router.update(Service(), {}, NOW)
         self.assertEqual(gate.closed(NOW), [])
@@ -239,7 +239,7 @@
         backend = Backend('one', zone='zone-a', host='10.0.0.1', port=80)
         router.update(Service(), {'i-1': backend}, NOW)
         load = router.load_by_id['i-1']
-        gate.book.told(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
+        gate.book.apply_answer(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
         self.assertEqual(choose(router, is_suspect=False).backend_id, 'i-1')
         self.assertIsNone(choose(router, is_suspect=True))
 
@@ -247,7 +247,7 @@
         load = BackendLoad('i-1', 'zone-a', 2)
         gate = sender_gate(0.5)
         load.note_sent(NOW - 0.5)
-        gate.book.told(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
+        gate.book.apply_answer(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
         self.assertEqual(gate.closed(NOW + 1.4), ['i-1'])
         self.assertEqual(gate.closed(NOW + 1.5), [])
 
@@ -259,7 +259,7 @@
         async def check(platform):
             await in_need(platform, ('i-1',), instances=3)
             books = [throttle_of(entry).book for entry in platform.entries]
-            await wait_for(lambda: all(book.holding() for book in books))
+            await wait_for(lambda: all(book.active_rates() for book in books))
             platform.worker_by_id['i-1'].named_rate = None
             # A refused call makes the instance probe the server; no request is sent for
             # it.
@@ -267,7 +267,7 @@
             before = len(platform.worker_by_id['i-1'].arrived_at)
             answer = await platform.ask('POST', '/p/x', entry=2, request_id='r2')
             self.assertEqual(answer.status_code, 503)
-            await wait_for(lambda: not any(book.holding() for book in books))
+            await wait_for(lambda: not any(book.active_rates() for book in books))
             self.assertEqual(len(platform.worker_by_id['i-1'].arrived_at), before)
 
         on_platform(check)
@@ -285,7 +285,7 @@
                 await platform.ask('POST', '/p/x', request_id=f'r{number}')
                 await trio.sleep(0.1)
             self.assertEqual(worker.probes, before + 1)
-            self.assertTrue(book.holding())
+            self.assertTrue(book.active_rates())
 
         on_platform(check)
 
@@ -297,7 +297,7 @@
             await trio.sleep(0.1)
             answer = await platform.ask('POST', '/p/x', request_id='r2')
             self.assertEqual(answer.status_code, 500)
-            self.assertTrue(throttle_of(entry).book.holding())
+            self.assertTrue(throttle_of(entry).book.active_rates())
 
         on_platform(check)
 
@@ -305,14 +305,14 @@
         async def check(platform):
             await in_need(platform, ('i-1',), instances=2)
             first, second = (throttle_of(e).book for e in platform.entries)
-            await wait_for(second.holding)
+            await wait_for(second.active_rates)
             await trio.sleep(0.5)
             rate = first.rate_by_id['i-1']
             now = platform.entries[0].sampler.clock.monotonic()
             first.on_observation = lambda *_: None
-            first.told(rate.load, NO_RATE, AnswerKind.ANSWER, now, now)
-            self.assertTrue(second.holding())
-            await wait_for(lambda: not second.holding())
+            first.apply_answer(rate.load, NO_RATE, AnswerKind.ANSWER, now, now)
+            self.assertTrue(second.active_rates())
+            await wait_for(lambda: not second.active_rates())
 
         on_platform(check)
 
@@ -354,7 +354,7 @@
         )
         names = [f'server-{number:02}-{"x" * 80}' for number in range(MOST_TOLD)]
         rates = [
-            AdvertisedRate(BackendLoad(name, 'zone-a', 2), 1.2, named_at=NOW - 1)
+            AdvertisedRate(BackendLoad(name, 'zone-a', 2), 1.2, advertised_at=NOW - 1)
             for name in names
         ]
         teller._tell(rates, [])
@@ -370,11 +370,11 @@
         for order in ((named, ended, again), (again, named, ended), (ended, again)):
             gate = ThrottleGate()
             for told in (*order, *order):
-                gate.book.heard(load, told, NOW)
+                gate.book.apply_peer_report(load, told, NOW)
             self.assertEqual(gate.book.find(load).per_second, 1.0)
         gate = ThrottleGate()
         for told in (ended, named, ended):
-            gate.book.heard(load, told, NOW)
+            gate.book.apply_peer_report(load, told, NOW)
         self.assertIsNone(gate.book.find(load))
 
 
