--- a/benchmarks/overload_instances.py
+++ b/benchmarks/overload_instances.py
@@ -366,7 +366,7 @@
         router = self.desk_by_service[service].router
         load = router.load_by_id.get(rate.backend_id)
         if load is not None:
-            router.throttle.book.apply_peer_report(load, rate, self.world.now)
+            router.throttle.registry.apply_peer_report(load, rate, self.world.now)
 
     def hear(self, told: tuple[str, str, LoadReport, float]) -> None:
         """Take a report of another instance."""
--- a/benchmarks/overload_world.py
+++ b/benchmarks/overload_world.py
@@ -116,7 +116,7 @@
             )
             sample = Sample(instance.random, instance.zone, self.mechanisms.sample_size)
             throttle = ThrottleGate(self.divide_named, lambda: instance.place)
-            throttle.book.on_observation = partial(instance.tell_rate, name)
+            throttle.registry.on_observation = partial(instance.tell_rate, name)
             router = ServiceRouter(policy, sample=sample, throttle=throttle)
             desk = Desk(router)
             router.on_news = lambda load, desk=desk: desk.news.__setitem__(
--- a/benchmarks/throttling.py
+++ b/benchmarks/throttling.py
@@ -52,7 +52,7 @@
         router.learned(load.backend_id, LoadReport(random.randrange(SLOTS), 1.0), NOW)
         if number < in_need:
             sign = RateSignal(PER_SECOND)
-            gate.book.apply_answer(load, sign, AnswerKind.ANSWER, NOW, NOW)
+            gate.registry.apply_answer(load, sign, AnswerKind.ANSWER, NOW, NOW)
     return router
 
 
--- a/catkinslip/health/sampler.py
+++ b/catkinslip/health/sampler.py
@@ -109,8 +109,8 @@
 
         No call waits for them.
         """
-        unheard = router.throttle.unheard(self.clock.monotonic())
-        usable = [each for each in unheard if router.takes_requests(each)]
+        stale_servers = router.throttle.stale_servers(self.clock.monotonic())
+        usable = [each for each in stale_servers if router.takes_requests(each)]
         self._ask_beside(router, usable, THROTTLED_AT_ONCE)
 
     def _ask_beside(
--- a/catkinslip/metrics/health.py
+++ b/catkinslip/metrics/health.py
@@ -76,8 +76,8 @@
         count_by_event = Counter()
         routers = self.health.directory.router_by_service
         for service, router in sorted(routers.items()):
-            named.add(len(router.throttle.book.active_rates()), service)
-            count_by_event.update(router.throttle.book.events)
+            named.add(len(router.throttle.registry.active_rates()), service)
+            count_by_event.update(router.throttle.registry.events)
         for event, count in sorted(count_by_event.items()):
             events.add(count, event)
         yield named
--- a/catkinslip/proxy/server_wait.py
+++ b/catkinslip/proxy/server_wait.py
@@ -95,7 +95,8 @@
         if not self.call.is_suspect:
             return tried
         in_need = [
-            rate.load.backend_id for rate in self.router.throttle.book.active_rates()
+            rate.load.backend_id
+            for rate in self.router.throttle.registry.active_rates()
         ]
         return [*tried, *self.router.cold.cold(self.clock.monotonic()), *in_need]
 
--- a/catkinslip/routing/directory.py
+++ b/catkinslip/routing/directory.py
@@ -112,7 +112,7 @@
         throttle = self.throttle_by_service.get(service)
         if throttle is None:
             throttle = self.make_throttle()
-            throttle.book.on_observation = self.on_rate_seen
+            throttle.registry.on_observation = self.on_rate_seen
             self.throttle_by_service[service] = throttle
         return throttle
 
--- a/catkinslip/routing/router.py
+++ b/catkinslip/routing/router.py
@@ -309,12 +309,12 @@
         now: float,
     ) -> None:
         """Take what an answer asks for to a request that was sent at a time."""
-        self.throttle.book.apply_answer(load, words.rate, kind, sent_at, now)
+        self.throttle.registry.apply_answer(load, words.rate, kind, sent_at, now)
         self.rest.book.told(load, words.rest, kind, sent_at, now)
 
     def narrowed(self, load: BackendLoad | None, now: float) -> str:
         """Return which words of a server narrow what it may get, for the log."""
-        rate = self.throttle.book.find(load)
+        rate = self.throttle.registry.find(load)
         rest = self.rest.book.find(load, now)
         words = []
         if rate is not None:
--- a/catkinslip/throttling/gate.py
+++ b/catkinslip/throttling/gate.py
@@ -14,10 +14,10 @@
 
 #: Seconds without an answer that advertises the rate after which the next request that
 #: the server could answer at once goes there, as the throttling may be over.
-HEARD_SECONDS = 1.0
+STALE_SECONDS = 1.0
 #: Seconds without an answer that advertises the rate after which the server is probed
 #: in addition to requests.
-UNHEARD_SECONDS = 0.5
+PROBE_AGE_SECONDS = 0.5
 
 Divide = Callable[[BackendLoad, float], Mapping[Sender, float]]
 
@@ -27,7 +27,7 @@
     return None
 
 
-def give_nobody(load: BackendLoad, per_second: float) -> Mapping[Sender, float]:
+def no_shares(load: BackendLoad, per_second: float) -> Mapping[Sender, float]:
     """Return no shares: no instance sends to a server that advertises a rate."""
     return {}
 
@@ -40,7 +40,7 @@
     #: Start of the throttling for which this state is valid, in monotonic seconds.
     began_at: float = NEVER
     #: Requests per second that were divided last, and the share of each sender.
-    divided: float = -1.0
+    divided_rate: float = -1.0
     rate_by_sender: Mapping[Sender, float] = Factory(dict)
 
     def count_sent(self, now: float) -> None:
@@ -54,9 +54,9 @@
 
     word = GuardWord.RATE
 
-    divide: Divide = give_nobody
+    divide: Divide = no_shares
     place: Callable[[], Place | None] = no_place
-    book: RateRegistry = Factory(RateRegistry)
+    registry: RateRegistry = Factory(RateRegistry)
     server_by_id: dict[str, ThrottledServer] = Factory(dict)
 
     def closed(self, now: float) -> list[str]:
@@ -72,10 +72,10 @@
         return [
             server.load.backend_id
             for server, wait_seconds in self._waits(now)
-            if wait_seconds == 0 and now - server.rate.advertised_at >= HEARD_SECONDS
+            if wait_seconds == 0 and now - server.rate.advertised_at >= STALE_SECONDS
         ]
 
-    def unheard(self, now: float) -> list[BackendLoad]:
+    def stale_servers(self, now: float) -> list[BackendLoad]:
         """Return the servers to probe because their throttling may be over.
 
         At a rate of 0.1 requests a second, requests alone would show its end only after
@@ -83,14 +83,14 @@
         """
         return [
             rate.load
-            for rate in self.book.active_rates()
+            for rate in self.registry.active_rates()
             if not rate.are_probes_without_rate
-            and now - rate.advertised_at >= UNHEARD_SECONDS
+            and now - rate.advertised_at >= PROBE_AGE_SECONDS
         ]
 
     def find(self, load: BackendLoad | None, now: float) -> ThrottledServer | None:
         """Return the throttled server of a load; None if it is not throttled."""
-        rate = self.book.find(load)
+        rate = self.registry.find(load)
         return None if rate is None else self._server(rate)
 
     def has_room(self, server: ThrottledServer, now: float) -> bool:
@@ -99,24 +99,24 @@
 
     def carries(self, load: BackendLoad, now: float) -> bool:
         """Return whether a server handles its usual share of the load."""
-        return self.book.find(load) is None
+        return self.registry.find(load) is None
 
     def take_back(self, load: BackendLoad) -> None:
         """Add a server, and restore its rate if the same start of it was removed."""
         self.server_by_id.pop(load.backend_id, None)
-        self.book.restore(load)
+        self.registry.restore(load)
 
     def forget(self, load: BackendLoad) -> None:
         """Remove a server."""
-        self.book.forget(load)
+        self.registry.forget(load)
         self.server_by_id.pop(load.backend_id, None)
 
     def _waits(self, now: float) -> list[tuple[ThrottledServer, float]]:
         """Return the throttled servers, each with the seconds until its next turn."""
-        if not self.book.rate_by_id:
+        if not self.registry.rate_by_id:
             return []
         place = self.place()
-        servers = [self._server(rate) for rate in self.book.active_rates()]
+        servers = [self._server(rate) for rate in self.registry.active_rates()]
         return [(each, self._wait_seconds(each, place, now)) for each in servers]
 
     def _server(self, rate: AdvertisedRate) -> ThrottledServer:
@@ -139,8 +139,8 @@
         already.
         """
         per_second = server.rate.per_second
-        if server.divided != per_second:
-            server.divided = per_second
+        if server.divided_rate != per_second:
+            server.divided_rate = per_second
             server.rate_by_sender = self.divide(server.load, per_second)
         rate = own_rate(server.rate_by_sender, place)
         if rate <= 0 or server.reserved:
--- a/catkinslip/throttling/telling.py
+++ b/catkinslip/throttling/telling.py
@@ -143,7 +143,7 @@
             router = self.directory.find_started(each.backend_id, each.start)
             if router is not None:
                 load = router.load_by_id[each.backend_id]
-                router.throttle.book.apply_peer_report(load, each, now)
+                router.throttle.registry.apply_peer_report(load, each, now)
 
     async def _ask_always(self) -> None:
         while True:
@@ -164,7 +164,7 @@
         old = [
             rate
             for router in self.directory.router_by_service.values()
-            for rate in router.throttle.book.active_rates()
+            for rate in router.throttle.registry.active_rates()
             if now - rate.advertised_at >= DOUBT_AGE_SECONDS
         ]
         some = self.random.sample(old, min(MOST_ASKED, len(old)))
@@ -184,7 +184,7 @@
             router = self.directory.find_started(each.backend_id, each.start)
             if router is None:
                 continue
-            rate = router.throttle.book.rate_by_id.get(each.backend_id)
+            rate = router.throttle.registry.rate_by_id.get(each.backend_id)
             if rate is not None and knows_more(rate, now - each.named_seconds):
                 newer.append(rate)
         asker = self.find_address(str(told['by']))
--- a/tests/test_throttling_book.py
+++ b/tests/test_throttling_book.py
@@ -45,14 +45,14 @@
     """The registry's record of one server."""
 
     def setUp(self):
-        self.book = RateRegistry()
+        self.registry = RateRegistry()
         self.load = BackendLoad('i-1', 'zone-a', 2)
 
     def tell(self, signal, sent_at, now, kind=AnswerKind.ANSWER):
-        self.book.apply_answer(self.load, signal, kind, sent_at, now)
+        self.registry.apply_answer(self.load, signal, kind, sent_at, now)
 
     def per_second(self) -> float | None:
-        rate = self.book.find(self.load)
+        rate = self.registry.find(self.load)
         return None if rate is None else rate.per_second
 
     def test_named_changed_and_ended_by_answers(self):
@@ -101,7 +101,7 @@
         self.tell(RATE, NOW, NOW + 1)
         self.tell(MALFORMED_RATE, NOW + 2, NOW + 3)
         self.assertEqual(self.per_second(), 1.2)
-        self.assertEqual(self.book.events['malformed'], 3)
+        self.assertEqual(self.registry.events['malformed'], 3)
 
     def test_rate_that_changes_with_each_answer_is_told_once_a_second(self):
         with self.assertLogs('throttling', 'INFO') as logs:
@@ -113,12 +113,12 @@
 
     def test_server_whose_entry_is_back_is_still_in_need(self):
         self.tell(RATE, NOW, NOW)
-        self.book.forget(self.load)
-        self.assertEqual(self.book.active_rates(), [])
+        self.registry.forget(self.load)
+        self.assertEqual(self.registry.active_rates(), [])
         self.load = BackendLoad('i-1', 'zone-a', 2)
-        self.book.restore(self.load)
+        self.registry.restore(self.load)
         self.assertEqual(self.per_second(), 1.2)
-        self.assertIs(self.book.find(self.load).load, self.load)
+        self.assertIs(self.registry.find(self.load).load, self.load)
         self.tell(NO_RATE, NOW + 1, NOW + 1.1)
         self.assertIsNone(self.per_second())
 
@@ -126,19 +126,19 @@
         self.tell(RATE, NOW, NOW)
         for is_removed in (True, False):
             if is_removed:
-                self.book.forget(self.load)
+                self.registry.forget(self.load)
             other = BackendLoad('i-1', 'zone-a', 2, incarnation=7)
-            self.book.restore(other)
-            self.assertIsNone(self.book.find(other))
-            self.assertEqual(self.book.removed_by_id, {})
+            self.registry.restore(other)
+            self.assertIsNone(self.registry.find(other))
+            self.assertEqual(self.registry.removed_by_id, {})
             self.tell(RATE, NOW, NOW)
 
     def test_few_of_the_servers_that_are_gone_are_remembered(self):
         for number in range(MAX_REMOVED + 5):
             load = BackendLoad(f'i-{number}', 'zone-a', 2)
-            self.book.apply_answer(load, RATE, AnswerKind.ANSWER, NOW, NOW)
-            self.book.forget(load)
-        self.assertEqual(len(self.book.removed_by_id), MAX_REMOVED)
+            self.registry.apply_answer(load, RATE, AnswerKind.ANSWER, NOW, NOW)
+            self.registry.forget(load)
+        self.assertEqual(len(self.registry.removed_by_id), MAX_REMOVED)
 
 
 if __name__ == '__main__':
--- a/tests/test_throttling_fleet.py
+++ b/tests/test_throttling_fleet.py
@@ -96,7 +96,7 @@
         )
         now = trio.current_time()
         signal = RateSignal(self.per_second)
-        gate.book.apply_answer(load, signal, AnswerKind.ANSWER, now, now)
+        gate.registry.apply_answer(load, signal, AnswerKind.ANSWER, now, now)
         return Sending(table, load, Gates((gate,)))
 
     def tick(self) -> None:
--- a/tests/test_throttling_path.py
+++ b/tests/test_throttling_path.py
@@ -76,7 +76,7 @@
     for entry in platform.entries:
         await wait_for(lambda e=entry: len(e.instances.serving()) == instances - 1)
     first = platform.entries[0]
-    while len(throttle_of(first).book.active_rates()) < len(server_ids):
+    while len(throttle_of(first).registry.active_rates()) < len(server_ids):
         await platform.ask('POST', '/p/x', request_id='first')
 
 
@@ -194,7 +194,7 @@
         gate = ThrottleGate(lambda *_: {SENDER: 1.0})
         gates = Gates((gate,))
         permits = gates.reserve(load, NOW)
-        gate.book.apply_answer(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
+        gate.registry.apply_answer(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
         self.assertFalse(gates.may_send(load, permits, NOW))
         gate.place = lambda: Place(SENDER, is_recent=True)
         self.assertTrue(gates.may_send(load, permits, NOW))
@@ -208,7 +208,9 @@
         gates = Gates((cold, throttle))
         cold.begin(load, 60.0, NOW, 'test')
         self.assertTrue(gates.may_send(load, gates.reserve(load, NOW), NOW))
-        throttle.book.apply_answer(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
+        throttle.registry.apply_answer(
+            load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW
+        )
         throttle.find(load, NOW).count_sent(NOW)
         # A request that one gate refuses is not counted by the other.
         for _ in range(5):
@@ -222,7 +224,7 @@
         router = ServiceRouter(LeastInFlight(Random(1)), throttle=gate)
         router.update(Service(), document, NOW)
         load = router.load_by_id['i-1']
-        gate.book.apply_answer(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
+        gate.registry.apply_answer(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
         self.assertTrue(router.gates.may_send(load, router.reserve('i-1', NOW), NOW))
         router.update(Service(), {}, NOW)
         self.assertEqual(gate.closed(NOW), [])
@@ -239,7 +241,7 @@
         backend = Backend('one', zone='zone-a', host='10.0.0.1', port=80)
         router.update(Service(), {'i-1': backend}, NOW)
         load = router.load_by_id['i-1']
-        gate.book.apply_answer(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
+        gate.registry.apply_answer(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
         self.assertEqual(choose(router, is_suspect=False).backend_id, 'i-1')
         self.assertIsNone(choose(router, is_suspect=True))
 
@@ -247,7 +249,7 @@
         load = BackendLoad('i-1', 'zone-a', 2)
         gate = sender_gate(0.5)
         load.note_sent(NOW - 0.5)
-        gate.book.apply_answer(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
+        gate.registry.apply_answer(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
         self.assertEqual(gate.closed(NOW + 1.4), ['i-1'])
         self.assertEqual(gate.closed(NOW + 1.5), [])
 
@@ -258,8 +260,10 @@
     def test_instances_that_sent_nothing_know_and_hear_of_the_end(self):
         async def check(platform):
             await in_need(platform, ('i-1',), instances=3)
-            books = [throttle_of(entry).book for entry in platform.entries]
-            await wait_for(lambda: all(book.active_rates() for book in books))
+            registries = [throttle_of(entry).registry for entry in platform.entries]
+            await wait_for(
+                lambda: all(registry.active_rates() for registry in registries)
+            )
             platform.worker_by_id['i-1'].named_rate = None
             # A refused call makes the instance probe the server; no request is sent for
             # it.
@@ -267,7 +271,9 @@
             before = len(platform.worker_by_id['i-1'].arrived_at)
             answer = await platform.ask('POST', '/p/x', entry=2, request_id='r2')
             self.assertEqual(answer.status_code, 503)
-            await wait_for(lambda: not any(book.active_rates() for book in books))
+            await wait_for(
+                lambda: not any(registry.active_rates() for registry in registries)
+            )
             self.assertEqual(len(platform.worker_by_id['i-1'].arrived_at), before)
 
         on_platform(check)
@@ -277,15 +283,15 @@
             await in_need(platform, ('i-1',))
             worker = platform.worker_by_id['i-1']
             worker.is_rate_everywhere = False
-            book = throttle_of(platform.entries[0]).book
-            book.rate_by_id['i-1'].kinds.clear()
+            registry = throttle_of(platform.entries[0]).registry
+            registry.rate_by_id['i-1'].kinds.clear()
             await trio.sleep(0.6)
             before = worker.probes
             for number in range(5):
                 await platform.ask('POST', '/p/x', request_id=f'r{number}')
                 await trio.sleep(0.1)
             self.assertEqual(worker.probes, before + 1)
-            self.assertTrue(book.active_rates())
+            self.assertTrue(registry.active_rates())
 
         on_platform(check)
 
@@ -297,14 +303,14 @@
             await trio.sleep(0.1)
             answer = await platform.ask('POST', '/p/x', request_id='r2')
             self.assertEqual(answer.status_code, 500)
-            self.assertTrue(throttle_of(entry).book.active_rates())
+            self.assertTrue(throttle_of(entry).registry.active_rates())
 
         on_platform(check)
 
     def test_who_missed_the_end_asks(self):
         async def check(platform):
             await in_need(platform, ('i-1',), instances=2)
-            first, second = (throttle_of(e).book for e in platform.entries)
+            first, second = (throttle_of(e).registry for e in platform.entries)
             await wait_for(second.active_rates)
             await trio.sleep(0.5)
             rate = first.rate_by_id['i-1']
@@ -320,10 +326,10 @@
         async def check(platform):
             await in_need(platform, ('i-1',))
             sharer = platform.entries[0].sharer
-            book = throttle_of(platform.entries[0]).book
+            registry = throttle_of(platform.entries[0]).registry
             other = [['i-1', 7, 9.0, 0, None, 0]]
             sharer.take(orjson.dumps({'rates': other, 'by': 'edge-9'}))
-            self.assertEqual(book.rate_by_id['i-1'].per_second, 0.1)
+            self.assertEqual(registry.rate_by_id['i-1'].per_second, 0.1)
             for wrong in (
                 {'rates': other},
                 {'rates': [['i-1', 0, -1.0, 0, None, 0]], 'by': 'x'},
@@ -337,7 +343,7 @@
                 before = sharer.malformed
                 sharer.take(orjson.dumps(wrong))
                 self.assertEqual(sharer.malformed, before + 1, wrong)
-            self.assertEqual(book.rate_by_id['i-1'].per_second, 0.1)
+            self.assertEqual(registry.rate_by_id['i-1'].per_second, 0.1)
 
         on_platform(check)
 
@@ -370,12 +376,12 @@
         for order in ((named, ended, again), (again, named, ended), (ended, again)):
             gate = ThrottleGate()
             for told in (*order, *order):
-                gate.book.apply_peer_report(load, told, NOW)
-            self.assertEqual(gate.book.find(load).per_second, 1.0)
+                gate.registry.apply_peer_report(load, told, NOW)
+            self.assertEqual(gate.registry.find(load).per_second, 1.0)
         gate = ThrottleGate()
         for told in (ended, named, ended):
-            gate.book.apply_peer_report(load, told, NOW)
-        self.assertIsNone(gate.book.find(load))
+            gate.registry.apply_peer_report(load, told, NOW)
+        self.assertIsNone(gate.registry.find(load))
 
 
 if __name__ == '__main__':
