--- a/benchmarks/overload_instances.py
+++ b/benchmarks/overload_instances.py
@@ -39,7 +39,7 @@
 from catkinslip.throttling.book import AdvertisedRate
 from catkinslip.throttling.messages import RateReport
 from catkinslip.throttling.signs import AnswerKind
-from catkinslip.throttling.telling import REFRESH_SECONDS, told_of
+from catkinslip.throttling.telling import REFRESH_SECONDS, report_of
 from catkinslip.warmup.senders import Place
 
 if TYPE_CHECKING:
@@ -356,7 +356,7 @@
         rate.gossiped_at = now
         for other in self.world.instances:
             if other is not self:
-                told = (service, told_of(rate, now))
+                told = (service, report_of(rate, now))
                 delay = self.world.hop(self.zone, other.zone)
                 self.world.after(delay, other.hear_rate, told)
 
--- a/catkinslip/throttling/book.py
+++ b/catkinslip/throttling/book.py
@@ -116,7 +116,7 @@
         """Apply a rate that another instance reports."""
         rate = self._find_or_add(load)
         was_active = rate.is_active
-        advertised_at = now - report.named_seconds
+        advertised_at = now - report.advertised_seconds
         if advertised_at > rate.advertised_at:
             rate.advertised_at = advertised_at
             rate.per_second = report.per_second
--- a/catkinslip/throttling/gate.py
+++ b/catkinslip/throttling/gate.py
@@ -8,7 +8,7 @@
 from catkinslip.routing.base import NEVER, BackendLoad
 from catkinslip.routing.gates import Gate, GuardedServer, GuardWord
 from catkinslip.throttling.book import AdvertisedRate, RateRegistry
-from catkinslip.throttling.shares import own_rate
+from catkinslip.throttling.shares import local_rate
 from catkinslip.warmup.quotas import Sender
 from catkinslip.warmup.senders import Place
 
@@ -142,7 +142,7 @@
         if server.divided_rate != per_second:
             server.divided_rate = per_second
             server.rate_by_sender = self.divide(server.load, per_second)
-        rate = own_rate(server.rate_by_sender, place)
+        rate = local_rate(server.rate_by_sender, place)
         if rate <= 0 or server.reserved:
             return inf
         return max(0.0, server.rate.sent_at + 1 / rate - now)
--- a/catkinslip/throttling/messages.py
+++ b/catkinslip/throttling/messages.py
@@ -6,7 +6,7 @@
 
 from attrs import frozen
 
-MOST_AGE_SECONDS = 86_400.0
+MAX_AGE_SECONDS = 86_400.0
 
 
 @frozen
@@ -18,7 +18,7 @@
     start: int
     per_second: float
     #: Age of the newest answer that advertises the rate.
-    named_seconds: float
+    advertised_seconds: float
     #: Age of the newest request whose answer advertises no rate; None if there is none.
     cleared_seconds: float | None
     #: Whether answers to probes advertise the rate too.
@@ -32,7 +32,7 @@
 
     backend_id: str
     start: int
-    named_seconds: float
+    advertised_seconds: float
 
 
 def rates_to_plain(rates: Iterable[RateReport]) -> list[Any]:
@@ -42,7 +42,7 @@
             each.backend_id,
             each.start,
             each.per_second,
-            to_ms(each.named_seconds),
+            to_ms(each.advertised_seconds),
             None if each.cleared_seconds is None else to_ms(each.cleared_seconds),
             int(each.is_in_probes),
         ]
@@ -55,30 +55,32 @@
 
     Raises KeyError, TypeError or ValueError for anything else.
     """
-    for backend_id, start, per_second, named_ms, cleared_ms, is_in_probes in plain:
+    for backend_id, start, per_second, advertised_ms, cleared_ms, is_in_probes in plain:
         yield RateReport(
             str(backend_id),
             int(start),
-            to_amount(per_second),
-            to_amount(named_ms) / 1e3,
-            None if cleared_ms is None else to_amount(cleared_ms) / 1e3,
+            to_non_negative(per_second),
+            to_non_negative(advertised_ms) / 1e3,
+            None if cleared_ms is None else to_non_negative(cleared_ms) / 1e3,
             bool(is_in_probes),
             by,
         )
 
 
-def doubts_to_plain(doubts: Iterable[RateQuery]) -> list[Any]:
+def queries_to_plain(queries: Iterable[RateQuery]) -> list[Any]:
     """Return queries as plain data; ages in milliseconds."""
-    return [[it.backend_id, it.start, to_ms(it.named_seconds)] for it in doubts]
+    return [[it.backend_id, it.start, to_ms(it.advertised_seconds)] for it in queries]
 
 
-def doubts_from_plain(plain: Any) -> Iterator[RateQuery]:
+def queries_from_plain(plain: Any) -> Iterator[RateQuery]:
     """Read queries from plain data.
 
     Raises KeyError, TypeError or ValueError for anything else.
     """
-    for backend_id, start, named_ms in plain:
-        yield RateQuery(str(backend_id), int(start), to_amount(named_ms) / 1e3)
+    for backend_id, start, advertised_ms in plain:
+        yield RateQuery(
+            str(backend_id), int(start), to_non_negative(advertised_ms) / 1e3
+        )
 
 
 def to_ms(seconds: float) -> int:
@@ -86,10 +88,10 @@
 
     An event that never occurred has the age of one day.
     """
-    return round(min(max(0.0, seconds), MOST_AGE_SECONDS) * 1e3)
+    return round(min(max(0.0, seconds), MAX_AGE_SECONDS) * 1e3)
 
 
-def to_amount(value: Any) -> float:
+def to_non_negative(value: Any) -> float:
     """Return a number that is finite and not negative; raise ValueError for others."""
     amount = float(value)
     if not 0 <= amount < inf:
--- a/catkinslip/throttling/shares.py
+++ b/catkinslip/throttling/shares.py
@@ -24,11 +24,11 @@
 
 #: Requests per second that are sent to a server that advertises less, or zero, in order
 #: to detect the end of its throttling.
-LEAST_PER_SECOND = 0.1
+MIN_PER_SECOND = 0.1
 #: Requests per second for each of which the senders of one more zone may send.
-PER_SECOND_AND_ZONE = 4.0
+PER_SECOND_PER_ZONE = 4.0
 #: Share of its rate at which an instance sends that may have lost its place.
-OLD_PLACE_SHARE = 0.25
+STALE_PLACE_SHARE = 0.25
 
 
 def sending_zones(
@@ -38,7 +38,7 @@
     others = [each for each in zones if each != zone]
     others.sort(key=lambda each: weight(backend_id, each))
     ordered = [zone, *others] if zone in zones or not others else others
-    count = min(len(ordered), 1 + int(per_second / PER_SECOND_AND_ZONE))
+    count = min(len(ordered), 1 + int(per_second / PER_SECOND_PER_ZONE))
     return ordered[:count]
 
 
@@ -50,15 +50,15 @@
     Both senders of a zone get the same rate, as both may assume that they are the
     second.
     """
-    used = max(per_second, LEAST_PER_SECOND)
+    used = max(per_second, MIN_PER_SECOND)
     sending = sending_zones(used, backend_id, zone, zones)
     senders = [Sender(each, n) for each in sending for n in range(SENDERS_PER_ZONE)]
     return dict.fromkeys(senders, used / max(1, len(senders)))
 
 
-def own_rate(rate_by_sender: dict[Sender, float], place: Place | None) -> float:
+def local_rate(rate_by_sender: dict[Sender, float], place: Place | None) -> float:
     """Return the requests per second for an instance's place; 0 without a place."""
     if place is None:
         return 0.0
     rate = rate_by_sender.get(place.sender, 0.0)
-    return rate if place.is_recent else rate * OLD_PLACE_SHARE
+    return rate if place.is_recent else rate * STALE_PLACE_SHARE
--- a/catkinslip/throttling/telling.py
+++ b/catkinslip/throttling/telling.py
@@ -25,32 +25,32 @@
 from catkinslip.throttling.messages import (
     RateQuery,
     RateReport,
-    doubts_from_plain,
-    doubts_to_plain,
+    queries_from_plain,
+    queries_to_plain,
     rates_from_plain,
     rates_to_plain,
 )
 from catkinslip.throttling.signs import AnswerKind
 
 #: Maximum number of rates in one datagram; each takes some 45 bytes.
-MOST_TOLD = 28
+MAX_RATES = 28
 #: Seconds that updates are collected before a datagram is sent.
 FLUSH_SECONDS = 0.02
 REPEAT_SECONDS = 0.1
 #: Seconds between two datagrams about an unchanged rate while answers arrive, and
 #: seconds after the end of throttling during which the end is repeated.
 REFRESH_SECONDS = 1.0
-END_TOLD_SECONDS = 10.0
+END_REFRESH_SECONDS = 10.0
 #: Age in seconds from which a rate is queried, seconds between two queries, and the
 #: number of instances that each query goes to.
-DOUBT_AGE_SECONDS = 2.5
-DOUBT_SECONDS = 1.0
-ASKED = 2
+QUERY_AGE_SECONDS = 2.5
+QUERY_SECONDS = 1.0
+QUERY_FANOUT = 2
 #: Maximum number of servers in one query: half of what fits into a datagram, as names
 #: may be long.
-MOST_ASKED = 14
+MAX_QUERIES = 14
 #: Seconds by which evidence must be newer than a query's to be sent as its reply.
-NEWER_SECONDS = 0.05
+MIN_NEWER_SECONDS = 0.05
 
 Post = Callable[[bytes, list[Address]], None]
 
@@ -68,35 +68,35 @@
     find_address: Callable[[str], Address | None]
     post: Post
     #: Rates that wait to be sent, each with whether it changed.
-    news_by_id: dict[str, tuple[AdvertisedRate, bool]] = Factory(dict)
-    has_news: trio.Event = Factory(trio.Event)
+    pending_by_id: dict[str, tuple[AdvertisedRate, bool]] = Factory(dict)
+    has_updates: trio.Event = Factory(trio.Event)
 
-    def saw(self, rate: AdvertisedRate, is_change: bool) -> None:
+    def record_observation(self, rate: AdvertisedRate, is_change: bool) -> None:
         """Schedule gossip about a rate that an answer to this instance carried."""
         now = self.clock.monotonic()
         if not is_change and not self._is_refresh_due(rate, now):
             return
         rate.gossiped_at = now
         backend_id = rate.load.backend_id
-        _, was_change = self.news_by_id.get(backend_id, (rate, False))
-        self.news_by_id[backend_id] = (rate, is_change or was_change)
+        _, was_change = self.pending_by_id.get(backend_id, (rate, False))
+        self.pending_by_id[backend_id] = (rate, is_change or was_change)
         if is_change:
-            self.has_news.set()
+            self.has_updates.set()
 
     def _is_refresh_due(self, rate: AdvertisedRate, now: float) -> bool:
         if now - rate.gossiped_at < REFRESH_SECONDS:
             return False
-        return rate.is_active or now - rate.advertised_at < END_TOLD_SECONDS
+        return rate.is_active or now - rate.advertised_at < END_REFRESH_SECONDS
 
     async def run(self) -> None:
         """Send updates and queries until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._ask_always)
+            nursery.start_soon(self._query_periodically)
             while True:
-                await self.has_news.wait()
+                await self.has_updates.wait()
                 await trio.sleep(FLUSH_SECONDS)
-                rates, is_change = self._take_news()
-                self._tell(rates, self.targets())
+                rates, is_change = self._pop_updates()
+                self._send(rates, self.targets())
                 if is_change:
                     nursery.start_soon(self._repeat, rates)
 
@@ -104,34 +104,34 @@
         await trio.sleep(REPEAT_SECONDS)
         # The ages are computed again: with those of the first datagram, the evidence
         # would look newer than it is.
-        self._tell(rates, self.targets())
+        self._send(rates, self.targets())
 
-    def _tell(self, rates: list[AdvertisedRate], addresses: list[Address]) -> None:
+    def _send(self, rates: list[AdvertisedRate], addresses: list[Address]) -> None:
         """Send some rates in one datagram, or in several where the names are long."""
         data = self.encode(rates)
         if len(data) <= MAX_DATAGRAM_BYTES or len(rates) == 1:
             self.post(data, addresses)
             return
         half = len(rates) // 2
-        self._tell(rates[:half], addresses)
-        self._tell(rates[half:], addresses)
+        self._send(rates[:half], addresses)
+        self._send(rates[half:], addresses)
 
-    def _take_news(self) -> tuple[list[AdvertisedRate], bool]:
+    def _pop_updates(self) -> tuple[list[AdvertisedRate], bool]:
         """Remove and return the next rates to send, and whether one of them changed."""
-        taken = list(self.news_by_id)[:MOST_TOLD]
-        told = [self.news_by_id.pop(backend_id) for backend_id in taken]
-        if not self.news_by_id:
-            self.has_news = trio.Event()
+        taken = list(self.pending_by_id)[:MAX_RATES]
+        told = [self.pending_by_id.pop(backend_id) for backend_id in taken]
+        if not self.pending_by_id:
+            self.has_updates = trio.Event()
         is_change = any(is_change for _, is_change in told)
         return [rate for rate, _ in told], is_change
 
     def encode(self, rates: list[AdvertisedRate]) -> bytes:
         """Return a datagram with some rates."""
         now = self.clock.monotonic()
-        told = [told_of(rate, now) for rate in rates]
+        told = [report_of(rate, now) for rate in rates]
         return orjson.dumps({'rates': rates_to_plain(told), 'by': self.own_id})
 
-    def take_rates(self, told: dict) -> None:
+    def receive_rates(self, told: dict) -> None:
         """Apply the rates in a datagram from another instance.
 
         Raises KeyError, TypeError or ValueError for anything else. The rates are not
@@ -145,59 +145,59 @@
                 load = router.load_by_id[each.backend_id]
                 router.throttle.registry.apply_peer_report(load, each, now)
 
-    async def _ask_always(self) -> None:
+    async def _query_periodically(self) -> None:
         while True:
-            await trio.sleep(DOUBT_SECONDS * self.random.uniform(0.8, 1.2))
-            if self.news_by_id:
+            await trio.sleep(QUERY_SECONDS * self.random.uniform(0.8, 1.2))
+            if self.pending_by_id:
                 # Unchanged rates are sent together, once per interval.
-                self.has_news.set()
-            doubts = self.doubts()
+                self.has_updates.set()
+            queries = self.queries()
             targets = self.targets()
-            if doubts and targets:
-                asked = self.random.sample(targets, min(ASKED, len(targets)))
-                data = {'doubts': doubts_to_plain(doubts), 'by': self.own_id}
-                self.post(orjson.dumps(data), asked)
+            if queries and targets:
+                chosen = self.random.sample(targets, min(QUERY_FANOUT, len(targets)))
+                data = {'doubts': queries_to_plain(queries), 'by': self.own_id}
+                self.post(orjson.dumps(data), chosen)
 
-    def doubts(self) -> list[RateQuery]:
+    def queries(self) -> list[RateQuery]:
         """Return queries about some of the servers whose advertised rate is stale."""
         now = self.clock.monotonic()
-        old = [
+        stale = [
             rate
             for router in self.directory.router_by_service.values()
             for rate in router.throttle.registry.active_rates()
-            if now - rate.advertised_at >= DOUBT_AGE_SECONDS
+            if now - rate.advertised_at >= QUERY_AGE_SECONDS
         ]
-        some = self.random.sample(old, min(MOST_ASKED, len(old)))
+        sample = self.random.sample(stale, min(MAX_QUERIES, len(stale)))
         return [
             RateQuery(it.load.backend_id, it.load.start_tag, now - it.advertised_at)
-            for it in some
+            for it in sample
         ]
 
-    def take_doubts(self, told: dict) -> None:
+    def receive_queries(self, told: dict) -> None:
         """Reply to a query with the rates of which this instance has newer evidence.
 
         Raises KeyError, TypeError or ValueError for anything that is not a query.
         """
         now = self.clock.monotonic()
         newer = []
-        for each in doubts_from_plain(told['doubts']):
+        for each in queries_from_plain(told['doubts']):
             router = self.directory.find_started(each.backend_id, each.start)
             if router is None:
                 continue
             rate = router.throttle.registry.rate_by_id.get(each.backend_id)
-            if rate is not None and knows_more(rate, now - each.named_seconds):
+            if rate is not None and is_newer(rate, now - each.advertised_seconds):
                 newer.append(rate)
-        asker = self.find_address(str(told['by']))
-        if newer and asker is not None:
-            self._tell(newer, [asker])
+        requester = self.find_address(str(told['by']))
+        if newer and requester is not None:
+            self._send(newer, [requester])
 
 
-def knows_more(rate: AdvertisedRate, advertised_at: float) -> bool:
+def is_newer(rate: AdvertisedRate, advertised_at: float) -> bool:
     """Return whether the evidence on a rate is newer than a time, by a margin."""
-    return max(rate.advertised_at, rate.cleared_at) > advertised_at + NEWER_SECONDS
+    return max(rate.advertised_at, rate.cleared_at) > advertised_at + MIN_NEWER_SECONDS
 
 
-def told_of(rate: AdvertisedRate, now: float) -> RateReport:
+def report_of(rate: AdvertisedRate, now: float) -> RateReport:
     """Return the report on a rate for other instances."""
     cleared = None if rate.cleared_at == NEVER else now - rate.cleared_at
     load = rate.load
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -244,11 +244,11 @@
         instances.report_address,
         sharer.post,
     )
-    directory.on_rate_seen = rate_teller.saw
+    directory.on_rate_seen = rate_teller.record_observation
     sharer.take_by_topic = {
         'ends': teller.take,
-        'rates': rate_teller.take_rates,
-        'doubts': rate_teller.take_doubts,
+        'rates': rate_teller.receive_rates,
+        'doubts': rate_teller.receive_queries,
     }
     health = make_tracker(
         directory, clock, random, max_instances=1, counts_closes=False
--- a/tests/test_throttling_path.py
+++ b/tests/test_throttling_path.py
@@ -27,7 +27,7 @@
 from catkinslip.throttling.gate import ThrottleGate
 from catkinslip.throttling.messages import RateReport
 from catkinslip.throttling.signs import NO_RATE, AnswerKind, RateSignal
-from catkinslip.throttling.telling import MOST_TOLD, RateGossip
+from catkinslip.throttling.telling import MAX_RATES, RateGossip
 from catkinslip.warmup.gate import ColdGate
 from catkinslip.warmup.quotas import Sender
 from catkinslip.warmup.senders import Place
@@ -349,7 +349,7 @@
 
     def test_rates_of_servers_with_long_names_fit_into_datagrams(self):
         sent = []
-        teller = RateGossip(
+        gossip = RateGossip(
             'edge-1',
             Directory(LeastInFlight),
             SimpleNamespace(monotonic=lambda: NOW),
@@ -358,20 +358,20 @@
             find_address=lambda _: None,
             post=lambda data, _: sent.append(data),
         )
-        names = [f'server-{number:02}-{"x" * 80}' for number in range(MOST_TOLD)]
+        names = [f'server-{number:02}-{"x" * 80}' for number in range(MAX_RATES)]
         rates = [
             AdvertisedRate(BackendLoad(name, 'zone-a', 2), 1.2, advertised_at=NOW - 1)
             for name in names
         ]
-        teller._tell(rates, [])
+        gossip._send(rates, [])
         self.assertLessEqual(max(map(len, sent)), MAX_DATAGRAM_BYTES)
         told = [each[0] for data in sent for each in orjson.loads(data)['rates']]
         self.assertEqual(told, names)
 
     def test_news_in_any_order_and_twice_is_the_same(self):
-        named = RateReport('i-1', 0, 2.0, named_seconds=3.0, cleared_seconds=None)
-        ended = RateReport('i-1', 0, 2.0, named_seconds=3.0, cleared_seconds=1.0)
-        again = RateReport('i-1', 0, 1.0, named_seconds=0.5, cleared_seconds=1.0)
+        named = RateReport('i-1', 0, 2.0, advertised_seconds=3.0, cleared_seconds=None)
+        ended = RateReport('i-1', 0, 2.0, advertised_seconds=3.0, cleared_seconds=1.0)
+        again = RateReport('i-1', 0, 1.0, advertised_seconds=0.5, cleared_seconds=1.0)
         load = BackendLoad('i-1', 'zone-a', 2)
         for order in ((named, ended, again), (again, named, ended), (ended, again)):
             gate = ThrottleGate()
