--- a/catkinslip/throttling/telling.py
+++ b/catkinslip/throttling/telling.py
@@ -119,19 +119,19 @@
     def _pop_updates(self) -> tuple[list[AdvertisedRate], bool]:
         """Remove and return the next rates to send, and whether one of them changed."""
         taken = list(self.pending_by_id)[:MAX_RATES]
-        told = [self.pending_by_id.pop(backend_id) for backend_id in taken]
+        updates = [self.pending_by_id.pop(backend_id) for backend_id in taken]
         if not self.pending_by_id:
             self.has_updates = trio.Event()
-        is_change = any(is_change for _, is_change in told)
-        return [rate for rate, _ in told], is_change
+        is_change = any(is_change for _, is_change in updates)
+        return [rate for rate, _ in updates], is_change
 
     def encode(self, rates: list[AdvertisedRate]) -> bytes:
         """Return a datagram with some rates."""
         now = self.clock.monotonic()
-        told = [report_of(rate, now) for rate in rates]
-        return orjson.dumps({'rates': rates_to_plain(told), 'by': self.own_id})
+        reports = [report_of(rate, now) for rate in rates]
+        return orjson.dumps({'rates': rates_to_plain(reports), 'by': self.own_id})
 
-    def receive_rates(self, told: dict) -> None:
+    def receive_rates(self, message: dict) -> None:
         """Apply the rates in a datagram from another instance.
 
         Raises KeyError, TypeError or ValueError for anything else. The rates are not
@@ -139,7 +139,7 @@
         instances.
         """
         now = self.clock.monotonic()
-        for each in rates_from_plain(told['rates'], str(told['by'])):
+        for each in rates_from_plain(message['rates'], str(message['by'])):
             router = self.directory.find_started(each.backend_id, each.start)
             if router is not None:
                 load = router.load_by_id[each.backend_id]
@@ -173,21 +173,21 @@
             for it in sample
         ]
 
-    def receive_queries(self, told: dict) -> None:
+    def receive_queries(self, message: dict) -> None:
         """Reply to a query with the rates of which this instance has newer evidence.
 
         Raises KeyError, TypeError or ValueError for anything that is not a query.
         """
         now = self.clock.monotonic()
         newer = []
-        for each in queries_from_plain(told['doubts']):
+        for each in queries_from_plain(message['doubts']):
             router = self.directory.find_started(each.backend_id, each.start)
             if router is None:
                 continue
             rate = router.throttle.registry.rate_by_id.get(each.backend_id)
             if rate is not None and is_newer(rate, now - each.advertised_seconds):
                 newer.append(rate)
-        requester = self.find_address(str(told['by']))
+        requester = self.find_address(str(message['by']))
         if newer and requester is not None:
             self._send(newer, [requester])
 
--- a/catkinslip/warmup/gate.py
+++ b/catkinslip/warmup/gate.py
@@ -24,7 +24,7 @@
     return None
 
 
-def no_shares(load: BackendLoad, bound: float) -> Mapping[Sender, int]:
+def give_nobody(load: BackendLoad, bound: float) -> Mapping[Sender, int]:
     """Let nobody send to a cold server."""
     return {}
 
@@ -55,7 +55,7 @@
 
     word = GuardWord.COLD
 
-    divide: Divide = no_shares
+    divide: Divide = give_nobody
     sender: Callable[[], Sender | None] = no_sender
     #: How long a server is cold after its start, where it does not tell.
     start_seconds: float = 0.0
