--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -22,7 +22,7 @@
 from benchmarks.policy_world import Request, Scenario, build_world
 from catkinslip.limits.admission import SharedLimit
 from catkinslip.limits.base import Admission, LimitSettings
-from catkinslip.limits.service import LimitBook, ServiceLimits
+from catkinslip.limits.service import LimitRegistry, ServiceLimits
 from catkinslip.routing.delay import ExpectedDelay
 from catkinslip.routing.policies import TwoChoices
 
@@ -187,7 +187,7 @@
 
 def make_instance(arm: Arm, instances: int, *given) -> LimitedInstance:
     """Return an instance with the limits of an arm."""
-    book = LimitBook(arm.settings, lambda _: instances)
+    book = LimitRegistry(arm.settings, lambda _: instances)
     instance = LimitedInstance(
         *given, book=book, ignores_deadlines=arm.ignores_deadlines
     )
--- a/benchmarks/limits_world.py
+++ b/benchmarks/limits_world.py
@@ -8,7 +8,7 @@
 from catkinslip.limits.base import Admission
 from catkinslip.limits.load import ServiceLoad
 from catkinslip.limits.plan import CallPlan, Step
-from catkinslip.limits.service import LimitBook
+from catkinslip.limits.service import LimitRegistry
 from catkinslip.proxy.outcomes import NotRun, Reason
 from catkinslip.routing.base import AttemptResult, ResultKind
 
@@ -40,7 +40,7 @@
     Workers that ignore deadlines neither check nor hear of a cancelled request.
     """
 
-    book: LimitBook | None = None
+    book: LimitRegistry | None = None
     ignores_deadlines: bool = False
 
     def arrive(self, request: Request) -> None:
--- a/benchmarks/overload_instances.py
+++ b/benchmarks/overload_instances.py
@@ -301,7 +301,10 @@
 
     def may_send_again(self, desk: Desk, call: Call) -> bool:
         """Take a token for a second send; tell whether there was one."""
-        if len(call.tried) >= call.request.kind.max_attempts or not desk.budget.has():
+        if (
+            len(call.tried) >= call.request.kind.max_attempts
+            or not desk.budget.has_token()
+        ):
             return False
         desk.budget.take()
         return True
--- a/catkinslip/admission/spent.py
+++ b/catkinslip/admission/spent.py
@@ -19,7 +19,7 @@
 #: Number of requests of a route that are remembered; some seconds of a busy route.
 WINDOW = 64
 #: Minimum number of requests of a route before its callers' patience is estimated.
-LEAST_SAMPLES = 3
+MIN_SAMPLES = 3
 #: Share of the requests that is left out at either end, so that a few callers with
 #: absurd times change nothing.
 OUTLIER_SHARE = 0.05
@@ -101,7 +101,7 @@
         if patience is None:
             patience = self._begin(route, target)
         patience.add(given)
-        if len(patience.given) < LEAST_SAMPLES:
+        if len(patience.given) < MIN_SAMPLES:
             return 0.0
         is_calm = now - self.turned_away_at > CALM_SECONDS
         patience.learn_spread(SPREAD_WEIGHT if is_calm else CROWD_WEIGHT)
--- a/catkinslip/limits/admission.py
+++ b/catkinslip/limits/admission.py
@@ -23,7 +23,7 @@
 
     def refuse(self, load: ServiceLoad, time_left: float) -> NotRun | None:
         """Return the refusal of a call; None admits the call."""
-        if load.in_flight < own_share(load, self.queue_depth):
+        if load.in_flight < local_share(load, self.queue_depth):
             return None
         if load.total < load.slots * self.queue_depth:
             return None
@@ -52,7 +52,7 @@
         return NotRun(Reason.DEADLINE_UNMET, detail, retry_after=retry_after(load))
 
 
-def own_share(load: ServiceLoad, queue_depth: float) -> float:
+def local_share(load: ServiceLoad, queue_depth: float) -> float:
     """Return how many requests in flight this instance may always have."""
     return max(1.0, load.slots * queue_depth / load.instances)
 
--- a/catkinslip/limits/budget.py
+++ b/catkinslip/limits/budget.py
@@ -3,7 +3,7 @@
 from attrs import define
 
 TOKEN_TOLERANCE = 1e-9
-START_SHARE = 0.5
+INITIAL_SHARE = 0.5
 
 
 @define
@@ -28,7 +28,7 @@
         """
         if not self.has_started:
             self.has_started = True
-            self.tokens = reserve * START_SHARE
+            self.tokens = reserve * INITIAL_SHARE
         self.reserve = reserve
         self.tokens = min(self.tokens, reserve)
 
@@ -36,9 +36,9 @@
         """Add the share of a token that one call earns."""
         self.tokens = min(self.reserve, self.tokens + self.share)
 
-    def has(self, kept: float = 0.0) -> bool:
+    def has_token(self, reserved: float = 0.0) -> bool:
         """Return whether a token can be taken while some tokens stay reserved."""
-        return self.tokens - kept >= 1 - TOKEN_TOLERANCE
+        return self.tokens - reserved >= 1 - TOKEN_TOLERANCE
 
     def take(self) -> None:
         """Remove one token."""
--- a/catkinslip/limits/latency.py
+++ b/catkinslip/limits/latency.py
@@ -7,7 +7,7 @@
 DIGITS = 1
 WINDOW_SECONDS = 5.0
 REFRESH_SECONDS = 0.25
-LEAST_SAMPLES = 100
+MIN_SAMPLES = 100
 
 
 def new_histogram() -> HdrHistogram:
@@ -43,8 +43,8 @@
             self.rotated_at = now
             self.current, self.previous = self.previous, self.current
             self.current.reset()
-        fuller = max(self.current, self.previous, key=HdrHistogram.get_total_count)
-        if fuller.get_total_count() < LEAST_SAMPLES:
+        larger = max(self.current, self.previous, key=HdrHistogram.get_total_count)
+        if larger.get_total_count() < MIN_SAMPLES:
             self.value = None
             return
-        self.value = fuller.get_value_at_percentile(self.percentile) / 1e6
+        self.value = larger.get_value_at_percentile(self.percentile) / 1e6
--- a/catkinslip/limits/load.py
+++ b/catkinslip/limits/load.py
@@ -10,7 +10,7 @@
 REFUSED_WEIGHT = 0.01
 # At 1, instances that count an overfull server as just full admit too much; see
 # LIMITS.md.
-LONGEST_QUEUE_FACTOR = 1.5
+MAX_QUEUE_FACTOR = 1.5
 REPORT_LIFETIME_SECONDS = 1.0
 
 
@@ -18,7 +18,7 @@
 class BackendCount:
     """The requests at one backend server: of this instance, and in all (estimated)."""
 
-    own: int = 0
+    local: int = 0
     estimate: float = 0.0
     counted: float = 0.0
     reported_at: float = 0.0
@@ -31,7 +31,7 @@
     slots_per_backend: int = 1
     backends: int = 0
     instances: int = 1
-    full: float = math.inf
+    max_counted: float = math.inf
     in_flight: int = 0
     reported: float = 0.0
     service_time: float = 0.0
@@ -70,31 +70,31 @@
         self.slots_per_backend = slots_per_backend
         self.backends = backends
         self.instances = max(1, instances)
-        self.full = slots_per_backend * queue_depth * LONGEST_QUEUE_FACTOR
+        self.max_counted = slots_per_backend * queue_depth * MAX_QUEUE_FACTOR
 
-    def decided(self, refused: bool) -> None:
+    def record_decision(self, refused: bool) -> None:
         """Count a call that was admitted or refused."""
         self.refused_share += (refused - self.refused_share) * REFUSED_WEIGHT
 
     def started(self, backend_id: str) -> None:
         """Count a request sent to a backend server."""
         count = self.count_by_id.setdefault(backend_id, BackendCount())
-        count.own += 1
+        count.local += 1
         self.in_flight += 1
         self._estimate(count, count.estimate + 1)
 
     def ended(self, backend_id: str, report: LoadReport | None, now: float) -> None:
         """Count a request that ended, and apply the load report of its answer."""
         count = self.count_by_id[backend_id]
-        count.own -= 1
+        count.local -= 1
         self.in_flight -= 1
         if report is None:
-            self._estimate(count, max(count.estimate - 1, count.own))
+            self._estimate(count, max(count.estimate - 1, count.local))
         else:
             count.reported_at = now
-            self._estimate(count, max(report.in_flight, count.own))
+            self._estimate(count, max(report.in_flight, count.local))
 
-    def learn_service_time(self, backend_id: str, latency: float) -> None:
+    def update_service_time(self, backend_id: str, latency: float) -> None:
         """Update the mean time in a slot from an answer's latency.
 
         The latency is divided by the estimated queue at the backend server.
@@ -111,12 +111,12 @@
         self.swept_at = now
         for backend_id, count in list(self.count_by_id.items()):
             if now - count.reported_at >= REPORT_LIFETIME_SECONDS:
-                self._estimate(count, count.own)
-            if not count.own and not count.estimate:
+                self._estimate(count, count.local)
+            if not count.local and not count.estimate:
                 del self.count_by_id[backend_id]
 
     def _estimate(self, count: BackendCount, value: float) -> None:
         count.estimate = value
-        counted = min(value, self.full)
+        counted = min(value, self.max_counted)
         self.reported += counted - count.counted
         count.counted = counted
--- a/catkinslip/limits/plan.py
+++ b/catkinslip/limits/plan.py
@@ -32,16 +32,16 @@
     deadline: float
     budget: ExtraBudget
     max_attempts: int = 3
-    kept_for_retries: float = 0.0
+    reserved_for_retries: float = 0.0
     started: int = 0
     running: int = 0
     sent: int = 0
-    doubt: Unknown | None = None
+    unknown: Unknown | None = None
     refusal: NotRun = NotRun(Reason.NO_BACKEND)
 
     def may_start(self) -> bool:
         """Return whether an attempt may still start, as other calls may take tokens."""
-        return not self.sent or self.budget.has()
+        return not self.sent or self.budget.has_token()
 
     def start(self) -> int:
         """Count an attempt that starts now and return its number."""
@@ -51,9 +51,9 @@
         self.running += 1
         return self.started
 
-    def doubted(self, doubt: Unknown) -> None:
+    def record_unknown(self, unknown: Unknown) -> None:
         """Record that a request may have run at the server of the running attempt."""
-        self._remember(doubt)
+        self._record(unknown)
 
     def ended(
         self,
@@ -66,7 +66,7 @@
         """Record an attempt that ended without an answer and return the next step."""
         self.running -= 1
         self.sent += is_sent
-        self._remember(outcome)
+        self._record(outcome)
         if isinstance(outcome, Unknown) and outcome.answer_started:
             return Step.STOP
         if self.running:
@@ -82,7 +82,7 @@
             and self.started == self.running == 1
             and self.started < self.max_attempts
             and now < self.deadline
-            and self.budget.has(self.kept_for_retries)
+            and self.budget.has_token(self.reserved_for_retries)
         )
 
     def hedge(self) -> int:
@@ -94,26 +94,26 @@
         """Record the reason why no further attempt starts."""
         self.refusal = refusal
 
-    def told(self) -> NotRun | Unknown:
+    def final_outcome(self) -> NotRun | Unknown:
         """Return the outcome that the caller of a call without an answer gets."""
-        return self.refusal if self.doubt is None else self.doubt
+        return self.refusal if self.unknown is None else self.unknown
 
     def expired(self, sent: int, *, answer_started: bool = False) -> Outcome:
         """Return the outcome for the caller when running attempts are abandoned."""
         if sent:
-            self._remember(Unknown(Reason.DEADLINE, answer_started=answer_started))
+            self._record(Unknown(Reason.DEADLINE, answer_started=answer_started))
         else:
-            self._remember(NotRun(Reason.TOO_LATE))
-        return self.told()
+            self._record(NotRun(Reason.TOO_LATE))
+        return self.final_outcome()
 
-    def _remember(self, outcome: NotRun | Unknown) -> None:
+    def _record(self, outcome: NotRun | Unknown) -> None:
         if isinstance(outcome, NotRun):
             self.refusal = outcome
-        elif self.doubt is None or outcome.answer_started:
-            self.doubt = outcome
+        elif self.unknown is None or outcome.answer_started:
+            self.unknown = outcome
 
     def _may_retry(self, outcome: NotRun | Unknown, now: float) -> bool:
-        if self.doubt is not None and not self.repeatable:
+        if self.unknown is not None and not self.repeatable:
             return False
         if not self.first_layer or self.started >= self.max_attempts:
             return False
--- a/catkinslip/limits/service.py
+++ b/catkinslip/limits/service.py
@@ -33,7 +33,7 @@
     def refuse(self, time_left: float) -> NotRun | None:
         """Return the refusal of a call; None admits the call."""
         refusal = self.admission.refuse(self.load, time_left)
-        self.load.decided(refusal is not None)
+        self.load.record_decision(refusal is not None)
         return refusal
 
     def plan(
@@ -51,7 +51,7 @@
             deadline=deadline,
             budget=self.budget,
             max_attempts=max_attempts or self.settings.max_attempts,
-            kept_for_retries=self.budget.reserve / 2,
+            reserved_for_retries=self.budget.reserve / 2,
         )
 
     def hedge_delay(self, now: float) -> float | None:
@@ -72,7 +72,7 @@
     def answered(self, backend_id: str, latency: float) -> None:
         """Record the latency up to the head of an answer."""
         self.latency.record(latency)
-        self.load.learn_service_time(backend_id, latency)
+        self.load.update_service_time(backend_id, latency)
 
     def ended(self, backend_id: str, result: AttemptResult, now: float) -> None:
         """Count an attempt that ended.
@@ -85,14 +85,14 @@
 
 
 @define
-class LimitBook:
+class LimitRegistry:
     """The limits of all services, kept in step with routers and members."""
 
     settings: LimitSettings
     count_instances: Callable[[str], float]
     limits_by_service: dict[str, ServiceLimits] = Factory(dict)
 
-    def use(self, settings: LimitSettings) -> None:
+    def apply_settings(self, settings: LimitSettings) -> None:
         """Apply changed settings."""
         self.settings = settings
         for limits in self.limits_by_service.values():
--- a/catkinslip/proxy/forwarder.py
+++ b/catkinslip/proxy/forwarder.py
@@ -10,7 +10,7 @@
 from catkinslip.crashes.guard import CrashGuard
 from catkinslip.health.base import NoSampler, Sampler
 from catkinslip.health.tracker import HealthTracker
-from catkinslip.limits.service import LimitBook
+from catkinslip.limits.service import LimitRegistry
 from catkinslip.proxy.base import CallForwarder
 from catkinslip.proxy.dialect import Dialect
 from catkinslip.proxy.exchange import OWN_DIALECT, Call
@@ -37,7 +37,7 @@
     directory: Directory
     pool: BackendPool
     clock: Clock
-    limits: LimitBook
+    limits: LimitRegistry
     health: HealthTracker
     hedges: HedgeTimer
     observer: RequestObserver = ObserverGroup()
--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -90,16 +90,16 @@
             choice = await self.wait.choose(self._tried())
             if isinstance(choice, NotRun):
                 self.plan.refused(choice)
-                return self.plan.told()
+                return self.plan.final_outcome()
             # Another call may have taken the last token during the wait.
             if choice is None or not self.plan.may_start():
-                return self.plan.told()
+                return self.plan.final_outcome()
             launch = self._launch(choice, self.plan.start(), self.wait.reason(choice))
             ended = await self._await_head(launch)
             if isinstance(ended.result, AnswerHead):
                 return await self._pass_on(ended, ended.result)
             if ended.step is Step.STOP:
-                return self.plan.told()
+                return self.plan.final_outcome()
 
     def launch_hedge(self) -> Launch | None:
         """Make a second attempt; None when no server has an idle slot for it."""
@@ -270,7 +270,7 @@
         if (result.reason is Reason.CONNECT_FAILED or has_ended) and is_known:
             self.health.refused(launch.backend_id)
         if launch.attempt.doubt is not None:
-            self.plan.doubted(launch.attempt.doubt)
+            self.plan.record_unknown(launch.attempt.doubt)
         launch.step = self.plan.ended(
             result,
             now,
--- a/catkinslip/wiring/callers.py
+++ b/catkinslip/wiring/callers.py
@@ -4,7 +4,7 @@
 from catkinslip.addresses.home import HomeSetLimits
 from catkinslip.environment import Environment
 from catkinslip.limits.base import LimitSettings
-from catkinslip.limits.service import LimitBook
+from catkinslip.limits.service import LimitRegistry
 from catkinslip.membership.members import Member
 from catkinslip.proxy.callers import CallerLimits, CallerServer
 from catkinslip.proxy.forwarder import Forwarder
@@ -31,7 +31,7 @@
         shared.directory,
         shared.pool,
         environment.clock,
-        LimitBook(make_limit_settings(settings), addresses.count_home_instances),
+        LimitRegistry(make_limit_settings(settings), addresses.count_home_instances),
         shared.health,
         hedges,
         shared.metrics.observer,
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -34,7 +34,7 @@
 from catkinslip.health.sharing import ReportSharer
 from catkinslip.health.tracker import make_tracker
 from catkinslip.limits.base import LimitSettings
-from catkinslip.limits.service import LimitBook
+from catkinslip.limits.service import LimitRegistry
 from catkinslip.logs.buffer import LogBuffer
 from catkinslip.metrics.base import MetricSource
 from catkinslip.metrics.crashes import CrashMetrics
@@ -135,7 +135,7 @@
     peer_pages: PageServer
     pool: BackendPool
     hedges: HedgeTimer
-    limits: LimitBook
+    limits: LimitRegistry
     sampler: LoadSampler
     sharer: ReportSharer
     lag: LoopLag
@@ -182,7 +182,7 @@
     entry.settings = evolve(settings, own=entry.settings.own)
     entry.addresses.lifetime = settings.address_lifetime
     entry.sampler.probes_per_second = settings.probes_per_second
-    entry.limits.use(limit_settings(settings))
+    entry.limits.apply_settings(limit_settings(settings))
 
 
 def wire_entry(settings: EntrySettings, outside: Outside) -> Entry:
@@ -262,7 +262,7 @@
     traces = TraceRing(instance_id, clock, directory, deque(maxlen=MAX_TRACES))
     observer = ObserverGroup((requests, traces))
     hedges = HedgeTimer()
-    limits = LimitBook(limit_settings(settings), lambda _: instances.shares())
+    limits = LimitRegistry(limit_settings(settings), lambda _: instances.shares())
     sampler = LoadSampler(
         health,
         pool,
--- a/tests/test_admission_spent.py
+++ b/tests/test_admission_spent.py
@@ -5,8 +5,8 @@
 
 from catkinslip.admission.spent import (
     CALM_SECONDS,
-    LEAST_SAMPLES,
     MAX_ROUTES,
+    MIN_SAMPLES,
     WINDOW,
     SpentTimes,
 )
@@ -48,7 +48,7 @@
         self.assertEqual(self.observe(LEAST + 0.05), 0.0)
 
     def test_few_requests_after_a_start_are_enough(self):
-        for _ in range(LEAST_SAMPLES):
+        for _ in range(MIN_SAMPLES):
             self.observe(self.random.uniform(LEAST, MOST))
         self.assertGreater(self.observe(0.8), TARGET)
 
--- a/tests/test_limits_admission.py
+++ b/tests/test_limits_admission.py
@@ -89,7 +89,7 @@
             load.service_time = 0.1
             start(load, 16)
             for _ in range(refusals):
-                load.decided(refused=True)
+                load.record_decision(refused=True)
             waits.append(DeadlineLimit().refuse(load, 1.0).retry_after)
         self.assertAlmostEqual(waits[0], 9 * 0.1 / 8)
         self.assertGreater(waits[1], 4 * waits[0])
@@ -111,7 +111,7 @@
             self.assertEqual(load.in_flight, len(running))
             self.assertAlmostEqual(load.reported, sum(c.counted for c in counts))
             for count in counts:
-                self.assertGreaterEqual(count.estimate, count.own)
+                self.assertGreaterEqual(count.estimate, count.local)
 
 
 class ExtraBudgetTest(unittest.TestCase):
@@ -126,7 +126,7 @@
             for _ in range(new_calls):
                 budget.earn()
             calls += new_calls
-            if budget.has():
+            if budget.has_token():
                 budget.take()
                 extra += 1
             self.assertLessEqual(extra, calls * share + 1e-6)
--- a/tests/test_limits_attempts.py
+++ b/tests/test_limits_attempts.py
@@ -19,7 +19,7 @@
 from catkinslip.limits.base import LimitSettings
 from catkinslip.limits.budget import ExtraBudget
 from catkinslip.limits.plan import CallPlan, Step
-from catkinslip.limits.service import LimitBook
+from catkinslip.limits.service import LimitRegistry
 from catkinslip.proxy.exchange import Attempt, Call
 from catkinslip.proxy.forwarder import Forwarder
 from catkinslip.proxy.hedges import HedgeTimer
@@ -135,7 +135,7 @@
 
 
 @define
-class Rival(NoSampler):
+class CompetingSampler(NoSampler):
     """A sampler that takes the budget's tokens while a retry waits, as a call may."""
 
     budget: ExtraBudget | None = None
@@ -148,7 +148,7 @@
 
 
 def forward(
-    scripts, *, repeatable, attempt=1, tokens=5.0, limits=None, rival=None
+    scripts, *, repeatable, attempt=1, tokens=5.0, limits=None, competitor=None
 ) -> Result:
     """Forward one call on a virtual clock."""
 
@@ -161,9 +161,9 @@
             service = forwarder.limits.limits_of('limits', router, 0.0)
             service.budget.tokens = tokens
             service.latency.value = HEDGE_DELAY
-            if rival is not None:
-                rival.budget = service.budget
-                forwarder.sampler = rival
+            if competitor is not None:
+                competitor.budget = service.budget
+                forwarder.sampler = competitor
             near, far = trio.testing.memory_stream_pair()
             call = Call(
                 request_id='r1',
@@ -213,8 +213,8 @@
     config = AcceptedConfig(document=document_of(document_plain(backends)))
     directory.update(config)
     health.update(config)
-    book = LimitBook(limits, lambda _: 1)
-    return Forwarder(directory, pool, TrioClock(), book, health, HedgeTimer())
+    registry = LimitRegistry(limits, lambda _: 1)
+    return Forwarder(directory, pool, TrioClock(), registry, health, HedgeTimer())
 
 
 class AttemptsTest(unittest.TestCase):
@@ -388,11 +388,13 @@
             self.assertIs(ended, step)
 
     def test_retry_whose_token_went_to_another_call_is_not_sent(self):
-        rival = Rival()
-        result = forward(['shed', 'answer'], repeatable=True, tokens=1.0, rival=rival)
+        competitor = CompetingSampler()
+        result = forward(
+            ['shed', 'answer'], repeatable=True, tokens=1.0, competitor=competitor
+        )
         self.assertIs(result.outcome.reason, Reason.SHED)
         self.assertEqual(result.pool.ledger, [])
-        self.assertGreaterEqual(rival.budget.tokens, 0.0)
+        self.assertGreaterEqual(competitor.budget.tokens, 0.0)
 
     def test_token_that_another_call_took_meanwhile_starts_no_attempt(self):
         budget = ExtraBudget(0.0, 10.0, 1.0)
