--- a/benchmarks/overload_instances.py
+++ b/benchmarks/overload_instances.py
@@ -7,9 +7,9 @@
 
 from benchmarks.overload_callers import Request
 from benchmarks.overload_servers import Run, Server
-from catkinslip.admission.guarded import guarded_retry
+from catkinslip.admission.guarded import restricted_retry_after
 from catkinslip.admission.spent import SpentTimes
-from catkinslip.admission.waiting import GOOD_DELAY, Verdict, WaitingCall
+from catkinslip.admission.waiting import GOOD_DELAY, Decision, WaitingCall
 from catkinslip.admission.work import WorkTimes
 from catkinslip.health.sampler import (
     ANSWER_SECONDS,
@@ -113,7 +113,7 @@
             began=now,
             best_until=now + kind.target - known,
             deadline=now + min(given, kind.timeout),
-            caller_leaves=now + given,
+            caller_deadline=now + given,
             target=kind.target,
             priority=kind.priority,
             spent=known,
@@ -122,7 +122,7 @@
         desk.budget.earn()
         call = Call(request, waiting)
         self.open_calls[call] = None
-        waiting.note_time(desk.work.expect(kind.name, 1.0, kind.target), now)
+        waiting.update_lateness(desk.work.expect(kind.name, 1.0, kind.target), now)
         left = request.deadline + CLIENT_SECONDS - now
         self.world.after(min(left, kind.timeout), self.expire, call)
         self.look(call)
@@ -222,12 +222,12 @@
         best = ranked[0]
         work = desk.work.expect(kind.name, 1.0, kind.target)
         waiting, is_known = call.waiting, not best.load.is_silent
-        match waiting.judge(best.delay, work, now, is_known=is_known):
-            case Verdict.SEND:
+        match waiting.decide(best.delay, work, now, is_known=is_known):
+            case Decision.SEND:
                 self.send(desk, call, best)
-            case Verdict.HOLD:
-                self.world.after(waiting.look_seconds(now), self.look, call)
-            case Verdict.REFUSE:
+            case Decision.HOLD:
+                self.world.after(waiting.recheck_seconds(now), self.look, call)
+            case Decision.REFUSE:
                 slow = waiting.find_slow(ranked, work, now)
                 if slow is None:
                     self.refuse(call, best.delay * work)
@@ -252,7 +252,7 @@
         now = self.world.now
         refusal = call.waiting.refuse(expected, now, self.random)
         self.close(call)
-        self.spent.turned_away(now)
+        self.spent.record_unanswered(now)
         told = (call.request, refusal.retry_after)
         self.world.after(CLIENT_SECONDS, self.world.refused, told)
 
@@ -261,11 +261,13 @@
         now = self.world.now
         closure = desk.router.closure(now)
         if closure is None:
-            retry_after = call.waiting.late_retry(now, self.random)
+            retry_after = call.waiting.late_retry_after(now, self.random)
         else:
-            retry_after = guarded_retry(closure, call.waiting, self.random, now)
+            retry_after = restricted_retry_after(
+                closure, call.waiting, self.random, now
+            )
         self.close(call)
-        self.spent.turned_away(now)
+        self.spent.record_unanswered(now)
         self.world.after(
             CLIENT_SECONDS, self.world.refused, (call.request, retry_after)
         )
@@ -295,7 +297,7 @@
                 self.refuse(call, 0.0)
             return
         target = request.kind.target
-        desk.work.learn(request.kind.name, latency, run.delay, target)
+        desk.work.record(request.kind.name, latency, run.delay, target)
         self.close(call)
         self.world.after(CLIENT_SECONDS, self.world.done, request)
 
--- a/catkinslip/admission/guarded.py
+++ b/catkinslip/admission/guarded.py
@@ -14,25 +14,25 @@
 
 #: Seconds after which an early retry may come; short beside the time within which an
 #: answer has the most value.
-SOON_SECONDS = 0.05
-MOST_SOON_SECONDS = 0.06
+EARLY_RETRY_SECONDS = 0.05
+MAX_EARLY_RETRY_SECONDS = 0.06
 #: Seconds after which a call for cold servers may be retried: the requests that a cold
 #: server handles are counted per second, and on average half of a second remains.
 COLD_RETRY_SECONDS = 0.5
 #: Maximum factor by which retry delays vary, so that callers that are refused together
 #: do not retry together.
-MOST_SPREAD = 1.3
+MAX_JITTER = 1.3
 
 
-def guarded_retry(
+def restricted_retry_after(
     closure: Closure, waiting: WaitingCall, random: Random, now: float
 ) -> float:
     """Return the seconds after which a refused call may be retried."""
     if closure.word is GuardWord.COLD:
         return COLD_RETRY_SECONDS
     wait = closure.wait_seconds
-    if wait > 0 and now + wait * MOST_SPREAD < waiting.best_until:
-        return max(SOON_SECONDS, wait * random.uniform(1.0, MOST_SPREAD))
+    if wait > 0 and now + wait * MAX_JITTER < waiting.best_until:
+        return max(EARLY_RETRY_SECONDS, wait * random.uniform(1.0, MAX_JITTER))
     if waiting.spent or waiting.is_late:
-        return waiting.late_retry(now, random)
-    return random.uniform(SOON_SECONDS, MOST_SOON_SECONDS)
+        return waiting.late_retry_after(now, random)
+    return random.uniform(EARLY_RETRY_SECONDS, MAX_EARLY_RETRY_SECONDS)
--- a/catkinslip/admission/spent.py
+++ b/catkinslip/admission/spent.py
@@ -29,17 +29,17 @@
 #: Factor by which fresh callers differ more than the requests without outliers do;
 #: without it one fresh caller in eleven was counted as a returning one, with it 2 of
 #: 8,000.
-WIDER = 1.2
+SPREAD_MARGIN = 1.2
 #: Initial difference between the patience of fresh callers, as a share of the target.
-FIRST_SPREAD_SHARE = 1.2
+INITIAL_SPREAD_SHARE = 1.2
 #: Seconds after which callers that were turned away have returned or given up.
-CALM_SECONDS = 2.0
+RETURN_SECONDS = 2.0
 #: Weight of a new sample of the spread while no callers return.
 SPREAD_WEIGHT = 0.05
 #: Weight of a new sample at any other time. Without it, callers that are new to a route
 #: and have less time than its others would count as late for as long as any caller is
 #: turned away.
-CROWD_WEIGHT = 0.0003
+CROWDED_SPREAD_WEIGHT = 0.0003
 
 
 @define
@@ -47,24 +47,24 @@
     """The times that callers of one route stated lately, in seconds."""
 
     spread: float
-    given: deque[float] = Factory(deque)
+    stated: deque[float] = Factory(deque)
     ordered: list[float] = Factory(list)
 
     def add(self, seconds: float) -> None:
         """Add a time, and drop the oldest beyond the window."""
-        if len(self.given) == WINDOW:
-            del self.ordered[bisect_left(self.ordered, self.given.popleft())]
-        self.given.append(seconds)
+        if len(self.stated) == WINDOW:
+            del self.ordered[bisect_left(self.ordered, self.stated.popleft())]
+        self.stated.append(seconds)
         insort(self.ordered, seconds)
 
     def quantile(self, share: float) -> float:
         """Return the time below which a share of the requests lies."""
         return self.ordered[round(share * (len(self.ordered) - 1))]
 
-    def learn_spread(self, weight: float) -> None:
+    def update_spread(self, weight: float) -> None:
         """Update the spread between fresh callers from the times in the window."""
-        middle = self.quantile(1 - OUTLIER_SHARE) - self.quantile(OUTLIER_SHARE)
-        self.spread += weight * (WIDER * middle - self.spread)
+        inner_range = self.quantile(1 - OUTLIER_SHARE) - self.quantile(OUTLIER_SHARE)
+        self.spread += weight * (SPREAD_MARGIN * inner_range - self.spread)
 
     def spent(self, seconds: float) -> float:
         """Return the seconds that a caller with so much remaining time has used up.
@@ -85,31 +85,33 @@
     #: Time at which a caller that may return was last turned away. Its first value is
     #: the start, as this instance has no record of callers that were turned away
     #: before.
-    turned_away_at: float
+    last_unanswered_at: float
     patience_by_route: dict[str, RoutePatience] = Factory(dict)
 
-    def turned_away(self, now: float) -> None:
+    def record_unanswered(self, now: float) -> None:
         """Record that a caller got no answer and may return."""
-        self.turned_away_at = now
+        self.last_unanswered_at = now
 
-    def observe(self, route: str, given: float, target: float, now: float) -> float:
+    def observe(self, route: str, stated: float, target: float, now: float) -> float:
         """Record a caller's remaining time and return what the caller has used up.
 
         The result is in seconds, and 0 if it is unknown.
         """
         patience = self.patience_by_route.get(route)
         if patience is None:
-            patience = self._begin(route, target)
-        patience.add(given)
-        if len(patience.given) < MIN_SAMPLES:
+            patience = self._add_route(route, target)
+        patience.add(stated)
+        if len(patience.stated) < MIN_SAMPLES:
             return 0.0
-        is_calm = now - self.turned_away_at > CALM_SECONDS
-        patience.learn_spread(SPREAD_WEIGHT if is_calm else CROWD_WEIGHT)
-        return patience.spent(given)
+        are_all_fresh = now - self.last_unanswered_at > RETURN_SECONDS
+        patience.update_spread(
+            SPREAD_WEIGHT if are_all_fresh else CROWDED_SPREAD_WEIGHT
+        )
+        return patience.spent(stated)
 
-    def _begin(self, route: str, target: float) -> RoutePatience:
+    def _add_route(self, route: str, target: float) -> RoutePatience:
         if len(self.patience_by_route) >= MAX_ROUTES:
             del self.patience_by_route[next(iter(self.patience_by_route))]
-        patience = RoutePatience(FIRST_SPREAD_SHARE * target)
+        patience = RoutePatience(INITIAL_SPREAD_SHARE * target)
         self.patience_by_route[route] = patience
         return patience
--- a/catkinslip/admission/waiting.py
+++ b/catkinslip/admission/waiting.py
@@ -20,15 +20,15 @@
 
 #: Seconds between two searches for a server, and what each step of priority adds:
 #: urgent calls search more often.
-LOOK_SECONDS = 0.015
-LOOK_SECONDS_PER_PRIORITY = 0.005
+RECHECK_SECONDS = 0.015
+RECHECK_SECONDS_PER_PRIORITY = 0.005
 #: Maximum estimate of requests in flight that counts as none; the estimate decays to
 #: the mean of all servers.
 IDLE_IN_FLIGHT = 0.25
 #: Maximum factor by which retry delays vary; together with `late_retry_share` the
 #: delays stay within a third of the caller's time, which is the longest that callers
 #: wait.
-MOST_SPREAD = 4 / 3
+MAX_JITTER = 4 / 3
 #: Minimum retry delay in seconds for callers that may return.
 MIN_RETRY_SECONDS = 0.1
 
@@ -63,7 +63,7 @@
 
 
 @unique
-class Verdict(Enum):
+class Decision(Enum):
     """The decision on a call at one time."""
 
     SEND = auto()
@@ -82,7 +82,7 @@
     #: Time at which this instance gives up the call, and at which its caller stops
     #: waiting.
     deadline: float
-    caller_leaves: float
+    caller_deadline: float
     #: Seconds from the caller's first attempt within which an answer is in time.
     target: float
     #: Priority of the call; 0 is the most urgent.
@@ -92,14 +92,14 @@
     #: Whether its answer cannot be in time any more.
     is_late: bool = False
 
-    def judge(
+    def decide(
         self,
         delay: float,
         work: float,
         now: float,
         *,
         is_known: bool = True,
-    ) -> Verdict:
+    ) -> Decision:
         """Return the decision on the call.
 
         The delay is that of the best server, in multiples of the work; the work is the
@@ -107,19 +107,19 @@
         delay is not known (`is_known`) and the call is sent: a refusal could persist
         for ever, kept up by probes that arrive late.
         """
-        self.note_time(work, now)
+        self.update_lateness(work, now)
         if delay <= GOOD_DELAY:
-            return Verdict.SEND
+            return Decision.SEND
         if not self.is_late:
             spare = self.settings.spare_share_per_priority * self.priority * self.target
             if now + delay * work + spare <= self.best_until:
-                return Verdict.SEND
+                return Decision.SEND
             if now < self.hold_until:
-                return Verdict.HOLD
+                return Decision.HOLD
             self.is_late = True
-        return Verdict.REFUSE if is_known else Verdict.SEND
+        return Decision.REFUSE if is_known else Decision.SEND
 
-    def note_time(self, work: float, now: float) -> None:
+    def update_lateness(self, work: float, now: float) -> None:
         """Mark a returning call as late if a request of the given work would be late.
 
         Only a call whose caller has waited before is marked: if the estimate of the
@@ -149,9 +149,9 @@
         """Return the time until which the call may be held."""
         return self.began + self.settings.hold_share * self.target
 
-    def look_seconds(self, now: float) -> float:
+    def recheck_seconds(self, now: float) -> float:
         """Return the seconds until the next search for a server."""
-        usual = LOOK_SECONDS + LOOK_SECONDS_PER_PRIORITY * self.priority
+        usual = RECHECK_SECONDS + RECHECK_SECONDS_PER_PRIORITY * self.priority
         return max(0.0, min(usual, self.hold_until - now))
 
     def refuse(self, expected: float, now: float, random: Random) -> NotRun:
@@ -162,12 +162,12 @@
         """
         late = now + expected - self.best_until
         detail = f'expected {expected * 1e3:.0f} ms, late by {late * 1e3:.0f} ms'
-        retry_after = self.late_retry(now, random)
+        retry_after = self.late_retry_after(now, random)
         return NotRun(Reason.DEADLINE_UNMET, detail, retry_after=retry_after)
 
-    def late_retry(self, now: float, random: Random) -> float:
+    def late_retry_after(self, now: float, random: Random) -> float:
         """Return the seconds after which a call that will be late may be retried."""
-        left = max(0.0, self.caller_leaves - now)
-        retry_after = max(MIN_RETRY_SECONDS, self.settings.late_retry_share * left)
+        remaining = max(0.0, self.caller_deadline - now)
+        retry_after = max(MIN_RETRY_SECONDS, self.settings.late_retry_share * remaining)
         # Callers that are refused together must not retry together.
-        return retry_after * random.uniform(1.0, MOST_SPREAD)
+        return retry_after * random.uniform(1.0, MAX_JITTER)
--- a/catkinslip/admission/work.py
+++ b/catkinslip/admission/work.py
@@ -9,9 +9,9 @@
 #: Weight of one answer in the estimate; some 20 answers replace an earlier estimate.
 WORK_WEIGHT = 0.05
 #: Initial estimate of a route's work, as a share of its target.
-FIRST_WORK_SHARE = 0.4
+INITIAL_WORK_SHARE = 0.4
 #: Maximum sample that one answer counts as, as a multiple of the estimate.
-MOST_GROWTH = 3.0
+MAX_GROWTH = 3.0
 
 
 @define
@@ -31,17 +31,17 @@
     def expect(self, route: str, delay: float, target: float) -> float:
         """Return the seconds until an answer; the delay is in multiples of the work."""
         known = self.time_by_route.get(route)
-        seconds = FIRST_WORK_SHARE * target if known is None else known.seconds
+        seconds = INITIAL_WORK_SHARE * target if known is None else known.seconds
         return delay * seconds
 
-    def learn(self, route: str, latency: float, delay: float, target: float) -> None:
+    def record(self, route: str, latency: float, delay: float, target: float) -> None:
         """Update the estimate from an answer to a request with an expected delay."""
         known = self.time_by_route.get(route)
         if known is None:
-            known = WorkTime(FIRST_WORK_SHARE * target)
+            known = WorkTime(INITIAL_WORK_SHARE * target)
             self.time_by_route[route] = known
         # A server that slowed down meanwhile indicates little about the route's work.
-        sample = min(latency / max(1.0, delay), known.seconds * MOST_GROWTH)
+        sample = min(latency / max(1.0, delay), known.seconds * MAX_GROWTH)
         known.samples += 1
         weight = max(1 / known.samples, WORK_WEIGHT)
         known.seconds += (sample - known.seconds) * weight
--- a/catkinslip/proxy/forwarder.py
+++ b/catkinslip/proxy/forwarder.py
@@ -54,7 +54,7 @@
         self._note_spent(call)
         outcome = await self._forward(call, caller)
         if not isinstance(outcome, Answered):
-            self.spent.turned_away(self.clock.monotonic())
+            self.spent.record_unanswered(self.clock.monotonic())
         return outcome
 
     def _note_spent(self, call: Call) -> None:
--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -258,7 +258,7 @@
             latency = now - launch.began
             self.limits.answered(launch.backend_id, latency)
             call = self.call
-            self.limits.work.learn(
+            self.limits.work.record(
                 call.route, latency, launch.delay, call.target_latency
             )
             return
--- a/catkinslip/proxy/server_wait.py
+++ b/catkinslip/proxy/server_wait.py
@@ -8,8 +8,8 @@
 import trio
 from attrs import define, field
 
-from catkinslip.admission.guarded import guarded_retry
-from catkinslip.admission.waiting import Verdict, WaitingCall
+from catkinslip.admission.guarded import restricted_retry_after
+from catkinslip.admission.waiting import Decision, WaitingCall
 from catkinslip.clock import Clock
 from catkinslip.health.base import Sampler
 from catkinslip.health.tracker import HealthTracker
@@ -55,7 +55,7 @@
             began=self.began,
             best_until=call.best_until,
             deadline=call.deadline,
-            caller_leaves=call.caller_leaves,
+            caller_deadline=call.caller_deadline,
             target=call.target_latency,
             priority=call.priority,
             spent=call.spent,
@@ -66,7 +66,7 @@
 
         None where no server is left to choose.
         """
-        self.waiting.note_time(self.expect(1.0), self.clock.monotonic())
+        self.waiting.update_lateness(self.expect(1.0), self.clock.monotonic())
         while True:
             if not self.waiting.is_late:
                 # Probes are kept for calls that can still be in time.
@@ -79,12 +79,12 @@
             now = self.clock.monotonic()
             work = self.expect(1.0)
             is_known = not self.router.is_silent(choice.backend_id)
-            match self.waiting.judge(choice.delay, work, now, is_known=is_known):
-                case Verdict.SEND:
+            match self.waiting.decide(choice.delay, work, now, is_known=is_known):
+                case Decision.SEND:
                     return choice
-                case Verdict.REFUSE:
+                case Decision.REFUSE:
                     return self._find_slow(tried, now) or self._refuse(choice, now)
-            await trio.sleep(self.waiting.look_seconds(now))
+            await trio.sleep(self.waiting.recheck_seconds(now))
 
     def _excluded(self, tried: Collection[str]) -> Collection[str]:
         """Return the servers that must not get the call.
@@ -109,7 +109,7 @@
         refusal = NotRun(
             REASON_BY_WORD[closure.word],
             f'{closure.servers} {DETAIL_BY_WORD[closure.word]}',
-            retry_after=guarded_retry(closure, self.waiting, self.random, now),
+            retry_after=restricted_retry_after(closure, self.waiting, self.random, now),
         )
         log.info(
             'limits: %s %s is refused, %s, back_ms=%.0f.',
--- a/tests/test_admission_need.py
+++ b/tests/test_admission_need.py
@@ -70,7 +70,7 @@
             self.assertGreater(in_time(world, (39.0, 46.0)), 0.98)
 
     def test_callers_that_come_back_at_once_are_in_time_more_often(self):
-        later = {'SOON_SECONDS': 1.0, 'MOST_SOON_SECONDS': 1.5}
+        later = {'EARLY_RETRY_SECONDS': 1.0, 'MAX_EARLY_RETRY_SECONDS': 1.5}
         for seed in SEEDS:
             usual = in_time(play(seed), SPANS[2])
             with patch.multiple(guarded, **later):
--- a/tests/test_admission_spent.py
+++ b/tests/test_admission_spent.py
@@ -4,9 +4,9 @@
 from random import Random
 
 from catkinslip.admission.spent import (
-    CALM_SECONDS,
     MAX_ROUTES,
     MIN_SAMPLES,
+    RETURN_SECONDS,
     WINDOW,
     SpentTimes,
 )
@@ -21,7 +21,7 @@
 
     def setUp(self):
         self.random = Random(4)
-        self.spent = SpentTimes(turned_away_at=0.0)
+        self.spent = SpentTimes(last_unanswered_at=0.0)
         self.now = 10.0
 
     def observe(self, given: float, route: str = 'a') -> float:
@@ -60,17 +60,17 @@
     def test_crowd_that_comes_back_does_not_pass_for_impatient(self):
         self.see_fresh()
         for _ in range(4 * WINDOW):
-            self.spent.turned_away(self.now)
+            self.spent.record_unanswered(self.now)
             self.see_fresh(1)
             self.assertGreater(self.observe(1.0), TARGET)
 
     def test_patience_is_not_learned_until_the_crowd_has_gone(self):
-        self.spent.turned_away(self.now)
+        self.spent.record_unanswered(self.now)
         before = self.spent.patience_by_route.get('a')
         self.assertIsNone(before)
         self.see_fresh(50)
         spread = self.spent.patience_by_route['a'].spread
-        self.assertLess(self.now, 10.0 + CALM_SECONDS)
+        self.assertLess(self.now, 10.0 + RETURN_SECONDS)
         self.see_fresh(50)
         learned = self.spent.patience_by_route['a'].spread
         self.assertAlmostEqual(learned, spread, delta=0.01 * spread)
@@ -78,7 +78,7 @@
     def test_new_callers_with_less_time_are_not_late_for_ever(self):
         self.see_fresh()
         for _ in range(3000):
-            self.spent.turned_away(self.now)
+            self.spent.record_unanswered(self.now)
             self.see_fresh(1)
             told = self.observe(1.0)
         self.assertEqual(told, 0.0)
--- a/tests/test_admission_waiting.py
+++ b/tests/test_admission_waiting.py
@@ -6,7 +6,7 @@
 from catkinslip.admission.waiting import (
     GOOD_DELAY,
     AdmissionSettings,
-    Verdict,
+    Decision,
     WaitingCall,
 )
 from catkinslip.admission.work import WorkTimes
@@ -26,31 +26,31 @@
     def setUp(self):
         self.work = WorkTimes()
 
-    def learn(self, *latencies: float, delay: float = 1.0) -> float:
+    def record(self, *latencies: float, delay: float = 1.0) -> float:
         for latency in latencies:
-            self.work.learn('a', latency, delay, TARGET)
+            self.work.record('a', latency, delay, TARGET)
         return self.work.expect('a', 1.0, TARGET)
 
     def test_work_is_learned_without_the_expected_queue(self):
-        self.assertAlmostEqual(self.learn(*[0.2] * 100, delay=2.0), 0.1, delta=0.01)
+        self.assertAlmostEqual(self.record(*[0.2] * 100, delay=2.0), 0.1, delta=0.01)
 
     def test_slow_first_answer_does_not_stay(self):
-        self.assertLess(self.learn(5.0, 0.1, 0.1, 0.1, 0.1, 0.1), 0.2)
+        self.assertLess(self.record(5.0, 0.1, 0.1, 0.1, 0.1, 0.1), 0.2)
 
     def test_single_slow_answer_counts_little(self):
-        before = self.learn(*[0.1] * 50)
-        self.assertLess(self.learn(60.0), 1.2 * before)
+        before = self.record(*[0.1] * 50)
+        self.assertLess(self.record(60.0), 1.2 * before)
 
 
 def make_call(spent: float = 0.0, **fields) -> WaitingCall:
     """Return a call that arrived at second 10, of a caller that waits 2 s in all."""
-    left = 2.0 - spent
+    remaining = 2.0 - spent
     defaults = {
         'settings': SETTINGS,
         'began': 10.0,
         'best_until': 10.0 + TARGET - spent,
-        'deadline': 10.0 + min(1.0, left),
-        'caller_leaves': 10.0 + left,
+        'deadline': 10.0 + min(1.0, remaining),
+        'caller_deadline': 10.0 + remaining,
         'target': TARGET,
         'spent': spent,
     }
@@ -69,32 +69,32 @@
         self.after = 10.0 + SETTINGS.hold_share * TARGET
 
     def test_call_in_time_is_sent(self):
-        self.assertIs(self.call.judge(3.0, WORK, 10.0), Verdict.SEND)
+        self.assertIs(self.call.decide(3.0, WORK, 10.0), Decision.SEND)
 
     def test_late_call_is_held_then_refused(self):
-        self.assertIs(self.call.judge(5.0, WORK, 10.0), Verdict.HOLD)
-        self.assertIs(self.call.judge(5.0, WORK, self.after), Verdict.REFUSE)
+        self.assertIs(self.call.decide(5.0, WORK, 10.0), Decision.HOLD)
+        self.assertIs(self.call.decide(5.0, WORK, self.after), Decision.REFUSE)
 
     def test_idle_server_is_always_used(self):
         # Otherwise a wrong estimate would refuse all calls and never be corrected.
-        self.assertIs(self.call.judge(GOOD_DELAY, 9.0, 10.3), Verdict.SEND)
+        self.assertIs(self.call.decide(GOOD_DELAY, 9.0, 10.3), Decision.SEND)
 
     def test_call_whose_work_exceeds_its_target_is_held_like_others(self):
-        self.assertIs(self.call.judge(1.5, 2 * TARGET, 10.0), Verdict.HOLD)
+        self.assertIs(self.call.decide(1.5, 2 * TARGET, 10.0), Decision.HOLD)
         self.assertFalse(self.call.is_late)
 
     def test_call_is_sent_where_no_server_answers_probes(self):
-        verdict = self.call.judge(21.0, WORK, self.after, is_known=False)
-        self.assertIs(verdict, Verdict.SEND)
+        decision = self.call.decide(21.0, WORK, self.after, is_known=False)
+        self.assertIs(decision, Decision.SEND)
 
     def test_less_urgent_call_must_leave_time_to_spare(self):
         less_urgent = make_call(priority=2)
-        self.assertIs(less_urgent.judge(3.5, WORK, 10.0), Verdict.HOLD)
-        self.assertIs(self.call.judge(3.5, WORK, 10.0), Verdict.SEND)
+        self.assertIs(less_urgent.decide(3.5, WORK, 10.0), Decision.HOLD)
+        self.assertIs(self.call.decide(3.5, WORK, 10.0), Decision.SEND)
 
     def test_looks_end_with_the_hold(self):
         end = self.call.hold_until
-        self.assertAlmostEqual(self.call.look_seconds(end - 0.001), 0.001)
+        self.assertAlmostEqual(self.call.recheck_seconds(end - 0.001), 0.001)
 
     def test_refusal_tells_when_to_come_back(self):
         refusal = self.call.refuse(60.0, 10.1, Random(1))
@@ -109,14 +109,14 @@
         self.call = make_call(spent=0.6)
 
     def test_it_is_refused_at_once_where_no_server_is_free(self):
-        self.assertIs(self.call.judge(1.5, WORK, 10.0), Verdict.REFUSE)
+        self.assertIs(self.call.decide(1.5, WORK, 10.0), Decision.REFUSE)
 
     def test_it_gets_a_free_server(self):
-        self.assertIs(self.call.judge(GOOD_DELAY, WORK, 10.0), Verdict.SEND)
+        self.assertIs(self.call.decide(GOOD_DELAY, WORK, 10.0), Decision.SEND)
 
     def test_it_is_sent_where_no_server_answers_probes(self):
-        verdict = self.call.judge(21.0, WORK, 10.0, is_known=False)
-        self.assertIs(verdict, Verdict.SEND)
+        decision = self.call.decide(21.0, WORK, 10.0, is_known=False)
+        self.assertIs(decision, Decision.SEND)
 
     def test_it_gets_an_idle_server_at_which_a_fresh_call_would_be_late(self):
         fast, slow = estimate(2.0, in_flight=1.0), estimate(4.5)
--- a/tests/test_resting_path.py
+++ b/tests/test_resting_path.py
@@ -6,7 +6,11 @@
 
 import trio
 
-from catkinslip.admission.guarded import MOST_SOON_SECONDS, SOON_SECONDS, guarded_retry
+from catkinslip.admission.guarded import (
+    EARLY_RETRY_SECONDS,
+    MAX_EARLY_RETRY_SECONDS,
+    restricted_retry_after,
+)
 from catkinslip.admission.waiting import AdmissionSettings, WaitingCall
 from catkinslip.config.documents import (
     AcceptedConfig,
@@ -256,15 +260,15 @@
         waiting = WaitingCall(
             AdmissionSettings(), NOW, NOW + 0.4, NOW + 3, NOW + 3, 0.4, is_late=is_late
         )
-        return guarded_retry(closure, waiting, Random(1), NOW)
+        return restricted_retry_after(closure, waiting, Random(1), NOW)
 
     def test_rest_that_ends_in_time_is_waited_for(self):
         self.assertGreaterEqual(self.retry(0.2), 0.2)
         self.assertLess(self.retry(0.2), 0.4)
 
     def test_another_instance_may_have_room_where_the_rest_lasts(self):
-        self.assertGreaterEqual(self.retry(2.0), SOON_SECONDS)
-        self.assertLessEqual(self.retry(2.0), MOST_SOON_SECONDS)
+        self.assertGreaterEqual(self.retry(2.0), EARLY_RETRY_SECONDS)
+        self.assertLessEqual(self.retry(2.0), MAX_EARLY_RETRY_SECONDS)
 
     def test_late_call_comes_back_later(self):
         self.assertGreater(self.retry(2.0, is_late=True), 0.5)
