--- a/tests/test_admission_need.py
+++ b/tests/test_admission_need.py
@@ -13,7 +13,7 @@
 WINDOW_SECONDS = 4.0
 BOUND = 1.5 * PER_SECOND * WINDOW_SECONDS + 5
 #: Seconds after the first advertised rate from which the bound holds.
-TOLD_SECONDS = 3.0
+GOSSIP_SECONDS = 3.0
 SEEDS = (1, 2)
 #: Spans in which a tenth, half and all of the servers are throttled.
 SPANS = ((3.0, 11.0), (16.0, 24.0), (30.0, 38.0))
@@ -41,10 +41,10 @@
     return sum(each.is_in_time for each in asked) / len(asked)
 
 
-class NeedTest(unittest.TestCase):
+class ThrottledServersTest(unittest.TestCase):
     """The requests that throttled servers get, and the outcomes for callers."""
 
-    def test_each_gets_about_what_it_names_and_never_its_bound(self):
+    def test_each_gets_about_its_rate_and_never_exceeds_its_bound(self):
         for seed in SEEDS:
             world = play(seed)
             for began, ended in SPANS:
@@ -52,16 +52,16 @@
                     came = [at for at in server.came_in_need if began <= at < ended]
                     if not came:
                         continue
-                    told = [at for at in came if at >= began + TOLD_SECONDS]
-                    self.assertLessEqual(most_within(WINDOW_SECONDS, told), BOUND)
+                    late = [at for at in came if at >= began + GOSSIP_SECONDS]
+                    self.assertLessEqual(most_within(WINDOW_SECONDS, late), BOUND)
                     self.assertGreater(len(came), PER_SECOND * (ended - began) / 2)
 
-    def test_without_it_servers_get_more_than_their_bound(self):
+    def test_without_throttling_servers_get_more_than_their_bound(self):
         world = play(SEEDS[0], throttles=False)
         came = [most_within(4, it.came_in_need) for it in world.server_by_id.values()]
         self.assertGreater(max(came), BOUND)
 
-    def test_others_carry_the_rest_while_half_are_in_need(self):
+    def test_others_handle_the_load_while_half_are_throttled(self):
         for seed in SEEDS:
             world = play(seed)
             self.assertGreater(in_time(world, SPANS[0]), 0.97)
--- a/tests/test_admission_overload.py
+++ b/tests/test_admission_overload.py
@@ -40,10 +40,13 @@
     """More calls than the servers can answer, and callers that return."""
 
     def test_fresh_calls_are_in_time_though_late_ones_come_back(self):
-        with_it, without = play('rush'), play('rush', evolve(USUAL, counts_spent=False))
-        self.assertGreater(with_it.all, without.all + 0.03)
-        self.assertGreater(with_it.windows, without.windows + 0.02)
-        self.assertGreater(with_it.worst_kind, without.worst_kind + 0.03)
+        with_spent, without = (
+            play('rush'),
+            play('rush', evolve(USUAL, counts_spent=False)),
+        )
+        self.assertGreater(with_spent.all, without.all + 0.03)
+        self.assertGreater(with_spent.windows, without.windows + 0.02)
+        self.assertGreater(with_spent.worst_kind, without.worst_kind + 0.03)
 
     def test_callers_come_back_when_the_rush_may_be_over(self):
         usual = play('returning', seeds=MORE_SEEDS)
@@ -88,21 +91,21 @@
         self.assertIsInstance(outcome, Failure)
         return '\n'.join(outcome.failure())
 
-    def test_every_mistake_is_told_with_its_place(self):
+    def test_every_mistake_is_reported_with_its_location(self):
         text = (LOADS / 'rush.toml').read_text()
         text = text.replace('kind = "dark"', 'kind = "darkness"')
         text = text.replace('service = "till"', 'service = "tills"')
-        told = self.read(text)
-        self.assertIn("no kind 'darkness'", told)
-        self.assertIn("no service 'tills' @ $.kinds[2].service", told)
-        self.assertIn("no service 'tills' @ $.kinds[3].service", told)
+        mistakes = self.read(text)
+        self.assertIn("no kind 'darkness'", mistakes)
+        self.assertIn("no service 'tills' @ $.kinds[2].service", mistakes)
+        self.assertIn("no service 'tills' @ $.kinds[3].service", mistakes)
 
-    def test_wrong_types_are_told_with_their_places(self):
+    def test_wrong_types_are_reported_with_their_locations(self):
         text = (LOADS / 'rush.toml').read_text()
-        told = self.read(text.replace('seconds = 23.0', 'seconds = "long"', 1))
-        self.assertIn('$.seconds', told)
+        mistakes = self.read(text.replace('seconds = 23.0', 'seconds = "long"', 1))
+        self.assertIn('$.seconds', mistakes)
 
-    def test_what_is_no_toml_is_told(self):
+    def test_invalid_toml_is_reported(self):
         self.assertIn('wrong.toml', self.read('name ='))
 
 
--- a/tests/test_admission_rest.py
+++ b/tests/test_admission_rest.py
@@ -71,15 +71,15 @@
         for seed in SEEDS:
             self.assertEqual(most_in_rest(play(seed)), 0)
 
-    def test_without_it_they_get_more_than_is_allowed(self):
+    def test_without_rest_periods_servers_get_more_than_allowed(self):
         self.assertGreater(most_in_rest(play(SEEDS[0], rests=False)), MOST_IN_REST)
 
-    def test_larger_fleets_leave_them_alone_too(self):
+    def test_larger_fleets_send_nothing_to_resting_servers(self):
         for instances, seconds in SIZES:
             world = play(SEEDS[0], sized(instances, seconds))
             self.assertEqual(most_in_rest(world), 0)
 
-    def test_others_carry_the_load_and_all_is_as_before_after_it(self):
+    def test_others_handle_the_load_and_service_recovers_afterwards(self):
         for seed in SEEDS:
             world, without = play(seed), play(seed, rests=False)
             for span in SPANS:
--- a/tests/test_admission_spent.py
+++ b/tests/test_admission_spent.py
@@ -28,23 +28,23 @@
         self.now += 0.01
         return self.spent.observe(route, given, TARGET, self.now)
 
-    def see_fresh(self, count: int = 200) -> list[float]:
+    def observe_fresh(self, count: int = 200) -> list[float]:
         """Observe fresh callers and return the estimated time spent of each."""
         given = [self.random.uniform(LEAST, MOST) for _ in range(count)]
         return [self.observe(each) for each in given]
 
     def test_fresh_callers_have_spent_nothing(self):
-        self.assertLess(sum(each > 0 for each in self.see_fresh()), 0.02 * 200)
+        self.assertLess(sum(each > 0 for each in self.observe_fresh()), 0.02 * 200)
 
     def test_caller_with_less_time_than_fresh_ones_asked_before(self):
-        self.see_fresh()
+        self.observe_fresh()
         for used in (0.4, 0.7, 1.2):
             middling = (LEAST + MOST) / 2
-            told = self.observe(middling - used)
-            self.assertAlmostEqual(told, used, delta=0.1)
+            spent = self.observe(middling - used)
+            self.assertAlmostEqual(spent, used, delta=0.1)
 
     def test_caller_that_may_be_fresh_counts_as_fresh(self):
-        self.see_fresh()
+        self.observe_fresh()
         self.assertEqual(self.observe(LEAST + 0.05), 0.0)
 
     def test_few_requests_after_a_start_are_enough(self):
@@ -52,45 +52,45 @@
             self.observe(self.random.uniform(LEAST, MOST))
         self.assertGreater(self.observe(0.8), TARGET)
 
-    def test_patience_is_learned_while_nobody_comes_back(self):
+    def test_spread_is_updated_while_no_callers_return(self):
         given = [1.0 + 1.0 * self.random.random() for _ in range(400)]
-        taken = [self.observe(each) for each in given]
-        self.assertLess(sum(each > 0 for each in taken[200:]), 0.02 * 200)
+        estimates = [self.observe(each) for each in given]
+        self.assertLess(sum(each > 0 for each in estimates[200:]), 0.02 * 200)
 
-    def test_crowd_that_comes_back_does_not_pass_for_impatient(self):
-        self.see_fresh()
+    def test_returning_crowd_is_not_counted_as_impatient(self):
+        self.observe_fresh()
         for _ in range(4 * WINDOW):
             self.spent.record_unanswered(self.now)
-            self.see_fresh(1)
+            self.observe_fresh(1)
             self.assertGreater(self.observe(1.0), TARGET)
 
-    def test_patience_is_not_learned_until_the_crowd_has_gone(self):
+    def test_spread_is_not_updated_until_the_crowd_has_gone(self):
         self.spent.record_unanswered(self.now)
         before = self.spent.patience_by_route.get('a')
         self.assertIsNone(before)
-        self.see_fresh(50)
+        self.observe_fresh(50)
         spread = self.spent.patience_by_route['a'].spread
         self.assertLess(self.now, 10.0 + RETURN_SECONDS)
-        self.see_fresh(50)
-        learned = self.spent.patience_by_route['a'].spread
-        self.assertAlmostEqual(learned, spread, delta=0.01 * spread)
+        self.observe_fresh(50)
+        updated = self.spent.patience_by_route['a'].spread
+        self.assertAlmostEqual(updated, spread, delta=0.01 * spread)
 
     def test_new_callers_with_less_time_are_not_late_for_ever(self):
-        self.see_fresh()
+        self.observe_fresh()
         for _ in range(3000):
             self.spent.record_unanswered(self.now)
-            self.see_fresh(1)
-            told = self.observe(1.0)
-        self.assertEqual(told, 0.0)
+            self.observe_fresh(1)
+            spent = self.observe(1.0)
+        self.assertEqual(spent, 0.0)
 
     def test_absurd_times_do_not_make_others_late(self):
-        self.see_fresh()
+        self.observe_fresh()
         for absurd in (1e9, 0.0, 5e5):
             self.observe(absurd)
-        self.assertLess(sum(each > 0 for each in self.see_fresh()), 0.02 * 200)
+        self.assertLess(sum(each > 0 for each in self.observe_fresh()), 0.02 * 200)
 
     def test_callers_with_more_time_than_before_are_soon_usual(self):
-        self.see_fresh()
+        self.observe_fresh()
         for _ in range(WINDOW):
             self.observe(self.random.uniform(2 * LEAST, 2 * MOST))
         late = sum(
@@ -100,7 +100,7 @@
         self.assertLess(late, 0.02 * 100)
 
     def test_routes_do_not_mix(self):
-        self.see_fresh()
+        self.observe_fresh()
         self.assertEqual(self.observe(0.5, route='b'), 0.0)
 
     def test_flood_of_routes_is_bounded(self):
--- a/tests/test_admission_waiting.py
+++ b/tests/test_admission_waiting.py
@@ -31,7 +31,7 @@
             self.work.record('a', latency, delay, TARGET)
         return self.work.expect('a', 1.0, TARGET)
 
-    def test_work_is_learned_without_the_expected_queue(self):
+    def test_work_is_estimated_without_the_expected_queue(self):
         self.assertAlmostEqual(self.record(*[0.2] * 100, delay=2.0), 0.1, delta=0.01)
 
     def test_slow_first_answer_does_not_stay(self):
@@ -92,11 +92,11 @@
         self.assertIs(less_urgent.decide(3.5, WORK, 10.0), Decision.HOLD)
         self.assertIs(self.call.decide(3.5, WORK, 10.0), Decision.SEND)
 
-    def test_looks_end_with_the_hold(self):
+    def test_rechecks_end_with_the_hold(self):
         end = self.call.hold_until
         self.assertAlmostEqual(self.call.recheck_seconds(end - 0.001), 0.001)
 
-    def test_refusal_tells_when_to_come_back(self):
+    def test_refusal_has_a_retry_delay(self):
         refusal = self.call.refuse(60.0, 10.1, Random(1))
         self.assertIs(refusal.reason, Reason.DEADLINE_UNMET)
         self.assertLessEqual(refusal.retry_after, 1.9 * LONGEST_WAIT_SHARE)
--- a/tests/test_limits_admission.py
+++ b/tests/test_limits_admission.py
@@ -44,7 +44,7 @@
         report(load, 100)
         self.assertIsNone(DeadlineLimit().refuse(load, 1.0))
 
-    def test_idle_share_is_lent_and_called_back(self):
+    def test_idle_share_is_lent_until_reports_show_use(self):
         load = make_load()
         start(load, 12)
         self.assertIsNone(DeadlineLimit().refuse(load, 1.0))
@@ -145,6 +145,6 @@
             self.assertEqual(headers[b'catkinslip-outcome'], b'not-run')
             self.assertEqual(json.loads(data.data)['retry_after_ms'], millis)
 
-    def test_unknown_is_not_invited_to_come_back(self):
+    def test_unknown_has_no_retry_delay(self):
         response, _, _ = problem_events(Unknown(Reason.DEADLINE), 'r1')
         self.assertNotIn(b'retry-after', dict(response.headers))
--- a/tests/test_limits_attempts.py
+++ b/tests/test_limits_attempts.py
@@ -108,10 +108,10 @@
             return
         if script in DELAY_BY_SCRIPT:
             await trio.sleep(DELAY_BY_SCRIPT[script])
-        status, told = (503, [('catkinslip-outcome', 'not-run')])
+        status, outcome_headers = (503, [('catkinslip-outcome', 'not-run')])
         if not script.endswith('shed'):
-            status, told = 200, []
-        headers = [*told, ('content-length', '4')]
+            status, outcome_headers = 200, []
+        headers = [*outcome_headers, ('content-length', '4')]
         await wire.send(h11.Response(status_code=status, headers=headers))
         if script == 'late end':
             await trio.sleep(DEADLINE + ANSWER_GRACE_SECONDS / 2)
@@ -227,7 +227,7 @@
         attempt=st.sampled_from((1, 1, 1, 2)),
         tokens=st.sampled_from((0.0, 1.0, 5.0, 10.0)),
     )
-    def test_outcome_is_true(self, scripts, repeatable, attempt, tokens):
+    def test_outcome_matches_the_attempts(self, scripts, repeatable, attempt, tokens):
         result = forward(scripts, repeatable=repeatable, attempt=attempt, tokens=tokens)
         pool, outcome = result.pool, result.outcome
         if isinstance(outcome, NotRun):
@@ -369,7 +369,7 @@
         result = forward(scripts, repeatable=False, tokens=0.0)
         self.assertEqual(result.outcome, Answered(200))
 
-    def test_spent_budget_tells_the_last_outcome(self):
+    def test_spent_budget_returns_the_last_outcome(self):
         result = forward(['shed', 'answer'], repeatable=False, tokens=0.0)
         self.assertEqual(result.outcome.reason, Reason.SHED)
         self.assertEqual(result.pool.reached, ['shed'])
--- a/tests/test_throttling_fleet.py
+++ b/tests/test_throttling_fleet.py
@@ -80,9 +80,9 @@
     random: Random
     per_second: float
     sending_by_id: dict[str, Sending] = Factory(dict)
-    came_at: list[float] = Factory(list)
+    arrived_at: list[float] = Factory(list)
 
-    def take_in(self) -> None:
+    def add_new_instances(self) -> None:
         """Add new instances, which have received the server's rate, as senders."""
         for instance_id, table in self.site.table_by_id.items():
             if instance_id not in self.sending_by_id:
@@ -103,7 +103,7 @@
         """Make all instances try to send once."""
         now = trio.current_time()
         for sending in self.sending_by_id.values():
-            self.came_at.extend([now] * sending.tick(self.random, now))
+            self.arrived_at.extend([now] * sending.tick(self.random, now))
 
 
 async def pass_time(site: Site, seconds: float) -> None:
@@ -130,7 +130,7 @@
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-async def play(fleet: Fleet, parted: set[str], changes: Sequence[str]) -> None:
+async def play(fleet: Fleet, partitioned: set[str], changes: Sequence[str]) -> None:
     """Make instances send for a while.
 
     Some read no list, others join and leave; the set of partitioned instances may
@@ -142,14 +142,14 @@
         if step % 16 == 0:
             if 'cut' in changes:
                 names = list(site.table_by_id)
-                parted = set(random.sample(names, len(names) // 2))
+                partitioned = set(random.sample(names, len(names) // 2))
             for name, table in list(site.table_by_id.items()):
-                if name not in parted:
+                if name not in partitioned:
                     site.read(table)
             if 'come' in changes and random.random() < 0.5:
                 # Strong instances replace those that send.
                 site.come(random.choice(ZONES), 4.0)
-                fleet.take_in()
+                fleet.add_new_instances()
             if 'leave' in changes and random.random() < 0.3:
                 site.leave(random.choice(list(site.lists[-1][1])))
         fleet.tick()
@@ -160,37 +160,37 @@
 
     def check(self, size: int, per_second: float, seed: int, part, changes=()) -> int:
         """Play a fleet and return the number of requests that the server got."""
-        came = []
+        arrived = []
 
         async def run():
             random = Random(seed)
             site = await warmed_site(random, size)
             fleet = Fleet(site, random, per_second)
-            fleet.take_in()
+            fleet.add_new_instances()
             await play(fleet, part(site, random), changes)
-            came.extend(fleet.came_at)
+            arrived.extend(fleet.arrived_at)
 
         on_virtual_clock(run)
-        worst = most_within(WINDOW_SECONDS, came)
+        worst = most_within(WINDOW_SECONDS, arrived)
         message = f'size={size} per_second={per_second} seed={seed}'
         self.assertLessEqual(worst, bound(per_second), message)
-        return len(came)
+        return len(arrived)
 
-    def test_bound_holds_and_the_rate_is_used_while_all_is_well(self):
+    def test_bound_holds_and_the_rate_is_used_without_faults(self):
         for size in SIZES:
             for rate in RATES:
-                came = self.check(size, rate, seed=size, part=lambda *_: set())
+                arrived = self.check(size, rate, seed=size, part=lambda *_: set())
                 # A permit that waits for a connection keeps others from their turn.
-                self.assertGreaterEqual(came, 0.4 * rate * PLAY_SECONDS)
-                self.assertGreaterEqual(came, 2)
+                self.assertGreaterEqual(arrived, 0.4 * rate * PLAY_SECONDS)
+                self.assertGreaterEqual(arrived, 2)
 
-    def test_bound_holds_while_none_reads_the_list_and_the_server_gets_work(self):
+    def test_bound_holds_while_none_reads_the_list_and_the_server_gets_requests(self):
         for size in SIZES:
             for rate in (0.0, 1.2, 12.0):
-                came = self.check(
+                arrived = self.check(
                     size, rate, seed=size, part=lambda site, _: set(site.table_by_id)
                 )
-                self.assertGreaterEqual(came, 0.2 * rate * PLAY_SECONDS)
+                self.assertGreaterEqual(arrived, 0.2 * rate * PLAY_SECONDS)
 
     def test_bound_holds_where_others_take_the_places_of_those_cut_off(self):
         def part(site, random):
--- a/tests/test_throttling_incident.py
+++ b/tests/test_throttling_incident.py
@@ -28,11 +28,11 @@
 BOUND = 1.5 * PER_SECOND * WINDOW_SECONDS + 5
 #: Seconds after which every instance has received an answer with the rate or gossip
 #: about it.
-TOLD_SECONDS = 1.0
-PLAY_SECONDS = TOLD_SECONDS + WINDOW_SECONDS + 1.0
+GOSSIP_SECONDS = 1.0
+PLAY_SECONDS = GOSSIP_SECONDS + WINDOW_SECONDS + 1.0
 
 
-async def fleet_with_one_in_need(platform: SmallPlatform) -> Worker:
+async def start_fleet(platform: SmallPlatform) -> Worker:
     """Start instances that may send, and servers of which one will advertise a rate."""
     for number in range(3):
         await platform.add_worker(f'i-{number}', work_seconds=WORK_SECONDS)
@@ -44,7 +44,7 @@
     return platform.worker_by_id['i-0']
 
 
-async def call_always(
+async def call_repeatedly(
     platform: SmallPlatform, statuses: Counter, instance: int, name: str
 ):
     """Send one request after the other to an instance."""
@@ -62,7 +62,7 @@
         for instance in range(INSTANCES):
             for number in range(CALLERS_PER_INSTANCE):
                 name = f'r{instance}-{number}-{trio.current_time():.3f}'
-                nursery.start_soon(call_always, platform, statuses, instance, name)
+                nursery.start_soon(call_repeatedly, platform, statuses, instance, name)
         await trio.sleep(seconds)
         nursery.cancel_scope.cancel()
     return statuses
@@ -71,24 +71,24 @@
 class IncidentTest(unittest.TestCase):
     """The requests that a server with an advertised rate gets from the whole fleet."""
 
-    def test_server_in_need_gets_at_most_its_bound_from_all_instances(self):
+    def test_throttled_server_gets_at_most_its_bound_from_all_instances(self):
         async def check(platform):
-            worker = await fleet_with_one_in_need(platform)
+            worker = await start_fleet(platform)
             await call_for(platform, 0.5)
             worker.named_rate = b'%g' % PER_SECOND
             began = trio.current_time()
             statuses = await call_for(platform, PLAY_SECONDS)
-            came = [at for at in worker.arrived_at if at >= began + TOLD_SECONDS]
-            self.assertLessEqual(most_within(WINDOW_SECONDS, came), BOUND)
+            arrived = [at for at in worker.arrived_at if at >= began + GOSSIP_SECONDS]
+            self.assertLessEqual(most_within(WINDOW_SECONDS, arrived), BOUND)
             # The server still gets part of its rate, and the others handle the rest.
-            self.assertGreaterEqual(len(came), PER_SECOND * WINDOW_SECONDS / 2)
+            self.assertGreaterEqual(len(arrived), PER_SECOND * WINDOW_SECONDS / 2)
             self.assertGreater(statuses[200], statuses.total() * 0.9)
 
         on_platform(check)
 
-    def test_server_whose_need_is_over_has_its_share_again(self):
+    def test_server_regains_its_share_after_throttling(self):
         async def check(platform):
-            worker = await fleet_with_one_in_need(platform)
+            worker = await start_fleet(platform)
             await call_for(platform, 0.5)
             worker.named_rate = b'%g' % PER_SECOND
             await call_for(platform, 3.0)
@@ -96,12 +96,12 @@
             await call_for(platform, 2.0)
             began = trio.current_time()
             await call_for(platform, 1.0)
-            came_by_id = {
+            arrived_by_id = {
                 server_id: sum(at >= began for at in each.arrived_at)
                 for server_id, each in platform.worker_by_id.items()
             }
-            mean = sum(came_by_id.values()) / len(came_by_id)
-            self.assertGreater(came_by_id['i-0'], mean / 2)
+            mean = sum(arrived_by_id.values()) / len(arrived_by_id)
+            self.assertGreater(arrived_by_id['i-0'], mean / 2)
 
         on_platform(check)
 
--- a/tests/test_throttling_path.py
+++ b/tests/test_throttling_path.py
@@ -46,7 +46,7 @@
     )
 
 
-async def one_sender(platform: SmallPlatform) -> Entry:
+async def start_sender(platform: SmallPlatform) -> Entry:
     """Start a server with a high advertised rate and an instance that may use it."""
     await platform.add_worker('i-1', named_rate=b'50')
     entry = await platform.add_entry()
@@ -61,7 +61,7 @@
     return entry.sampler.health.directory.router_by_service['one'].throttle
 
 
-async def in_need(
+async def start_throttled_servers(
     platform: SmallPlatform, server_ids: tuple[str, ...], instances: int = 1
 ) -> None:
     """Start throttled servers and instances that know one another.
@@ -104,10 +104,10 @@
     return trio.run(wait.choose, [])
 
 
-class SightTest(unittest.TestCase):
+class LogsAndMetricsTest(unittest.TestCase):
     """Logs and metrics about a server that advertises a rate."""
 
-    def test_lines_and_metrics_tell_what_a_server_names(self):
+    def test_log_lines_and_metrics_show_the_rate(self):
         async def check(platform):
             await platform.add_worker('i-1', named_rate=b'1.2')
             entry = await platform.add_entry()
@@ -129,9 +129,9 @@
 
         on_platform(check)
 
-    def test_choice_tells_the_rate_that_was_known(self):
+    def test_choice_is_logged_with_the_known_rate(self):
         async def check(platform):
-            await one_sender(platform)
+            await start_sender(platform)
             await platform.ask('POST', '/p/x')
             await trio.sleep(0.1)
             with self.assertLogs('routing', 'INFO') as logs:
@@ -148,7 +148,7 @@
 
     def test_second_send_after_a_refusal(self):
         async def check(platform):
-            await in_need(platform, ('i-1',))
+            await start_throttled_servers(platform, ('i-1',))
             await platform.add_worker('i-2', fault=Fault.SHED)
             backends = platform.entries[0].assembler
             await wait_for(lambda: len(backends.current_backends) == 2)
@@ -163,7 +163,7 @@
 
     def test_hedge(self):
         async def check(platform):
-            await in_need(platform, ('i-1',))
+            await start_throttled_servers(platform, ('i-1',))
             await platform.add_worker('i-2', fault=Fault.SILENT)
             backends = platform.entries[0].assembler
             await wait_for(lambda: len(backends.current_backends) == 2)
@@ -176,9 +176,9 @@
 
         on_platform(check)
 
-    def test_all_servers_in_need_is_a_true_refusal_at_once(self):
+    def test_call_is_refused_at_once_when_all_servers_are_throttled(self):
         async def check(platform):
-            await in_need(platform, ('i-1', 'i-2'))
+            await start_throttled_servers(platform, ('i-1', 'i-2'))
             began = trio.current_time()
             answer = await platform.ask('POST', '/p/x', request_id='r9')
             self.assertEqual(answer.status_code, 503)
@@ -189,7 +189,7 @@
 
         on_platform(check)
 
-    def test_chosen_before_it_named_a_rate(self):
+    def test_server_chosen_before_it_advertised_a_rate(self):
         load = BackendLoad('i-1', 'zone-a', 2)
         gate = ThrottleGate(lambda *_: {SENDER: 1.0})
         gates = Gates((gate,))
@@ -200,7 +200,7 @@
         self.assertTrue(gates.may_send(load, permits, NOW))
         self.assertFalse(gates.may_send(load, permits, NOW + 0.9))
 
-    def test_cold_server_that_names_a_rate_needs_leave_of_both(self):
+    def test_cold_throttled_server_needs_permits_of_both_gates(self):
         load = BackendLoad('i-1', 'zone-a', 2)
         throttle = sender_gate(1.0)
         cold = ColdGate(lambda *_: {SENDER: 2}, lambda: SENDER)
@@ -218,7 +218,7 @@
         self.assertEqual(len(cold.find(load, NOW).sent_at), 1)
         self.assertTrue(gates.may_send(load, (None, None), NOW + 1.0))
 
-    def test_entry_that_lapses_and_is_back_opens_no_turn(self):
+    def test_entry_that_expires_and_returns_opens_no_turn(self):
         document = {'i-1': Backend('one', zone='zone-a', host='10.0.0.1', port=80)}
         gate = sender_gate(1.0)
         router = ServiceRouter(LeastInFlight(Random(1)), throttle=gate)
@@ -235,7 +235,7 @@
         self.assertFalse(router.gates.may_send(load, permits, NOW + 0.5))
         self.assertEqual(router.choose(NOW + 1.0).backend_id, 'i-1')
 
-    def test_request_that_may_end_servers_goes_to_none_in_need(self):
+    def test_suspect_request_is_not_sent_to_a_throttled_server(self):
         gate = sender_gate(1.0)
         router = ServiceRouter(LeastInFlight(Random(1)), throttle=gate)
         backend = Backend('one', zone='zone-a', host='10.0.0.1', port=80)
@@ -245,7 +245,7 @@
         self.assertEqual(choose(router, is_suspect=False).backend_id, 'i-1')
         self.assertIsNone(choose(router, is_suspect=True))
 
-    def test_what_was_sent_before_counts_for_the_first_turn(self):
+    def test_requests_sent_before_count_for_the_first_turn(self):
         load = BackendLoad('i-1', 'zone-a', 2)
         gate = sender_gate(0.5)
         load.note_sent(NOW - 0.5)
@@ -254,12 +254,12 @@
         self.assertEqual(gate.closed(NOW + 1.5), [])
 
 
-class NewsTest(unittest.TestCase):
+class RateGossipTest(unittest.TestCase):
     """Gossip among instances about the start and the end of throttling."""
 
-    def test_instances_that_sent_nothing_know_and_hear_of_the_end(self):
+    def test_instances_that_sent_nothing_receive_the_rate_and_its_end(self):
         async def check(platform):
-            await in_need(platform, ('i-1',), instances=3)
+            await start_throttled_servers(platform, ('i-1',), instances=3)
             registries = [throttle_of(entry).registry for entry in platform.entries]
             await wait_for(
                 lambda: all(registry.active_rates() for registry in registries)
@@ -278,9 +278,9 @@
 
         on_platform(check)
 
-    def test_probes_that_name_nothing_are_not_sent_again(self):
+    def test_probes_without_a_rate_are_not_repeated(self):
         async def check(platform):
-            await in_need(platform, ('i-1',))
+            await start_throttled_servers(platform, ('i-1',))
             worker = platform.worker_by_id['i-1']
             worker.is_rate_everywhere = False
             registry = throttle_of(platform.entries[0]).registry
@@ -295,9 +295,9 @@
 
         on_platform(check)
 
-    def test_error_that_names_nothing_ends_no_need(self):
+    def test_error_without_a_rate_does_not_end_throttling(self):
         async def check(platform):
-            entry = await one_sender(platform)
+            entry = await start_sender(platform)
             await platform.ask('POST', '/p/x')
             platform.worker_by_id['i-1'].is_failing = True
             await trio.sleep(0.1)
@@ -307,9 +307,9 @@
 
         on_platform(check)
 
-    def test_who_missed_the_end_asks(self):
+    def test_instance_that_missed_the_end_sends_a_query(self):
         async def check(platform):
-            await in_need(platform, ('i-1',), instances=2)
+            await start_throttled_servers(platform, ('i-1',), instances=2)
             first, second = (throttle_of(e).registry for e in platform.entries)
             await wait_for(second.active_rates)
             await trio.sleep(0.5)
@@ -322,9 +322,9 @@
 
         on_platform(check)
 
-    def test_nothing_is_taken_of_another_start_or_from_what_cannot_be_read(self):
+    def test_rates_of_another_start_and_malformed_datagrams_are_ignored(self):
         async def check(platform):
-            await in_need(platform, ('i-1',))
+            await start_throttled_servers(platform, ('i-1',))
             sharer = platform.entries[0].sharer
             registry = throttle_of(platform.entries[0]).registry
             other = [['i-1', 7, 9.0, 0, None, 0]]
@@ -365,22 +365,22 @@
         ]
         gossip._send(rates, [])
         self.assertLessEqual(max(map(len, sent)), MAX_DATAGRAM_BYTES)
-        told = [each[0] for data in sent for each in orjson.loads(data)['rates']]
-        self.assertEqual(told, names)
+        sent_names = [each[0] for data in sent for each in orjson.loads(data)['rates']]
+        self.assertEqual(sent_names, names)
 
-    def test_news_in_any_order_and_twice_is_the_same(self):
+    def test_reports_have_the_same_effect_in_any_order_and_twice(self):
         named = RateReport('i-1', 0, 2.0, advertised_seconds=3.0, cleared_seconds=None)
         ended = RateReport('i-1', 0, 2.0, advertised_seconds=3.0, cleared_seconds=1.0)
         again = RateReport('i-1', 0, 1.0, advertised_seconds=0.5, cleared_seconds=1.0)
         load = BackendLoad('i-1', 'zone-a', 2)
         for order in ((named, ended, again), (again, named, ended), (ended, again)):
             gate = ThrottleGate()
-            for told in (*order, *order):
-                gate.registry.apply_peer_report(load, told, NOW)
+            for report in (*order, *order):
+                gate.registry.apply_peer_report(load, report, NOW)
             self.assertEqual(gate.registry.find(load).per_second, 1.0)
         gate = ThrottleGate()
-        for told in (ended, named, ended):
-            gate.registry.apply_peer_report(load, told, NOW)
+        for report in (ended, named, ended):
+            gate.registry.apply_peer_report(load, report, NOW)
         self.assertIsNone(gate.registry.find(load))
 
 
