--- a/catkinslip/proxy/server_wait.py
+++ b/catkinslip/proxy/server_wait.py
@@ -55,7 +55,7 @@
             began=self.began,
             best_until=call.best_until,
             deadline=call.deadline,
-            caller_deadline=call.caller_deadline,
+            caller_deadline=call.caller_leaves,
             target=call.target_latency,
             priority=call.priority,
             spent=call.spent,
