--- a/benchmarks/overload_instances.py
+++ b/benchmarks/overload_instances.py
@@ -7,7 +7,7 @@
 
 from benchmarks.overload_callers import Request
 from benchmarks.overload_servers import Run, Server
-from catkinslip.admission.guarded import restricted_retry_after
+from catkinslip.admission.restricted import restricted_retry_after
 from catkinslip.admission.spent import SpentTimes
 from catkinslip.admission.waiting import GOOD_DELAY, Decision, WaitingCall
 from catkinslip.admission.work import WorkTimes
@@ -36,10 +36,10 @@
 from catkinslip.routing.router import ServiceRouter
 from catkinslip.routing.words import ServerWords
 from catkinslip.store.budget import TokenBucket
-from catkinslip.throttling.book import AdvertisedRate
+from catkinslip.throttling.gossip import REFRESH_SECONDS, report_of
 from catkinslip.throttling.messages import RateReport
-from catkinslip.throttling.signs import AnswerKind
-from catkinslip.throttling.telling import REFRESH_SECONDS, report_of
+from catkinslip.throttling.registry import AdvertisedRate
+from catkinslip.throttling.signals import AnswerKind
 from catkinslip.warmup.senders import Place
 
 if TYPE_CHECKING:
--- a/benchmarks/overload_servers.py
+++ b/benchmarks/overload_servers.py
@@ -9,7 +9,7 @@
 from catkinslip.resting.signs import RestSign
 from catkinslip.routing.base import LoadReport, ResultKind
 from catkinslip.routing.words import ServerWords
-from catkinslip.throttling.signs import RateSignal
+from catkinslip.throttling.signals import RateSignal
 
 if TYPE_CHECKING:
     from benchmarks.overload_instances import Call, Instance
--- a/benchmarks/overload_world.py
+++ b/benchmarks/overload_world.py
@@ -27,7 +27,7 @@
 from catkinslip.routing.words import ServerWords
 from catkinslip.throttling.gate import ThrottleGate
 from catkinslip.throttling.shares import divide_rate
-from catkinslip.throttling.signs import NO_RATE
+from catkinslip.throttling.signals import NO_RATE
 from catkinslip.warmup.quotas import SENDERS_PER_ZONE, Sender
 from catkinslip.warmup.senders import Place
 from catkinslip.wiring.entry import (
--- a/catkinslip/health/sampler.py
+++ b/catkinslip/health/sampler.py
@@ -23,7 +23,7 @@
 from catkinslip.routing.base import GOOD_DELAY, BackendLoad
 from catkinslip.routing.router import ServiceRouter
 from catkinslip.store.budget import TokenBucket
-from catkinslip.throttling.signs import AnswerKind
+from catkinslip.throttling.signals import AnswerKind
 
 #: Reports younger than this are not asked for again.
 FRESH_SECONDS = 0.01
--- a/catkinslip/platform/dialect.py
+++ b/catkinslip/platform/dialect.py
@@ -17,7 +17,7 @@
 from catkinslip.resting.signs import MALFORMED_REST, NO_REST, RestSign
 from catkinslip.routing.base import LoadReport
 from catkinslip.routing.words import ServerWords
-from catkinslip.throttling.signs import MALFORMED_RATE, NO_RATE, RateSignal
+from catkinslip.throttling.signals import MALFORMED_RATE, NO_RATE, RateSignal
 
 MILLISECONDS = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?\Z')
 #: Decimal requests a second.
--- a/catkinslip/proxy/exchange.py
+++ b/catkinslip/proxy/exchange.py
@@ -18,7 +18,7 @@
 from catkinslip.proxy.wire import ConnectionErrors, Wire
 from catkinslip.routing import reports
 from catkinslip.routing.words import ServerWords
-from catkinslip.throttling.signs import AnswerKind
+from catkinslip.throttling.signals import AnswerKind
 
 __all__ = ['AnswerHead', 'Attempt', 'Call']
 
--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -39,7 +39,7 @@
 from catkinslip.routing.gates import give_back
 from catkinslip.routing.router import ServiceRouter
 from catkinslip.routing.words import ServerWords
-from catkinslip.throttling.signs import AnswerKind
+from catkinslip.throttling.signals import AnswerKind
 
 ANSWER_GRACE_SECONDS = 1.0
 #: Enough to find a request again; a caller may send 32 kB.
--- a/catkinslip/proxy/server_wait.py
+++ b/catkinslip/proxy/server_wait.py
@@ -8,7 +8,7 @@
 import trio
 from attrs import define, field
 
-from catkinslip.admission.guarded import restricted_retry_after
+from catkinslip.admission.restricted import restricted_retry_after
 from catkinslip.admission.waiting import Decision, WaitingCall
 from catkinslip.clock import Clock
 from catkinslip.health.base import Sampler
--- a/catkinslip/resting/book.py
+++ b/catkinslip/resting/book.py
@@ -12,7 +12,7 @@
 
 from catkinslip.resting.signs import RestSign
 from catkinslip.routing.base import NEVER, BackendLoad
-from catkinslip.throttling.signs import AnswerKind
+from catkinslip.throttling.signals import AnswerKind
 
 #: A rest that has been over for so long is forgotten, whether or not it was tried.
 KEPT_SECONDS = 60.0
--- a/catkinslip/routing/directory.py
+++ b/catkinslip/routing/directory.py
@@ -15,8 +15,8 @@
 from catkinslip.routing.base import BackendLoad, Policy
 from catkinslip.routing.router import ServiceRouter, ignore_news
 from catkinslip.routing.sample import Sample
-from catkinslip.throttling.book import OnObservation, ignore_observation
 from catkinslip.throttling.gate import ThrottleGate
+from catkinslip.throttling.registry import OnObservation, ignore_observation
 from catkinslip.warmup.gate import ColdGate
 
 log = logging.getLogger('routing')
--- a/catkinslip/routing/router.py
+++ b/catkinslip/routing/router.py
@@ -21,7 +21,7 @@
 from catkinslip.routing.sample import Sample
 from catkinslip.routing.words import ServerWords
 from catkinslip.throttling.gate import ThrottleGate
-from catkinslip.throttling.signs import AnswerKind
+from catkinslip.throttling.signals import AnswerKind
 from catkinslip.warmup.gate import ColdGate
 
 UNWELL_PAUSE_SECONDS = 0.2
--- a/catkinslip/routing/words.py
+++ b/catkinslip/routing/words.py
@@ -3,7 +3,7 @@
 from attrs import frozen
 
 from catkinslip.resting.signs import NO_REST, RestSign
-from catkinslip.throttling.signs import NO_RATE, RateSignal
+from catkinslip.throttling.signals import NO_RATE, RateSignal
 
 
 @frozen
--- a/catkinslip/throttling/gate.py
+++ b/catkinslip/throttling/gate.py
@@ -7,7 +7,7 @@
 
 from catkinslip.routing.base import NEVER, BackendLoad
 from catkinslip.routing.gates import Gate, GuardedServer, GuardWord
-from catkinslip.throttling.book import AdvertisedRate, RateRegistry
+from catkinslip.throttling.registry import AdvertisedRate, RateRegistry
 from catkinslip.throttling.shares import local_rate
 from catkinslip.warmup.quotas import Sender
 from catkinslip.warmup.senders import Place
--- a/catkinslip/throttling/telling.py
+++ b/catkinslip/throttling/gossip.py
@@ -21,7 +21,6 @@
 from catkinslip.models import Address
 from catkinslip.routing.base import NEVER
 from catkinslip.routing.directory import Directory
-from catkinslip.throttling.book import AdvertisedRate
 from catkinslip.throttling.messages import (
     RateQuery,
     RateReport,
@@ -30,7 +29,8 @@
     rates_from_plain,
     rates_to_plain,
 )
-from catkinslip.throttling.signs import AnswerKind
+from catkinslip.throttling.registry import AdvertisedRate
+from catkinslip.throttling.signals import AnswerKind
 
 #: Maximum number of rates in one datagram; each takes some 45 bytes.
 MAX_RATES = 28
--- a/catkinslip/throttling/book.py
+++ b/catkinslip/throttling/registry.py
@@ -8,7 +8,7 @@
 
 from catkinslip.routing.base import NEVER, BackendLoad
 from catkinslip.throttling.messages import RateReport
-from catkinslip.throttling.signs import AnswerKind, RateSignal
+from catkinslip.throttling.signals import AnswerKind, RateSignal
 
 #: Allowance in seconds for the way of a datagram: what a peer reports was true this
 #: much earlier.
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -57,8 +57,8 @@
 from catkinslip.routing.directory import Directory, no_bound
 from catkinslip.routing.sample import Sample
 from catkinslip.throttling.gate import ThrottleGate
+from catkinslip.throttling.gossip import RateGossip
 from catkinslip.throttling.shares import divide_rate
-from catkinslip.throttling.telling import RateGossip
 from catkinslip.warmup.gate import ColdGate
 from catkinslip.warmup.quotas import Sender, divide
 
--- a/tests/test_admission_need.py
+++ b/tests/test_admission_throttled.py
@@ -5,7 +5,7 @@
 
 from benchmarks.overload_load import named_load
 from benchmarks.overload_world import Mechanisms, World, build_world
-from catkinslip.admission import guarded
+from catkinslip.admission import restricted
 from catkinslip.admission.waiting import AdmissionSettings
 from standins.workers import most_within
 
@@ -73,7 +73,7 @@
         later = {'EARLY_RETRY_SECONDS': 1.0, 'MAX_EARLY_RETRY_SECONDS': 1.5}
         for seed in SEEDS:
             usual = in_time(play(seed), SPANS[2])
-            with patch.multiple(guarded, **later):
+            with patch.multiple(restricted, **later):
                 self.assertGreater(usual, in_time(play(seed), SPANS[2]) + 0.05)
 
 
--- a/tests/test_resting_book.py
+++ b/tests/test_resting_book.py
@@ -6,7 +6,7 @@
 from catkinslip.resting.book import RestBook
 from catkinslip.resting.signs import MALFORMED_REST, NO_REST, RestSign
 from catkinslip.routing.base import BackendLoad
-from catkinslip.throttling.signs import AnswerKind
+from catkinslip.throttling.signals import AnswerKind
 
 NOW = 100.0
 
--- a/tests/test_resting_path.py
+++ b/tests/test_resting_path.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from catkinslip.admission.guarded import (
+from catkinslip.admission.restricted import (
     EARLY_RETRY_SECONDS,
     MAX_EARLY_RETRY_SECONDS,
     restricted_retry_after,
@@ -27,7 +27,7 @@
 from catkinslip.routing.policies import LeastInFlight
 from catkinslip.routing.router import ServiceRouter
 from catkinslip.routing.words import ServerWords
-from catkinslip.throttling.signs import AnswerKind
+from catkinslip.throttling.signals import AnswerKind
 from standins.workers import Fault
 from tests.small_platform import SmallPlatform, on_platform, wait_for
 
--- a/tests/test_throttling_fleet.py
+++ b/tests/test_throttling_fleet.py
@@ -19,7 +19,7 @@
 from catkinslip.routing.gates import Gates, Permits, give_back
 from catkinslip.throttling.gate import ThrottleGate
 from catkinslip.throttling.shares import divide_rate
-from catkinslip.throttling.signs import AnswerKind, RateSignal
+from catkinslip.throttling.signals import AnswerKind, RateSignal
 from standins.workers import most_within
 from tests.sender_builders import Site
 
--- a/tests/test_throttling_path.py
+++ b/tests/test_throttling_path.py
@@ -23,11 +23,11 @@
 from catkinslip.routing.gates import Gates
 from catkinslip.routing.policies import LeastInFlight
 from catkinslip.routing.router import ServiceRouter
-from catkinslip.throttling.book import AdvertisedRate
 from catkinslip.throttling.gate import ThrottleGate
+from catkinslip.throttling.gossip import MAX_RATES, RateGossip
 from catkinslip.throttling.messages import RateReport
-from catkinslip.throttling.signs import NO_RATE, AnswerKind, RateSignal
-from catkinslip.throttling.telling import MAX_RATES, RateGossip
+from catkinslip.throttling.registry import AdvertisedRate
+from catkinslip.throttling.signals import NO_RATE, AnswerKind, RateSignal
 from catkinslip.warmup.gate import ColdGate
 from catkinslip.warmup.quotas import Sender
 from catkinslip.warmup.senders import Place
--- a/tests/test_throttling_book.py
+++ b/tests/test_throttling_registry.py
@@ -4,8 +4,8 @@
 
 from catkinslip.platform.dialect import read_rate
 from catkinslip.routing.base import BackendLoad
-from catkinslip.throttling.book import MAX_REMOVED, RateRegistry
-from catkinslip.throttling.signs import (
+from catkinslip.throttling.registry import MAX_REMOVED, RateRegistry
+from catkinslip.throttling.signals import (
     MALFORMED_RATE,
     NO_RATE,
     AnswerKind,
