--- a/tests/test_platform_decoding.py
+++ b/tests/test_platform_decoding.py
@@ -48,7 +48,7 @@
         text = text + '[limits]\ncpu_share = 0.7\ncpus = 3\n'
         self.assertAlmostEqual(read_settings(text).unwrap().cores, 2.1)
 
-    def test_every_mistake_is_reported_with_its_location(self):
+    def test_every_mistake_is_told_with_its_place(self):
         text = settings_text()
         text = text.replace('ready = "127.0.0.1:7001"', 'ready = "nowhere"')
         text = text.replace('"grace_s=6"', '"grace_s=soon"').replace('node =', 'name =')
