--- a/catkinslip/admission/restricted.py
+++ b/catkinslip/admission/restricted.py
@@ -12,8 +12,8 @@
 from catkinslip.admission.waiting import WaitingCall
 from catkinslip.routing.gates import Closure, GuardWord
 
-#: Seconds after which an early retry may come; short beside the time within which an
-#: answer has the most value.
+#: Minimum and maximum seconds before an early retry; short beside the time within which
+#: an answer has the most value.
 EARLY_RETRY_SECONDS = 0.05
 MAX_EARLY_RETRY_SECONDS = 0.06
 #: Seconds after which a call for cold servers may be retried: the requests that a cold
--- a/catkinslip/admission/spent.py
+++ b/catkinslip/admission/spent.py
@@ -20,8 +20,8 @@
 WINDOW = 64
 #: Minimum number of requests of a route before its callers' patience is estimated.
 MIN_SAMPLES = 3
-#: Share of the requests that is left out at either end, so that a few callers with
-#: absurd times change nothing.
+#: Share of the requests that is ignored at either end, so that a few callers with
+#: extreme times change nothing.
 OUTLIER_SHARE = 0.05
 #: Maximum number of routes; beyond it the oldest is removed. Routes come from the
 #: rules.
--- a/catkinslip/throttling/gate.py
+++ b/catkinslip/throttling/gate.py
@@ -12,11 +12,11 @@
 from catkinslip.warmup.quotas import Sender
 from catkinslip.warmup.senders import Place
 
-#: Seconds without an answer that advertises the rate after which the next request that
+#: Seconds since the last known answer with the rate after which the next request that
 #: the server could answer at once goes there, as the throttling may be over.
 STALE_SECONDS = 1.0
-#: Seconds without an answer that advertises the rate after which the server is probed
-#: in addition to requests.
+#: Seconds since the last known answer with the rate after which the server is probed in
+#: addition to requests.
 PROBE_AGE_SECONDS = 0.5
 
 Divide = Callable[[BackendLoad, float], Mapping[Sender, float]]
--- a/catkinslip/throttling/gossip.py
+++ b/catkinslip/throttling/gossip.py
@@ -34,7 +34,8 @@
 
 #: Maximum number of rates in one datagram; each takes some 45 bytes.
 MAX_RATES = 28
-#: Seconds that updates are collected before a datagram is sent.
+#: Seconds that updates are collected before a datagram is sent, and seconds after which
+#: a changed rate is sent again.
 FLUSH_SECONDS = 0.02
 REPEAT_SECONDS = 0.1
 #: Seconds between two datagrams about an unchanged rate while answers arrive, and
@@ -49,7 +50,8 @@
 #: Maximum number of servers in one query: half of what fits into a datagram, as names
 #: may be long.
 MAX_QUERIES = 14
-#: Seconds by which evidence must be newer than a query's to be sent as its reply.
+#: Minimum seconds by which evidence must be newer than that of a query to be sent as
+#: its reply.
 MIN_NEWER_SECONDS = 0.05
 
 Post = Callable[[bytes, list[Address]], None]
--- a/catkinslip/throttling/messages.py
+++ b/catkinslip/throttling/messages.py
@@ -11,7 +11,7 @@
 
 @frozen
 class RateReport:
-    """What an instance knows about one server's rate; ages in seconds."""
+    """A report from one instance about the rate of one server; ages in seconds."""
 
     backend_id: str
     #: Tag that distinguishes one start of the server from another.
--- a/catkinslip/throttling/registry.py
+++ b/catkinslip/throttling/registry.py
@@ -10,8 +10,8 @@
 from catkinslip.throttling.messages import RateReport
 from catkinslip.throttling.signals import AnswerKind, RateSignal
 
-#: Allowance in seconds for the way of a datagram: what a peer reports was true this
-#: much earlier.
+#: Allowance in seconds for the transit of a datagram: a peer's report describes the
+#: state this much earlier than its arrival.
 TRANSIT_SECONDS = 0.05
 #: Maximum number of removed servers that are remembered; an outage of the store makes
 #: the entries of many servers expire at once.
--- a/catkinslip/throttling/shares.py
+++ b/catkinslip/throttling/shares.py
@@ -47,7 +47,7 @@
 ) -> dict[Sender, float]:
     """Return the requests per second that each sender may send to a server.
 
-    Both senders of a zone get the same rate, as both may assume that they are the
+    Both senders of a zone get the same rate, as both may treat themselves as the
     second.
     """
     used = max(per_second, MIN_PER_SECOND)
--- a/tests/test_throttling_path.py
+++ b/tests/test_throttling_path.py
@@ -64,7 +64,7 @@
 async def start_throttled_servers(
     platform: SmallPlatform, server_ids: tuple[str, ...], instances: int = 1
 ) -> None:
-    """Start throttled servers and instances that know one another.
+    """Start throttled servers, and instances that list one another.
 
     Returns when the first instance has received the rates of all servers.
     """
