--- a/catkinslip/throttling/gossip.py
+++ b/catkinslip/throttling/gossip.py
@@ -120,8 +120,8 @@
 
     def _pop_updates(self) -> tuple[list[AdvertisedRate], bool]:
         """Remove and return the next rates to send, and whether one of them changed."""
-        taken = list(self.pending_by_id)[:MAX_RATES]
-        updates = [self.pending_by_id.pop(backend_id) for backend_id in taken]
+        backend_ids = list(self.pending_by_id)[:MAX_RATES]
+        updates = [self.pending_by_id.pop(backend_id) for backend_id in backend_ids]
         if not self.pending_by_id:
             self.has_updates = trio.Event()
         is_change = any(is_change for _, is_change in updates)
--- a/tests/test_admission_spent.py
+++ b/tests/test_admission_spent.py
@@ -13,7 +13,7 @@
 
 TARGET = 0.25
 #: Minimum and maximum seconds that fresh callers of the tests wait: 1.7 and 2 s.
-LEAST, MOST = 1.7, 2.0
+MIN_PATIENCE, MAX_PATIENCE = 1.7, 2.0
 
 
 class SpentTimesTest(unittest.TestCase):
@@ -30,7 +30,7 @@
 
     def observe_fresh(self, count: int = 200) -> list[float]:
         """Observe fresh callers and return the estimated time spent of each."""
-        given = [self.random.uniform(LEAST, MOST) for _ in range(count)]
+        given = [self.random.uniform(MIN_PATIENCE, MAX_PATIENCE) for _ in range(count)]
         return [self.observe(each) for each in given]
 
     def test_fresh_callers_have_spent_nothing(self):
@@ -39,17 +39,17 @@
     def test_caller_with_less_time_than_fresh_ones_asked_before(self):
         self.observe_fresh()
         for used in (0.4, 0.7, 1.2):
-            middling = (LEAST + MOST) / 2
+            middling = (MIN_PATIENCE + MAX_PATIENCE) / 2
             spent = self.observe(middling - used)
             self.assertAlmostEqual(spent, used, delta=0.1)
 
     def test_caller_that_may_be_fresh_counts_as_fresh(self):
         self.observe_fresh()
-        self.assertEqual(self.observe(LEAST + 0.05), 0.0)
+        self.assertEqual(self.observe(MIN_PATIENCE + 0.05), 0.0)
 
     def test_few_requests_after_a_start_are_enough(self):
         for _ in range(MIN_SAMPLES):
-            self.observe(self.random.uniform(LEAST, MOST))
+            self.observe(self.random.uniform(MIN_PATIENCE, MAX_PATIENCE))
         self.assertGreater(self.observe(0.8), TARGET)
 
     def test_spread_is_updated_while_no_callers_return(self):
@@ -92,9 +92,9 @@
     def test_callers_with_more_time_than_before_are_soon_usual(self):
         self.observe_fresh()
         for _ in range(WINDOW):
-            self.observe(self.random.uniform(2 * LEAST, 2 * MOST))
+            self.observe(self.random.uniform(2 * MIN_PATIENCE, 2 * MAX_PATIENCE))
         late = sum(
-            self.observe(self.random.uniform(2 * LEAST, 2 * MOST)) > 0
+            self.observe(self.random.uniform(2 * MIN_PATIENCE, 2 * MAX_PATIENCE)) > 0
             for _ in range(100)
         )
         self.assertLess(late, 0.02 * 100)
--- a/tests/test_admission_throttled.py
+++ b/tests/test_admission_throttled.py
@@ -49,17 +49,23 @@
             world = play(seed)
             for began, ended in SPANS:
                 for server in world.server_by_id.values():
-                    came = [at for at in server.came_in_need if began <= at < ended]
-                    if not came:
+                    arrived = [at for at in server.came_in_need if began <= at < ended]
+                    if not arrived:
                         continue
-                    late = [at for at in came if at >= began + GOSSIP_SECONDS]
-                    self.assertLessEqual(most_within(WINDOW_SECONDS, late), BOUND)
-                    self.assertGreater(len(came), PER_SECOND * (ended - began) / 2)
+                    after_gossip = [
+                        at for at in arrived if at >= began + GOSSIP_SECONDS
+                    ]
+                    self.assertLessEqual(
+                        most_within(WINDOW_SECONDS, after_gossip), BOUND
+                    )
+                    self.assertGreater(len(arrived), PER_SECOND * (ended - began) / 2)
 
     def test_without_throttling_servers_get_more_than_their_bound(self):
         world = play(SEEDS[0], throttles=False)
-        came = [most_within(4, it.came_in_need) for it in world.server_by_id.values()]
-        self.assertGreater(max(came), BOUND)
+        arrived = [
+            most_within(4, it.came_in_need) for it in world.server_by_id.values()
+        ]
+        self.assertGreater(max(arrived), BOUND)
 
     def test_others_handle_the_load_while_half_are_throttled(self):
         for seed in SEEDS:
--- a/tests/test_throttling_fleet.py
+++ b/tests/test_throttling_fleet.py
@@ -32,7 +32,7 @@
 WARM_SECONDS = 40
 PLAY_SECONDS = 30
 #: Maximum seconds that a request holds its permit until a connection exists.
-LONGEST_WAIT_SECONDS = 1.0
+MAX_WAIT_SECONDS = 1.0
 
 
 def bound(per_second: float) -> float:
@@ -58,7 +58,7 @@
         used.extend(permits for permits, _ in ready)
         permits = self.gates.reserve(self.load, now)
         if random.random() < 0.5:
-            wait = random.uniform(0, LONGEST_WAIT_SECONDS)
+            wait = random.uniform(0, MAX_WAIT_SECONDS)
             self.waiting.append((permits, now + wait))
         else:
             used.append(permits)
