--- a/benchmarks/overload_instances.py
+++ b/benchmarks/overload_instances.py
@@ -7,9 +7,15 @@
 
 from benchmarks.overload_callers import Request
 from benchmarks.overload_servers import Run, Server
-from catkinslip.admission.guarded import guarded_retry
+from catkinslip.admission.restricted import (
+    restricted_retry_after,
+)
 from catkinslip.admission.spent import SpentTimes
-from catkinslip.admission.waiting import GOOD_DELAY, Verdict, WaitingCall
+from catkinslip.admission.waiting import (
+    GOOD_DELAY,
+    Decision,
+    WaitingCall,
+)
 from catkinslip.admission.work import WorkTimes
 from catkinslip.health.sampler import (
     ANSWER_SECONDS,
@@ -38,10 +44,19 @@
     ServerSignals,
 )
 from catkinslip.store.budget import TokenBucket
-from catkinslip.throttling.book import NamedRate
-from catkinslip.throttling.messages import ToldRate
-from catkinslip.throttling.signs import AnswerKind
-from catkinslip.throttling.telling import REFRESH_SECONDS, told_of
+from catkinslip.throttling.gossip import (
+    REFRESH_SECONDS,
+    report_of,
+)
+from catkinslip.throttling.messages import (
+    RateReport,
+)
+from catkinslip.throttling.registry import (
+    AdvertisedRate,
+)
+from catkinslip.throttling.signals import (
+    AnswerKind,
+)
 from catkinslip.warmup.senders import (
     SenderPosition,
 )
@@ -117,7 +132,7 @@
             began=now,
             best_until=now + kind.target - known,
             deadline=now + min(given, kind.timeout),
-            caller_leaves=now + given,
+            caller_deadline=now + given,
             target=kind.target,
             priority=kind.priority,
             spent=known,
@@ -126,7 +141,7 @@
         desk.budget.earn()
         call = Call(request, waiting)
         self.open_calls[call] = None
-        waiting.note_time(desk.work.expect(kind.name, 1.0, kind.target), now)
+        waiting.update_lateness(desk.work.expect(kind.name, 1.0, kind.target), now)
         left = request.deadline + CLIENT_SECONDS - now
         self.world.after(min(left, kind.timeout), self.expire, call)
         self.look(call)
@@ -232,12 +247,12 @@
         best = ranked[0]
         work = desk.work.expect(kind.name, 1.0, kind.target)
         waiting, is_known = call.waiting, not best.load.is_silent
-        match waiting.judge(best.delay, work, now, is_known=is_known):
-            case Verdict.SEND:
+        match waiting.decide(best.delay, work, now, is_known=is_known):
+            case Decision.SEND:
                 self.send(desk, call, best)
-            case Verdict.HOLD:
-                self.world.after(waiting.look_seconds(now), self.look, call)
-            case Verdict.REFUSE:
+            case Decision.HOLD:
+                self.world.after(waiting.recheck_seconds(now), self.look, call)
+            case Decision.REFUSE:
                 slow = waiting.find_slow(ranked, work, now)
                 if slow is None:
                     self.refuse(call, best.delay * work)
@@ -262,7 +277,7 @@
         now = self.world.now
         refusal = call.waiting.refuse(expected, now, self.random)
         self.close(call)
-        self.spent.turned_away(now)
+        self.spent.record_unanswered(now)
         told = (call.request, refusal.retry_after)
         self.world.after(CLIENT_SECONDS, self.world.refused, told)
 
@@ -271,11 +286,13 @@
         now = self.world.now
         closure = desk.router.closure(now)
         if closure is None:
-            retry_after = call.waiting.late_retry(now, self.random)
+            retry_after = call.waiting.late_retry_after(now, self.random)
         else:
-            retry_after = guarded_retry(closure, call.waiting, self.random, now)
+            retry_after = restricted_retry_after(
+                closure, call.waiting, self.random, now
+            )
         self.close(call)
-        self.spent.turned_away(now)
+        self.spent.record_unanswered(now)
         self.world.after(
             CLIENT_SECONDS, self.world.refused, (call.request, retry_after)
         )
@@ -305,13 +322,16 @@
                 self.refuse(call, 0.0)
             return
         target = request.kind.target
-        desk.work.learn(request.kind.name, latency, run.delay, target)
+        desk.work.record(request.kind.name, latency, run.delay, target)
         self.close(call)
         self.world.after(CLIENT_SECONDS, self.world.done, request)
 
     def may_send_again(self, desk: Desk, call: Call) -> bool:
         """Take a token for a second send; tell whether there was one."""
-        if len(call.tried) >= call.request.kind.max_attempts or not desk.budget.has():
+        if (
+            len(call.tried) >= call.request.kind.max_attempts
+            or not desk.budget.has_token()
+        ):
             return False
         desk.budget.take()
         return True
@@ -361,25 +381,25 @@
         if now < self.world.quiet_at:
             self.world.after(FLUSH_SECONDS, self.share, None)
 
-    def tell_rate(self, service: str, rate: NamedRate, is_change: bool) -> None:
+    def tell_rate(self, service: str, rate: AdvertisedRate, is_change: bool) -> None:
         """Tell the other instances what an answer said of a server's rate."""
         now = self.world.now
-        if not is_change and now - rate.told_at < REFRESH_SECONDS:
+        if not is_change and now - rate.gossiped_at < REFRESH_SECONDS:
             return
-        rate.told_at = now
+        rate.gossiped_at = now
         for other in self.world.instances:
             if other is not self:
-                told = (service, told_of(rate, now))
+                told = (service, report_of(rate, now))
                 delay = self.world.hop(self.zone, other.zone)
                 self.world.after(delay, other.hear_rate, told)
 
-    def hear_rate(self, told: tuple[str, ToldRate]) -> None:
+    def hear_rate(self, told: tuple[str, RateReport]) -> None:
         """Take what another instance tells of a server's rate."""
         service, rate = told
         router = self.desk_by_service[service].router
         load = router.load_by_id.get(rate.backend_id)
         if load is not None:
-            router.throttle.book.heard(load, rate, self.world.now)
+            router.throttle.registry.apply_peer_report(load, rate, self.world.now)
 
     def hear(self, told: tuple[str, str, LoadReport, float]) -> None:
         """Take a report of another instance."""
--- a/benchmarks/overload_servers.py
+++ b/benchmarks/overload_servers.py
@@ -9,7 +9,9 @@
 from catkinslip.resting.signals import RestSignal
 from catkinslip.routing.base import LoadReport, ResultKind
 from catkinslip.routing.signals import ServerSignals
-from catkinslip.throttling.signs import RateSign
+from catkinslip.throttling.signals import (
+    RateSignal,
+)
 
 if TYPE_CHECKING:
     from benchmarks.overload_instances import Call, Instance
@@ -159,6 +161,6 @@
         """Send an answer with a load report."""
         hop = self.world.hop(run.instance.zone, self.zone)
         rest = RestSignal(self.rest if kind is ResultKind.SHED else None)
-        words = ServerSignals(RateSign(self.named_rate), rest)
+        words = ServerSignals(RateSignal(self.named_rate), rest)
         told = (run, kind, self.report(), words)
         self.world.after(hop, run.instance.answered, told)
--- a/benchmarks/overload_world.py
+++ b/benchmarks/overload_world.py
@@ -27,7 +27,9 @@
 from catkinslip.routing.signals import ServerSignals
 from catkinslip.throttling.gate import ThrottleGate
 from catkinslip.throttling.shares import divide_rate
-from catkinslip.throttling.signs import NO_RATE
+from catkinslip.throttling.signals import (
+    NO_RATE,
+)
 from catkinslip.warmup.quotas import SENDERS_PER_ZONE, Sender
 from catkinslip.warmup.senders import SenderPosition
 from catkinslip.wiring.entry import (
@@ -116,7 +118,7 @@
             )
             sample = Sample(instance.random, instance.zone, self.mechanisms.sample_size)
             throttle = ThrottleGate(self.divide_named, lambda: instance.place)
-            throttle.book.on_seen = partial(instance.tell_rate, name)
+            throttle.registry.on_observation = partial(instance.tell_rate, name)
             router = ServiceRouter(policy, sample=sample, throttle=throttle)
             desk = Desk(router)
             router.on_load_change = lambda load, desk=desk: desk.news.__setitem__(
--- a/benchmarks/throttling.py
+++ b/benchmarks/throttling.py
@@ -18,7 +18,10 @@
 from catkinslip.routing.sample import Sample
 from catkinslip.throttling.gate import ThrottleGate
 from catkinslip.throttling.shares import divide_rate
-from catkinslip.throttling.signs import AnswerKind, RateSign
+from catkinslip.throttling.signals import (
+    AnswerKind,
+    RateSignal,
+)
 from catkinslip.warmup.quotas import Sender
 from catkinslip.warmup.senders import SenderPosition
 
@@ -53,8 +56,8 @@
             load.backend_id, LoadReport(random.randrange(SLOTS), 1.0), NOW
         )
         if number < in_need:
-            sign = RateSign(PER_SECOND)
-            gate.book.told(load, sign, AnswerKind.ANSWER, NOW, NOW)
+            sign = RateSignal(PER_SECOND)
+            gate.registry.apply_answer(load, sign, AnswerKind.ANSWER, NOW, NOW)
     return router
 
 
--- a/catkinslip/health/sampler.py
+++ b/catkinslip/health/sampler.py
@@ -23,7 +23,9 @@
 from catkinslip.routing.base import GOOD_DELAY, BackendLoad
 from catkinslip.routing.router import ServiceRouter
 from catkinslip.store.budget import TokenBucket
-from catkinslip.throttling.signs import AnswerKind
+from catkinslip.throttling.signals import (
+    AnswerKind,
+)
 
 #: Servers with a report younger than this are not probed.
 FRESH_SECONDS = 0.01
@@ -119,7 +121,7 @@
 
         No instance has had an answer from them since they advertised the rate.
         """
-        stale = router.throttle.unheard(self.clock.monotonic())
+        stale = router.throttle.stale_servers(self.clock.monotonic())
         usable = [each for each in stale if router.accepts_requests(each)]
         self._probe_in_background(router, usable, THROTTLED_AT_ONCE)
 
--- a/catkinslip/limits/latency.py
+++ b/catkinslip/limits/latency.py
@@ -1,4 +1,4 @@
-"""The latency of a service, for the start of hedges."""
+"""The latency of a service, which determines when hedges start."""
 
 from attrs import Factory, define
 from hdrh.histogram import HdrHistogram
@@ -7,7 +7,7 @@
 DIGITS = 1
 WINDOW_SECONDS = 5.0
 REFRESH_SECONDS = 0.25
-LEAST_SAMPLES = 100
+MIN_SAMPLES = 100
 
 
 def new_histogram() -> HdrHistogram:
@@ -17,7 +17,7 @@
 
 @define
 class LatencyWindow:
-    """Keep latencies of about the last two windows and one percentile of them."""
+    """The latencies of about the last two windows, and one percentile of them."""
 
     percentile: float
     current: HdrHistogram = Factory(new_histogram)
@@ -32,7 +32,7 @@
         self.current.record_value(micros)
 
     def read(self, now: float) -> float | None:
-        """Return the percentile in seconds; None until enough was recorded."""
+        """Return the percentile in seconds; None until enough latencies exist."""
         if now - self.refreshed_at >= REFRESH_SECONDS:
             self.refreshed_at = now
             self._refresh(now)
@@ -43,8 +43,8 @@
             self.rotated_at = now
             self.current, self.previous = self.previous, self.current
             self.current.reset()
-        fuller = max(self.current, self.previous, key=HdrHistogram.get_total_count)
-        if fuller.get_total_count() < LEAST_SAMPLES:
+        larger = max(self.current, self.previous, key=HdrHistogram.get_total_count)
+        if larger.get_total_count() < MIN_SAMPLES:
             self.value = None
             return
-        self.value = fuller.get_value_at_percentile(self.percentile) / 1e6
+        self.value = larger.get_value_at_percentile(self.percentile) / 1e6
--- a/catkinslip/limits/load.py
+++ b/catkinslip/limits/load.py
@@ -1,4 +1,4 @@
-"""What one instance knows of the load on one service."""
+"""The load on one service, as one instance estimates it."""
 
 import math
 
@@ -8,16 +8,17 @@
 
 SERVICE_TIME_WEIGHT = 0.05
 REFUSED_WEIGHT = 0.01
-# At 1, instances that see full servers as just full admit too much; see LIMITS.md.
-LONGEST_QUEUE_FACTOR = 1.5
+# At 1, instances that count an overfull server as just full admit too much; see
+# LIMITS.md.
+MAX_QUEUE_FACTOR = 1.5
 REPORT_LIFETIME_SECONDS = 1.0
 
 
 @define
 class BackendCount:
-    """Requests at one backend server: sent from here, and estimated in all."""
+    """The requests at one backend server: of this instance, and in all (estimated)."""
 
-    own: int = 0
+    local: int = 0
     estimate: float = 0.0
     counted: float = 0.0
     reported_at: float = 0.0
@@ -25,12 +26,12 @@
 
 @define
 class ServiceLoad:
-    """Requests in flight, slots and service time of one service; in seconds."""
+    """The requests in flight, slots and service time of one service; in seconds."""
 
     slots_per_backend: int = 1
     backends: int = 0
     instances: int = 1
-    full: float = math.inf
+    max_counted: float = math.inf
     in_flight: int = 0
     reported: float = 0.0
     service_time: float = 0.0
@@ -40,7 +41,7 @@
 
     @property
     def slots(self) -> int:
-        """Return the slots of all backend servers that take new work."""
+        """Return the slots of all backend servers that accept new work."""
         return max(1, self.slots_per_backend * self.backends)
 
     @property
@@ -61,58 +62,61 @@
         instances: int,
         queue_depth: float = math.inf,
     ) -> None:
-        """Take over the service's size and the number of instances it shares.
+        """Set the size of the service and the number of instances that share it.
 
-        A long queue at one backend server says little about the others, so it counts
-        up to a limit only.
+        A long queue at one backend server indicates little about the others, so it
+        counts only up to a limit.
         """
         self.slots_per_backend = slots_per_backend
         self.backends = backends
         self.instances = max(1, instances)
-        self.full = slots_per_backend * queue_depth * LONGEST_QUEUE_FACTOR
+        self.max_counted = slots_per_backend * queue_depth * MAX_QUEUE_FACTOR
 
-    def decided(self, refused: bool) -> None:
+    def record_decision(self, refused: bool) -> None:
         """Count a call that was admitted or refused."""
         self.refused_share += (refused - self.refused_share) * REFUSED_WEIGHT
 
     def started(self, backend_id: str) -> None:
         """Count a request sent to a backend server."""
         count = self.count_by_id.setdefault(backend_id, BackendCount())
-        count.own += 1
+        count.local += 1
         self.in_flight += 1
         self._estimate(count, count.estimate + 1)
 
     def ended(self, backend_id: str, report: LoadReport | None, now: float) -> None:
-        """Count a request that ended, and take its report."""
+        """Count a request that ended, and apply the load report of its answer."""
         count = self.count_by_id[backend_id]
-        count.own -= 1
+        count.local -= 1
         self.in_flight -= 1
         if report is None:
-            self._estimate(count, max(count.estimate - 1, count.own))
+            self._estimate(count, max(count.estimate - 1, count.local))
         else:
             count.reported_at = now
-            self._estimate(count, max(report.in_flight, count.own))
+            self._estimate(count, max(report.in_flight, count.local))
 
-    def learn_service_time(self, backend_id: str, latency: float) -> None:
-        """Learn the time in a slot from an answer's latency and the queue behind it."""
+    def update_service_time(self, backend_id: str, latency: float) -> None:
+        """Update the mean time in a slot from an answer's latency.
+
+        The latency is divided by the estimated queue at the backend server.
+        """
         queue = (self.count_by_id[backend_id].estimate + 1) / self.slots_per_backend
         sample = latency / max(1.0, queue)
         weight = SERVICE_TIME_WEIGHT if self.service_time else 1.0
         self.service_time += (sample - self.service_time) * weight
 
     def sweep(self, now: float) -> None:
-        """Let reports that are too old fall back to the requests sent from here."""
+        """Replace estimates from expired reports by this instance's own counts."""
         if now - self.swept_at < REPORT_LIFETIME_SECONDS:
             return
         self.swept_at = now
         for backend_id, count in list(self.count_by_id.items()):
             if now - count.reported_at >= REPORT_LIFETIME_SECONDS:
-                self._estimate(count, count.own)
-            if not count.own and not count.estimate:
+                self._estimate(count, count.local)
+            if not count.local and not count.estimate:
                 del self.count_by_id[backend_id]
 
     def _estimate(self, count: BackendCount, value: float) -> None:
         count.estimate = value
-        counted = min(value, self.full)
+        counted = min(value, self.max_counted)
         self.reported += counted - count.counted
         count.counted = counted
--- a/catkinslip/proxy/exchange.py
+++ b/catkinslip/proxy/exchange.py
@@ -20,7 +20,9 @@
 from catkinslip.proxy.wire import ConnectionErrors, Wire
 from catkinslip.routing import reports
 from catkinslip.routing.signals import ServerSignals
-from catkinslip.throttling.signs import AnswerKind
+from catkinslip.throttling.signals import (
+    AnswerKind,
+)
 
 __all__ = ['AnswerHead', 'Attempt', 'Call']
 
--- a/catkinslip/proxy/forwarder.py
+++ b/catkinslip/proxy/forwarder.py
@@ -10,7 +10,9 @@
 from catkinslip.crashes.guard import CrashGuard
 from catkinslip.health.base import NoSampler, Sampler
 from catkinslip.health.tracker import HealthTracker
-from catkinslip.limits.service import LimitBook
+from catkinslip.limits.service import (
+    LimitRegistry,
+)
 from catkinslip.proxy.base import CallForwarder
 from catkinslip.proxy.dialect import Dialect
 from catkinslip.proxy.exchange import OWN_DIALECT, Call
@@ -37,7 +39,7 @@
     directory: Directory
     pool: BackendPool
     clock: Clock
-    limits: LimitBook
+    limits: LimitRegistry
     health: HealthTracker
     hedges: HedgeTimer
     observer: RequestObserver = ObserverGroup()
@@ -54,7 +56,7 @@
         self._note_spent(call)
         outcome = await self._forward(call, caller)
         if not isinstance(outcome, Answered):
-            self.spent.turned_away(self.clock.monotonic())
+            self.spent.record_unanswered(self.clock.monotonic())
         return outcome
 
     def _note_spent(self, call: Call) -> None:
--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -43,7 +43,9 @@
 from catkinslip.routing.signals import (
     ServerSignals,
 )
-from catkinslip.throttling.signs import AnswerKind
+from catkinslip.throttling.signals import (
+    AnswerKind,
+)
 
 ANSWER_GRACE_SECONDS = 1.0
 #: Enough to find a request again; a caller may send 32 kB.
@@ -94,16 +96,16 @@
             choice = await self.wait.choose(self._tried())
             if isinstance(choice, NotRun):
                 self.plan.refused(choice)
-                return self.plan.told()
+                return self.plan.final_outcome()
             # Another call may have taken the last token during the wait.
             if choice is None or not self.plan.may_start():
-                return self.plan.told()
+                return self.plan.final_outcome()
             launch = self._launch(choice, self.plan.start(), self.wait.reason(choice))
             ended = await self._await_head(launch)
             if isinstance(ended.result, AnswerHead):
                 return await self._pass_on(ended, ended.result)
             if ended.step is Step.STOP:
-                return self.plan.told()
+                return self.plan.final_outcome()
 
     def launch_hedge(self) -> Launch | None:
         """Make a second attempt; None when no server has an idle slot for it."""
@@ -262,7 +264,7 @@
             latency = now - launch.began
             self.limits.answered(launch.backend_id, latency)
             call = self.call
-            self.limits.work.learn(
+            self.limits.work.record(
                 call.route, latency, launch.delay, call.target_latency
             )
             return
@@ -274,7 +276,7 @@
         if (result.reason is Reason.CONNECT_FAILED or has_ended) and is_known:
             self.health.record_refusal(launch.backend_id)
         if launch.attempt.doubt is not None:
-            self.plan.doubted(launch.attempt.doubt)
+            self.plan.record_unknown(launch.attempt.doubt)
         launch.step = self.plan.ended(
             result,
             now,
--- a/catkinslip/proxy/server_wait.py
+++ b/catkinslip/proxy/server_wait.py
@@ -8,8 +8,13 @@
 import trio
 from attrs import define, field
 
-from catkinslip.admission.guarded import guarded_retry
-from catkinslip.admission.waiting import Verdict, WaitingCall
+from catkinslip.admission.restricted import (
+    restricted_retry_after,
+)
+from catkinslip.admission.waiting import (
+    Decision,
+    WaitingCall,
+)
 from catkinslip.clock import Clock
 from catkinslip.health.base import Sampler
 from catkinslip.health.tracker import HealthTracker
@@ -55,7 +60,7 @@
             began=self.began,
             best_until=call.target_deadline,
             deadline=call.deadline,
-            caller_leaves=call.caller_deadline,
+            caller_deadline=call.caller_deadline,
             target=call.target_latency,
             priority=call.priority,
             spent=call.spent,
@@ -66,7 +71,7 @@
 
         None where no server is left to choose.
         """
-        self.waiting.note_time(self.expect(1.0), self.clock.monotonic())
+        self.waiting.update_lateness(self.expect(1.0), self.clock.monotonic())
         while True:
             if not self.waiting.is_late:
                 # Probes are kept for calls that can still be in time.
@@ -79,12 +84,12 @@
             now = self.clock.monotonic()
             work = self.expect(1.0)
             is_known = not self.router.is_silent(choice.backend_id)
-            match self.waiting.judge(choice.delay, work, now, is_known=is_known):
-                case Verdict.SEND:
+            match self.waiting.decide(choice.delay, work, now, is_known=is_known):
+                case Decision.SEND:
                     return choice
-                case Verdict.REFUSE:
+                case Decision.REFUSE:
                     return self._find_slow(tried, now) or self._refuse(choice, now)
-            await trio.sleep(self.waiting.look_seconds(now))
+            await trio.sleep(self.waiting.recheck_seconds(now))
 
     def _excluded(self, tried: Collection[str]) -> Collection[str]:
         """Return the servers that must not get the call.
@@ -94,7 +99,10 @@
         """
         if not self.call.is_suspect:
             return tried
-        in_need = [rate.load.backend_id for rate in self.router.throttle.book.holding()]
+        in_need = [
+            rate.load.backend_id
+            for rate in self.router.throttle.registry.active_rates()
+        ]
         return [*tried, *self.router.cold.cold(self.clock.monotonic()), *in_need]
 
     def _refuse_guarded(self) -> NotRun | None:
@@ -106,7 +114,7 @@
         refusal = NotRun(
             REASON_BY_WORD[closure.reason],
             f'{closure.servers} {DETAIL_BY_WORD[closure.reason]}',
-            retry_after=guarded_retry(closure, self.waiting, self.random, now),
+            retry_after=restricted_retry_after(closure, self.waiting, self.random, now),
         )
         log.info(
             'limits: %s %s is refused, %s, back_ms=%.0f.',
--- a/catkinslip/routing/directory.py
+++ b/catkinslip/routing/directory.py
@@ -15,8 +15,11 @@
 from catkinslip.routing.base import BackendLoad, Policy
 from catkinslip.routing.router import ServiceRouter, ignore_load_change
 from catkinslip.routing.sample import Sample
-from catkinslip.throttling.book import OnSeen, ignore_seen
 from catkinslip.throttling.gate import ThrottleGate
+from catkinslip.throttling.registry import (
+    OnObservation,
+    ignore_observation,
+)
 from catkinslip.warmup.gate import ColdGate
 
 log = logging.getLogger('routing')
@@ -43,7 +46,7 @@
     #: Factory of the gate that limits requests to the cold servers of a service.
     make_cold_gate: Callable[[], ColdGate] = ColdGate
     #: Callback for what answers report about the request rates that servers advertise.
-    on_rate_seen: OnSeen = ignore_seen
+    on_rate_seen: OnObservation = ignore_observation
     #: Factory of the gate that limits requests to throttled servers of a service.
     make_throttle: Callable[[], ThrottleGate] = ThrottleGate
     #: Function from the requests that a cold server handles in a second to the bound on
@@ -113,7 +116,7 @@
         throttle = self.throttle_by_service.get(service)
         if throttle is None:
             throttle = self.make_throttle()
-            throttle.book.on_seen = self.on_rate_seen
+            throttle.registry.on_observation = self.on_rate_seen
             self.throttle_by_service[service] = throttle
         return throttle
 
--- a/catkinslip/routing/router.py
+++ b/catkinslip/routing/router.py
@@ -21,7 +21,9 @@
 from catkinslip.routing.sample import Sample
 from catkinslip.routing.signals import ServerSignals
 from catkinslip.throttling.gate import ThrottleGate
-from catkinslip.throttling.signs import AnswerKind
+from catkinslip.throttling.signals import (
+    AnswerKind,
+)
 from catkinslip.warmup.gate import ColdGate
 
 UNHEALTHY_PAUSE_SECONDS = 0.2
@@ -320,12 +322,12 @@
         now: float,
     ) -> None:
         """Apply the signals of an answer to a request that was sent at a given time."""
-        self.throttle.book.told(load, signals.rate, kind, sent_at, now)
+        self.throttle.registry.apply_answer(load, signals.rate, kind, sent_at, now)
         self.rest.registry.apply_signal(load, signals.rest, kind, sent_at, now)
 
     def describe_restrictions(self, load: BackendLoad | None, now: float) -> str:
         """Return the advertised rate and rest period of a server, for the log."""
-        rate = self.throttle.book.find(load)
+        rate = self.throttle.registry.find(load)
         rest = self.rest.registry.find(load, now)
         texts = []
         if rate is not None:
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -34,7 +34,9 @@
 from catkinslip.health.sharing import ReportSharer
 from catkinslip.health.tracker import make_tracker
 from catkinslip.limits.base import LimitSettings
-from catkinslip.limits.service import LimitBook
+from catkinslip.limits.service import (
+    LimitRegistry,
+)
 from catkinslip.logs.buffer import LogBuffer
 from catkinslip.metrics.base import MetricSource
 from catkinslip.metrics.crashes import CrashMetrics
@@ -57,8 +59,10 @@
 from catkinslip.routing.directory import Directory, no_bound
 from catkinslip.routing.sample import Sample
 from catkinslip.throttling.gate import ThrottleGate
+from catkinslip.throttling.gossip import (
+    RateGossip,
+)
 from catkinslip.throttling.shares import divide_rate
-from catkinslip.throttling.telling import RateTeller
 from catkinslip.warmup.gate import ColdGate
 from catkinslip.warmup.quotas import Sender, divide
 
@@ -135,7 +139,7 @@
     peer_pages: PageServer
     pool: BackendPool
     hedges: HedgeTimer
-    limits: LimitBook
+    limits: LimitRegistry
     sampler: LoadSampler
     sharer: ReportSharer
     lag: LoopLag
@@ -143,7 +147,7 @@
     evacuations: Follower[ZoneEvacuation]
     guard: CrashGuard
     teller: CrashTeller
-    rate_teller: RateTeller
+    rate_teller: RateGossip
     sources: tuple[MetricSource, ...]
 
     @property
@@ -182,7 +186,7 @@
     entry.settings = evolve(settings, own=entry.settings.own)
     entry.addresses.lifetime = settings.address_lifetime
     entry.sampler.probes_per_second = settings.probes_per_second
-    entry.limits.use(limit_settings(settings))
+    entry.limits.apply_settings(limit_settings(settings))
 
 
 def wire_entry(settings: EntrySettings, outside: Outside) -> Entry:
@@ -235,7 +239,7 @@
         sharer.send_datagram,
     )
     guard.listeners.append(teller)
-    rate_teller = RateTeller(
+    rate_teller = RateGossip(
         settings.own.instance_id,
         directory,
         clock,
@@ -244,11 +248,11 @@
         instances.report_address,
         sharer.send_datagram,
     )
-    directory.on_rate_seen = rate_teller.saw
+    directory.on_rate_seen = rate_teller.record_observation
     sharer.handler_by_topic = {
         'ends': teller.take,
-        'rates': rate_teller.take_rates,
-        'doubts': rate_teller.take_doubts,
+        'rates': rate_teller.receive_rates,
+        'doubts': rate_teller.receive_queries,
     }
     health = make_tracker(
         directory, clock, random, max_instances=1, counts_closes=False
@@ -262,7 +266,7 @@
     traces = TraceRing(instance_id, clock, directory, deque(maxlen=MAX_TRACES))
     observer = ObserverGroup((requests, traces))
     hedges = HedgeTimer()
-    limits = LimitBook(limit_settings(settings), lambda _: instances.shares())
+    limits = LimitRegistry(limit_settings(settings), lambda _: instances.shares())
     sampler = LoadSampler(
         health,
         pool,
--- a/tests/test_admission_overload.py
+++ b/tests/test_admission_overload.py
@@ -1,4 +1,4 @@
-"""The worst loads, replayed on the virtual clock with and without a mechanism."""
+"""The heaviest loads, replayed on the virtual clock with and without a mechanism."""
 
 import statistics
 import tempfile
@@ -15,9 +15,9 @@
 from catkinslip.routing.sample import SAMPLE_SIZE
 
 SEEDS = (1, 2, 3)
-#: More than any load has.
+#: Sample size above the number of servers in any load.
 ALL_SERVERS = 100_000
-#: For what makes less of a difference.
+#: Seeds for mechanisms that make less of a difference.
 MORE_SEEDS = (1, 2, 3, 4, 5, 6)
 USUAL = AdmissionSettings()
 
@@ -37,13 +37,16 @@
 
 
 class ReturningCrowdTest(unittest.TestCase):
-    """More calls than the servers can answer, and callers that come back."""
+    """More calls than the servers can answer, and callers that return."""
 
     def test_fresh_calls_are_in_time_though_late_ones_come_back(self):
-        with_it, without = play('rush'), play('rush', evolve(USUAL, counts_spent=False))
-        self.assertGreater(with_it.all, without.all + 0.03)
-        self.assertGreater(with_it.windows, without.windows + 0.02)
-        self.assertGreater(with_it.worst_kind, without.worst_kind + 0.03)
+        with_spent, without = (
+            play('rush'),
+            play('rush', evolve(USUAL, counts_spent=False)),
+        )
+        self.assertGreater(with_spent.all, without.all + 0.03)
+        self.assertGreater(with_spent.windows, without.windows + 0.02)
+        self.assertGreater(with_spent.worst_kind, without.worst_kind + 0.03)
 
     def test_callers_come_back_when_the_rush_may_be_over(self):
         usual = play('returning', seeds=MORE_SEEDS)
@@ -66,7 +69,7 @@
 
 
 class SeedTest(unittest.TestCase):
-    """What a run depends on."""
+    """The dependence of a run on its seed."""
 
     def test_same_seed_gives_the_same_run(self):
         load = named_load('returning')
@@ -78,7 +81,7 @@
 
 
 class LoadFileTest(unittest.TestCase):
-    """What is told of a load that cannot be played."""
+    """The error messages for a load that cannot be played."""
 
     def read(self, text: str) -> str:
         with tempfile.TemporaryDirectory() as folder:
@@ -88,21 +91,21 @@
         self.assertIsInstance(outcome, Failure)
         return '\n'.join(outcome.failure())
 
-    def test_every_mistake_is_told_with_its_place(self):
+    def test_every_mistake_is_reported_with_its_location(self):
         text = (LOADS / 'rush.toml').read_text()
         text = text.replace('kind = "dark"', 'kind = "darkness"')
         text = text.replace('service = "till"', 'service = "tills"')
-        told = self.read(text)
-        self.assertIn("no kind 'darkness'", told)
-        self.assertIn("no service 'tills' @ $.kinds[2].service", told)
-        self.assertIn("no service 'tills' @ $.kinds[3].service", told)
+        mistakes = self.read(text)
+        self.assertIn("no kind 'darkness'", mistakes)
+        self.assertIn("no service 'tills' @ $.kinds[2].service", mistakes)
+        self.assertIn("no service 'tills' @ $.kinds[3].service", mistakes)
 
-    def test_wrong_types_are_told_with_their_places(self):
+    def test_wrong_types_are_reported_with_their_locations(self):
         text = (LOADS / 'rush.toml').read_text()
-        told = self.read(text.replace('seconds = 23.0', 'seconds = "long"', 1))
-        self.assertIn('$.seconds', told)
+        mistakes = self.read(text.replace('seconds = 23.0', 'seconds = "long"', 1))
+        self.assertIn('$.seconds', mistakes)
 
-    def test_what_is_no_toml_is_told(self):
+    def test_invalid_toml_is_reported(self):
         self.assertIn('wrong.toml', self.read('name ='))
 
 
--- a/tests/test_limits_admission.py
+++ b/tests/test_limits_admission.py
@@ -1,4 +1,4 @@
-"""Admission, the budget of extra requests, and when to come back."""
+"""Admission, the budget of extra requests, and the delay before a retry."""
 
 import json
 import unittest
@@ -29,14 +29,14 @@
 
 
 def report(load: ServiceLoad, in_flight: float, now: float = 0.0) -> None:
-    """Take the same report from every backend server."""
+    """Apply the same report from every backend server."""
     for backend_id in BACKENDS:
         load.started(backend_id)
         load.ended(backend_id, LoadReport(in_flight), now)
 
 
 class AdmissionTest(unittest.TestCase):
-    """A share of the slots is one's own, idle ones are lent."""
+    """Admission within an instance's share of the slots, and beyond it."""
 
     def test_own_share_is_admitted_whatever_others_use(self):
         load = make_load()
@@ -44,7 +44,7 @@
         report(load, 100)
         self.assertIsNone(DeadlineLimit().refuse(load, 1.0))
 
-    def test_idle_share_is_lent_and_called_back(self):
+    def test_idle_share_is_lent_until_reports_show_use(self):
         load = make_load()
         start(load, 12)
         self.assertIsNone(DeadlineLimit().refuse(load, 1.0))
@@ -89,7 +89,7 @@
             load.service_time = 0.1
             start(load, 16)
             for _ in range(refusals):
-                load.decided(refused=True)
+                load.record_decision(refused=True)
             waits.append(DeadlineLimit().refuse(load, 1.0).retry_after)
         self.assertAlmostEqual(waits[0], 9 * 0.1 / 8)
         self.assertGreater(waits[1], 4 * waits[0])
@@ -111,11 +111,11 @@
             self.assertEqual(load.in_flight, len(running))
             self.assertAlmostEqual(load.reported, sum(c.counted for c in counts))
             for count in counts:
-                self.assertGreaterEqual(count.estimate, count.own)
+                self.assertGreaterEqual(count.estimate, count.local)
 
 
 class ExtraBudgetTest(unittest.TestCase):
-    """Extra requests stay under their share of the calls."""
+    """The limit of extra requests to a share of the calls."""
 
     @settings(derandomize=True, deadline=None)
     @given(st.lists(st.integers(0, 40)), st.sampled_from((0.05, 0.25)))
@@ -126,7 +126,7 @@
             for _ in range(new_calls):
                 budget.earn()
             calls += new_calls
-            if budget.has():
+            if budget.has_token():
                 budget.take()
                 extra += 1
             self.assertLessEqual(extra, calls * share + 1e-6)
@@ -134,7 +134,7 @@
 
 
 class RetryAfterTest(unittest.TestCase):
-    """Callers are told when to come back."""
+    """The retry delay in the response to a refused caller."""
 
     def test_header_is_in_whole_seconds_and_the_document_in_milliseconds(self):
         for seconds, header, millis in ((0.02, b'1', 20), (1.2, b'2', 1200)):
@@ -145,6 +145,6 @@
             self.assertEqual(headers[b'catkinslip-outcome'], b'not-run')
             self.assertEqual(json.loads(data.data)['retry_after_ms'], millis)
 
-    def test_unknown_is_not_invited_to_come_back(self):
+    def test_unknown_has_no_retry_delay(self):
         response, _, _ = problem_events(Unknown(Reason.DEADLINE), 'r1')
         self.assertNotIn(b'retry-after', dict(response.headers))
--- a/tests/test_limits_attempts.py
+++ b/tests/test_limits_attempts.py
@@ -19,7 +19,7 @@
 from catkinslip.limits.base import LimitSettings
 from catkinslip.limits.budget import ExtraBudget
 from catkinslip.limits.plan import CallPlan, Step
-from catkinslip.limits.service import LimitBook
+from catkinslip.limits.service import LimitRegistry
 from catkinslip.proxy.exchange import Attempt, Call
 from catkinslip.proxy.forwarder import Forwarder
 from catkinslip.proxy.hedges import HedgeTimer
@@ -47,7 +47,7 @@
 
 
 class TrioClock(Clock):
-    """Tell the time of the running loop."""
+    """A clock with the time of the running event loop."""
 
     def monotonic(self) -> float:
         return trio.current_time()
@@ -58,7 +58,7 @@
 
 @define
 class ScriptedPool:
-    """Open connections to backend servers that each follow a script."""
+    """A pool of connections to backend servers that each follow a script."""
 
     nursery: trio.Nursery
     scripts: list[str]
@@ -108,10 +108,10 @@
             return
         if script in DELAY_BY_SCRIPT:
             await trio.sleep(DELAY_BY_SCRIPT[script])
-        status, told = (503, [('catkinslip-outcome', 'not-run')])
+        status, outcome_headers = (503, [('catkinslip-outcome', 'not-run')])
         if not script.endswith('shed'):
-            status, told = 200, []
-        headers = [*told, ('content-length', '4')]
+            status, outcome_headers = 200, []
+        headers = [*outcome_headers, ('content-length', '4')]
         await wire.send(h11.Response(status_code=status, headers=headers))
         if script == 'late end':
             await trio.sleep(DEADLINE + ANSWER_GRACE_SECONDS / 2)
@@ -124,7 +124,7 @@
 
 @define
 class Result:
-    """What one call came to."""
+    """The outcome and the side effects of one call."""
 
     outcome: object
     pool: ScriptedPool
@@ -135,8 +135,8 @@
 
 
 @define
-class Rival(NoSampler):
-    """Take the budget's tokens, as another call may, while a retry waits."""
+class CompetingSampler(NoSampler):
+    """A sampler that takes the budget's tokens while a retry waits, as a call may."""
 
     budget: ExtraBudget | None = None
     waits: int = 0
@@ -148,7 +148,7 @@
 
 
 def forward(
-    scripts, *, repeatable, attempt=1, tokens=5.0, limits=None, rival=None
+    scripts, *, repeatable, attempt=1, tokens=5.0, limits=None, competitor=None
 ) -> Result:
     """Forward one call on a virtual clock."""
 
@@ -161,9 +161,9 @@
             service = forwarder.limits.limits_of('limits', router, 0.0)
             service.budget.tokens = tokens
             service.latency.value = HEDGE_DELAY
-            if rival is not None:
-                rival.budget = service.budget
-                forwarder.sampler = rival
+            if competitor is not None:
+                competitor.budget = service.budget
+                forwarder.sampler = competitor
             near, far = trio.testing.memory_stream_pair()
             call = Call(
                 request_id='r1',
@@ -189,7 +189,7 @@
 
 
 async def expecting_wire(near, far):
-    """Return the caller's wire after a request came in on it."""
+    """Return the caller's wire after a request arrived on it."""
     wire = server_wire(near)
     await far.send_all(b'POST / HTTP/1.1\r\nHost: limits\r\nContent-Length: 0\r\n\r\n')
     while type(await wire.receive()) is not h11.EndOfMessage:
@@ -198,7 +198,7 @@
 
 
 async def read_all(stream) -> bytes:
-    """Return all that the caller received."""
+    """Return all bytes that the caller received."""
     data = b''
     while chunk := await stream.receive_some(65536):
         data += chunk
@@ -213,12 +213,12 @@
     config = AcceptedConfig(document=document_of(document_plain(backends)))
     directory.update(config)
     health.update(config)
-    book = LimitBook(limits, lambda _: 1)
-    return Forwarder(directory, pool, TrioClock(), book, health, HedgeTimer())
+    registry = LimitRegistry(limits, lambda _: 1)
+    return Forwarder(directory, pool, TrioClock(), registry, health, HedgeTimer())
 
 
 class AttemptsTest(unittest.TestCase):
-    """What callers are told follows from the attempts."""
+    """The outcomes that callers get from the attempts."""
 
     @settings(derandomize=True, max_examples=300, deadline=None)
     @given(
@@ -227,7 +227,7 @@
         attempt=st.sampled_from((1, 1, 1, 2)),
         tokens=st.sampled_from((0.0, 1.0, 5.0, 10.0)),
     )
-    def test_outcome_is_true(self, scripts, repeatable, attempt, tokens):
+    def test_outcome_matches_the_attempts(self, scripts, repeatable, attempt, tokens):
         result = forward(scripts, repeatable=repeatable, attempt=attempt, tokens=tokens)
         pool, outcome = result.pool, result.outcome
         if isinstance(outcome, NotRun):
@@ -288,7 +288,7 @@
         self.assertEqual(result.pool.reached, ['slow shed', 'slow'])
 
     def test_heads_that_come_together_are_one_answer(self):
-        # trio runs the two tasks in an order of its own choice.
+        # trio runs the two tasks in an arbitrary order.
         for _ in range(20):
             result = forward(['slow', 'with the slow'], repeatable=True, tokens=10.0)
             self.assertEqual(result.outcome, Answered(200))
@@ -369,7 +369,7 @@
         result = forward(scripts, repeatable=False, tokens=0.0)
         self.assertEqual(result.outcome, Answered(200))
 
-    def test_spent_budget_tells_the_last_outcome(self):
+    def test_spent_budget_returns_the_last_outcome(self):
         result = forward(['shed', 'answer'], repeatable=False, tokens=0.0)
         self.assertEqual(result.outcome.reason, Reason.SHED)
         self.assertEqual(result.pool.reached, ['shed'])
@@ -388,11 +388,13 @@
             self.assertIs(ended, step)
 
     def test_retry_whose_token_went_to_another_call_is_not_sent(self):
-        rival = Rival()
-        result = forward(['shed', 'answer'], repeatable=True, tokens=1.0, rival=rival)
+        competitor = CompetingSampler()
+        result = forward(
+            ['shed', 'answer'], repeatable=True, tokens=1.0, competitor=competitor
+        )
         self.assertIs(result.outcome.reason, Reason.SHED)
         self.assertEqual(result.pool.ledger, [])
-        self.assertGreaterEqual(rival.budget.tokens, 0.0)
+        self.assertGreaterEqual(competitor.budget.tokens, 0.0)
 
     def test_token_that_another_call_took_meanwhile_starts_no_attempt(self):
         budget = ExtraBudget(0.0, 10.0, 1.0)
@@ -410,7 +412,7 @@
 
 
 def requests_at_the_last_layer(layers: int, attempt: int) -> int:
-    """Return how many requests reach the backend servers when all fail."""
+    """Return how many requests reach the backend servers when all of them fail."""
     if not layers:
         return 1
     budget = ExtraBudget(1.0, 100.0, 100.0)
--- a/tests/test_throttling_path.py
+++ b/tests/test_throttling_path.py
@@ -1,4 +1,4 @@
-"""Servers that name a rate, on the users' platform, in one loop."""
+"""Servers that advertise a rate, on the users' platform, in one event loop."""
 
 import unittest
 from functools import partial
@@ -23,11 +23,11 @@
 from catkinslip.routing.gates import Gates
 from catkinslip.routing.policies import LeastInFlight
 from catkinslip.routing.router import ServiceRouter
-from catkinslip.throttling.book import NamedRate
 from catkinslip.throttling.gate import ThrottleGate
-from catkinslip.throttling.messages import ToldRate
-from catkinslip.throttling.signs import NO_RATE, AnswerKind, RateSign
-from catkinslip.throttling.telling import MOST_TOLD, RateTeller
+from catkinslip.throttling.gossip import MAX_RATES, RateGossip
+from catkinslip.throttling.messages import RateReport
+from catkinslip.throttling.registry import AdvertisedRate
+from catkinslip.throttling.signals import NO_RATE, AnswerKind, RateSignal
 from catkinslip.warmup.gate import ColdGate
 from catkinslip.warmup.quotas import Sender
 from catkinslip.warmup.senders import (
@@ -42,14 +42,14 @@
 
 
 def sender_gate(per_second: float) -> ThrottleGate:
-    """Return the gate of an instance that may send so much to a server in need."""
+    """Return the gate of an instance that may send at a rate to a throttled server."""
     return ThrottleGate(
         lambda *_: {SENDER: per_second}, lambda: SenderPosition(SENDER, is_recent=True)
     )
 
 
-async def one_sender(platform: SmallPlatform) -> Entry:
-    """Start a server that names a high rate, and an instance that may send to it."""
+async def start_sender(platform: SmallPlatform) -> Entry:
+    """Start a server with a high advertised rate and an instance that may use it."""
     await platform.add_worker('i-1', named_rate=b'50')
     entry = await platform.add_entry()
     lease = entry.instances.sender_lease
@@ -59,14 +59,17 @@
 
 
 def throttle_of(entry: Entry) -> ThrottleGate:
-    """Return the throttled servers of the one service, as an instance knows them."""
+    """Return an instance's gate for the throttled servers of the one service."""
     return entry.sampler.health.directory.router_by_service['one'].throttle
 
 
-async def in_need(
+async def start_throttled_servers(
     platform: SmallPlatform, server_ids: tuple[str, ...], instances: int = 1
 ) -> None:
-    """Start servers that name a rate, and instances that have all heard of them."""
+    """Start throttled servers, and instances that list one another.
+
+    Returns when the first instance has received the rates of all servers.
+    """
     for server_id in server_ids:
         await platform.add_worker(server_id, named_rate=b'0.1', is_rate_everywhere=True)
     for _ in range(instances):
@@ -75,7 +78,7 @@
     for entry in platform.entries:
         await wait_for(lambda e=entry: len(e.instances.serving()) == instances - 1)
     first = platform.entries[0]
-    while len(throttle_of(first).book.holding()) < len(server_ids):
+    while len(throttle_of(first).registry.active_rates()) < len(server_ids):
         await platform.ask('POST', '/p/x', request_id='first')
 
 
@@ -103,10 +106,10 @@
     return trio.run(wait.choose, [])
 
 
-class SightTest(unittest.TestCase):
-    """What an operator sees of a server that names a rate."""
+class LogsAndMetricsTest(unittest.TestCase):
+    """Logs and metrics about a server that advertises a rate."""
 
-    def test_lines_and_metrics_tell_what_a_server_names(self):
+    def test_log_lines_and_metrics_show_the_rate(self):
         async def check(platform):
             await platform.add_worker('i-1', named_rate=b'1.2')
             entry = await platform.add_entry()
@@ -117,20 +120,20 @@
                     for number in range(2)
                 ]
             text = '\n'.join(record.getMessage() for record in logs.records)
-            self.assertIn('i-1 names a rate. per_second=1.2 by=answer', text)
+            self.assertIn('i-1 advertises a rate. per_second=1.2 by=answer', text)
             page = (await metrics_page(entry, '')).body.decode()
             self.assertIn('catkinslip_throttled_backends{service="one"} 1', page)
             self.assertIn('catkinslip_rate_events_total{event="named"} 1', page)
-            # It has not been listed for long enough to be a sender.
+            # The instance has not been listed for long enough to be a sender.
             self.assertEqual([it.status_code for it in answers], [200, 503])
             self.assertIn('throttled', answers[1].text)
             self.assertIn('r1 one is refused, 1 servers in need at their rates', text)
 
         on_platform(check)
 
-    def test_choice_tells_the_rate_that_was_known(self):
+    def test_choice_is_logged_with_the_known_rate(self):
         async def check(platform):
-            await one_sender(platform)
+            await start_sender(platform)
             await platform.ask('POST', '/p/x')
             await trio.sleep(0.1)
             with self.assertLogs('routing', 'INFO') as logs:
@@ -143,11 +146,11 @@
 
 
 class KindsOfSendTest(unittest.TestCase):
-    """No kind of send passes by the rate."""
+    """The rate as a limit for every kind of send."""
 
     def test_second_send_after_a_refusal(self):
         async def check(platform):
-            await in_need(platform, ('i-1',))
+            await start_throttled_servers(platform, ('i-1',))
             await platform.add_worker('i-2', fault=Fault.SHED)
             backends = platform.entries[0].assembler
             await wait_for(lambda: len(backends.current_backends) == 2)
@@ -162,7 +165,7 @@
 
     def test_hedge(self):
         async def check(platform):
-            await in_need(platform, ('i-1',))
+            await start_throttled_servers(platform, ('i-1',))
             await platform.add_worker('i-2', fault=Fault.SILENT)
             backends = platform.entries[0].assembler
             await wait_for(lambda: len(backends.current_backends) == 2)
@@ -175,31 +178,31 @@
 
         on_platform(check)
 
-    def test_all_servers_in_need_is_a_true_refusal_at_once(self):
+    def test_call_is_refused_at_once_when_all_servers_are_throttled(self):
         async def check(platform):
-            await in_need(platform, ('i-1', 'i-2'))
+            await start_throttled_servers(platform, ('i-1', 'i-2'))
             began = trio.current_time()
             answer = await platform.ask('POST', '/p/x', request_id='r9')
             self.assertEqual(answer.status_code, 503)
             self.assertLess(trio.current_time() - began, 1.0)
-            # Another instance may have a turn, at once or after the need.
+            # Another instance may have a turn, now or after the throttling.
             self.assertGreaterEqual(float(answer.headers['retry-after']), 0.05)
             self.assertEqual(platform.runs('r9'), 0)
 
         on_platform(check)
 
-    def test_chosen_before_it_named_a_rate(self):
+    def test_server_chosen_before_it_advertised_a_rate(self):
         load = BackendLoad('i-1', 'zone-a', 2)
         gate = ThrottleGate(lambda *_: {SENDER: 1.0})
         gates = Gates((gate,))
         permits = gates.reserve(load, NOW)
-        gate.book.told(load, RateSign(1.0), AnswerKind.ANSWER, NOW, NOW)
+        gate.registry.apply_answer(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
         self.assertFalse(gates.may_send(load, permits, NOW))
         gate.place = lambda: SenderPosition(SENDER, is_recent=True)
         self.assertTrue(gates.may_send(load, permits, NOW))
         self.assertFalse(gates.may_send(load, permits, NOW + 0.9))
 
-    def test_cold_server_that_names_a_rate_needs_leave_of_both(self):
+    def test_cold_throttled_server_needs_permits_of_both_gates(self):
         load = BackendLoad('i-1', 'zone-a', 2)
         throttle = sender_gate(1.0)
         cold = ColdGate(lambda *_: {SENDER: 2}, lambda: SENDER)
@@ -207,21 +210,23 @@
         gates = Gates((cold, throttle))
         cold.mark_cold(load, 60.0, NOW, 'test')
         self.assertTrue(gates.may_send(load, gates.reserve(load, NOW), NOW))
-        throttle.book.told(load, RateSign(1.0), AnswerKind.ANSWER, NOW, NOW)
+        throttle.registry.apply_answer(
+            load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW
+        )
         throttle.find(load, NOW).count_sent(NOW)
-        # What the one refuses is not counted by the other.
+        # A request that one gate refuses is not counted by the other.
         for _ in range(5):
             self.assertFalse(gates.may_send(load, (None, None), NOW + 0.5))
         self.assertEqual(len(cold.find(load, NOW).sent_at), 1)
         self.assertTrue(gates.may_send(load, (None, None), NOW + 1.0))
 
-    def test_entry_that_lapses_and_is_back_opens_no_turn(self):
+    def test_entry_that_expires_and_returns_opens_no_turn(self):
         document = {'i-1': Backend('one', zone='zone-a', host='10.0.0.1', port=80)}
         gate = sender_gate(1.0)
         router = ServiceRouter(LeastInFlight(Random(1)), throttle=gate)
         router.update(Service(), document, NOW)
         load = router.load_by_id['i-1']
-        gate.book.told(load, RateSign(1.0), AnswerKind.ANSWER, NOW, NOW)
+        gate.registry.apply_answer(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
         self.assertTrue(router.gates.may_send(load, router.reserve('i-1', NOW), NOW))
         router.update(Service(), {}, NOW)
         self.assertEqual(gate.closed(NOW), [])
@@ -232,96 +237,101 @@
         self.assertFalse(router.gates.may_send(load, permits, NOW + 0.5))
         self.assertEqual(router.choose(NOW + 1.0).backend_id, 'i-1')
 
-    def test_request_that_may_end_servers_goes_to_none_in_need(self):
+    def test_suspect_request_is_not_sent_to_a_throttled_server(self):
         gate = sender_gate(1.0)
         router = ServiceRouter(LeastInFlight(Random(1)), throttle=gate)
         backend = Backend('one', zone='zone-a', host='10.0.0.1', port=80)
         router.update(Service(), {'i-1': backend}, NOW)
         load = router.load_by_id['i-1']
-        gate.book.told(load, RateSign(1.0), AnswerKind.ANSWER, NOW, NOW)
+        gate.registry.apply_answer(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
         self.assertEqual(choose(router, is_suspect=False).backend_id, 'i-1')
         self.assertIsNone(choose(router, is_suspect=True))
 
-    def test_what_was_sent_before_counts_for_the_first_turn(self):
+    def test_requests_sent_before_count_for_the_first_turn(self):
         load = BackendLoad('i-1', 'zone-a', 2)
         gate = sender_gate(0.5)
         load.record_sent(NOW - 0.5)
-        gate.book.told(load, RateSign(1.0), AnswerKind.ANSWER, NOW, NOW)
+        gate.registry.apply_answer(load, RateSignal(1.0), AnswerKind.ANSWER, NOW, NOW)
         self.assertEqual(gate.closed(NOW + 1.4), ['i-1'])
         self.assertEqual(gate.closed(NOW + 1.5), [])
 
 
-class NewsTest(unittest.TestCase):
-    """Who learns of a need, and of its end."""
+class RateGossipTest(unittest.TestCase):
+    """Gossip among instances about the start and the end of throttling."""
 
-    def test_instances_that_sent_nothing_know_and_hear_of_the_end(self):
+    def test_instances_that_sent_nothing_receive_the_rate_and_its_end(self):
         async def check(platform):
-            await in_need(platform, ('i-1',), instances=3)
-            books = [throttle_of(entry).book for entry in platform.entries]
-            await wait_for(lambda: all(book.holding() for book in books))
+            await start_throttled_servers(platform, ('i-1',), instances=3)
+            registries = [throttle_of(entry).registry for entry in platform.entries]
+            await wait_for(
+                lambda: all(registry.active_rates() for registry in registries)
+            )
             platform.worker_by_id['i-1'].named_rate = None
-            # A call that is refused has it probed; no request was sent to learn this.
+            # A refused call makes the instance probe the server; no request is sent for
+            # it.
             await trio.sleep(0.8)
             before = len(platform.worker_by_id['i-1'].arrived_at)
             answer = await platform.ask('POST', '/p/x', entry=2, request_id='r2')
             self.assertEqual(answer.status_code, 503)
-            await wait_for(lambda: not any(book.holding() for book in books))
+            await wait_for(
+                lambda: not any(registry.active_rates() for registry in registries)
+            )
             self.assertEqual(len(platform.worker_by_id['i-1'].arrived_at), before)
 
         on_platform(check)
 
-    def test_probes_that_name_nothing_are_not_sent_again(self):
+    def test_probes_without_a_rate_are_not_repeated(self):
         async def check(platform):
-            await in_need(platform, ('i-1',))
+            await start_throttled_servers(platform, ('i-1',))
             worker = platform.worker_by_id['i-1']
             worker.is_rate_everywhere = False
-            book = throttle_of(platform.entries[0]).book
-            book.rate_by_id['i-1'].kinds.clear()
+            registry = throttle_of(platform.entries[0]).registry
+            registry.rate_by_id['i-1'].kinds.clear()
             await trio.sleep(0.6)
             before = worker.probes
             for number in range(5):
                 await platform.ask('POST', '/p/x', request_id=f'r{number}')
                 await trio.sleep(0.1)
             self.assertEqual(worker.probes, before + 1)
-            self.assertTrue(book.holding())
+            self.assertTrue(registry.active_rates())
 
         on_platform(check)
 
-    def test_error_that_names_nothing_ends_no_need(self):
+    def test_error_without_a_rate_does_not_end_throttling(self):
         async def check(platform):
-            entry = await one_sender(platform)
+            entry = await start_sender(platform)
             await platform.ask('POST', '/p/x')
             platform.worker_by_id['i-1'].is_failing = True
             await trio.sleep(0.1)
             answer = await platform.ask('POST', '/p/x', request_id='r2')
             self.assertEqual(answer.status_code, 500)
-            self.assertTrue(throttle_of(entry).book.holding())
+            self.assertTrue(throttle_of(entry).registry.active_rates())
 
         on_platform(check)
 
-    def test_who_missed_the_end_asks(self):
+    def test_instance_that_missed_the_end_sends_a_query(self):
         async def check(platform):
-            await in_need(platform, ('i-1',), instances=2)
-            first, second = (throttle_of(e).book for e in platform.entries)
-            await wait_for(second.holding)
+            await start_throttled_servers(platform, ('i-1',), instances=2)
+            first, second = (throttle_of(e).registry for e in platform.entries)
+            await wait_for(second.active_rates)
             await trio.sleep(0.5)
             rate = first.rate_by_id['i-1']
             now = platform.entries[0].sampler.clock.monotonic()
-            first.on_seen = lambda *_: None
-            first.told(rate.load, NO_RATE, AnswerKind.ANSWER, now, now)
-            self.assertTrue(second.holding())
-            await wait_for(lambda: not second.holding())
+            first.on_observation = lambda *_: None
+            first.apply_answer(rate.load, NO_RATE, AnswerKind.ANSWER, now, now)
+            self.assertTrue(second.active_rates())
+            await wait_for(lambda: not second.active_rates())
 
         on_platform(check)
 
-    def test_nothing_is_taken_of_another_start_or_from_what_cannot_be_read(self):
+    def test_rates_of_another_start_and_malformed_datagrams_are_ignored(self):
         async def check(platform):
-            await in_need(platform, ('i-1',))
+            await start_throttled_servers(platform, ('i-1',))
             sharer = platform.entries[0].sharer
-            book = throttle_of(platform.entries[0]).book
+            registry = throttle_of(platform.entries[0]).registry
             other = [['i-1', 7, 9.0, 0, None, 0]]
             sharer.apply_datagram(orjson.dumps({'rates': other, 'by': 'edge-9'}))
-            self.assertEqual(book.rate_by_id['i-1'].per_second, 0.1)
+            self.assertEqual(registry.rate_by_id['i-1'].per_second, 0.1)
             for wrong in (
                 {'rates': other},
                 {'rates': [['i-1', 0, -1.0, 0, None, 0]], 'by': 'x'},
@@ -335,13 +345,13 @@
                 before = sharer.malformed
                 sharer.apply_datagram(orjson.dumps(wrong))
                 self.assertEqual(sharer.malformed, before + 1, wrong)
-            self.assertEqual(book.rate_by_id['i-1'].per_second, 0.1)
+            self.assertEqual(registry.rate_by_id['i-1'].per_second, 0.1)
 
         on_platform(check)
 
     def test_rates_of_servers_with_long_names_fit_into_datagrams(self):
         sent = []
-        teller = RateTeller(
+        gossip = RateGossip(
             'edge-1',
             Directory(LeastInFlight),
             SimpleNamespace(monotonic=lambda: NOW),
@@ -350,30 +360,30 @@
             find_address=lambda _: None,
             post=lambda data, _: sent.append(data),
         )
-        names = [f'server-{number:02}-{"x" * 80}' for number in range(MOST_TOLD)]
+        names = [f'server-{number:02}-{"x" * 80}' for number in range(MAX_RATES)]
         rates = [
-            NamedRate(BackendLoad(name, 'zone-a', 2), 1.2, named_at=NOW - 1)
+            AdvertisedRate(BackendLoad(name, 'zone-a', 2), 1.2, advertised_at=NOW - 1)
             for name in names
         ]
-        teller._tell(rates, [])
+        gossip._send(rates, [])
         self.assertLessEqual(max(map(len, sent)), MAX_DATAGRAM_BYTES)
-        told = [each[0] for data in sent for each in orjson.loads(data)['rates']]
-        self.assertEqual(told, names)
+        sent_names = [each[0] for data in sent for each in orjson.loads(data)['rates']]
+        self.assertEqual(sent_names, names)
 
-    def test_news_in_any_order_and_twice_is_the_same(self):
-        named = ToldRate('i-1', 0, 2.0, named_seconds=3.0, cleared_seconds=None)
-        ended = ToldRate('i-1', 0, 2.0, named_seconds=3.0, cleared_seconds=1.0)
-        again = ToldRate('i-1', 0, 1.0, named_seconds=0.5, cleared_seconds=1.0)
+    def test_reports_have_the_same_effect_in_any_order_and_twice(self):
+        named = RateReport('i-1', 0, 2.0, advertised_seconds=3.0, cleared_seconds=None)
+        ended = RateReport('i-1', 0, 2.0, advertised_seconds=3.0, cleared_seconds=1.0)
+        again = RateReport('i-1', 0, 1.0, advertised_seconds=0.5, cleared_seconds=1.0)
         load = BackendLoad('i-1', 'zone-a', 2)
         for order in ((named, ended, again), (again, named, ended), (ended, again)):
             gate = ThrottleGate()
-            for told in (*order, *order):
-                gate.book.heard(load, told, NOW)
-            self.assertEqual(gate.book.find(load).per_second, 1.0)
+            for report in (*order, *order):
+                gate.registry.apply_peer_report(load, report, NOW)
+            self.assertEqual(gate.registry.find(load).per_second, 1.0)
         gate = ThrottleGate()
-        for told in (ended, named, ended):
-            gate.book.heard(load, told, NOW)
-        self.assertIsNone(gate.book.find(load))
+        for report in (ended, named, ended):
+            gate.registry.apply_peer_report(load, report, NOW)
+        self.assertIsNone(gate.registry.find(load))
 
 
 if __name__ == '__main__':
