--- a/catkinslip/proxy/chunk_checks.py
+++ b/catkinslip/proxy/chunk_checks.py
@@ -1,7 +1,7 @@
-"""Check the framing of chunked bodies more strictly than the codec does.
+"""Checks of chunked bodies that are stricter than those of the codec.
 
-Two readers of one body must never part it differently, so only the plainest
-form passes: https://www.rfc-editor.org/rfc/rfc9112#section-7.1
+Two servers must never split one body differently, so only the simplest framing is
+accepted: https://www.rfc-editor.org/rfc/rfc9112#section-7.1
 """
 
 import re
@@ -16,7 +16,7 @@
 
 @unique
 class Part(Enum):
-    """What the next bytes of a chunked body are."""
+    """The part of a chunked body that the next bytes belong to."""
 
     SIZE = auto()
     DATA = auto()
@@ -27,14 +27,14 @@
 
 @define
 class ChunkCheck:
-    """Follow a chunked body in pieces and find the first odd byte."""
+    """An incremental check of the framing of one chunked body."""
 
     part: Part = Part.SIZE
     data_left: int = 0
     line: bytearray = Factory(bytearray)
 
     def feed(self, data: bytes) -> str | None:
-        """Return what is wrong with the next piece; None when nothing is."""
+        """Check the next bytes of the body; return the fault, or None."""
         at = 0
         while at < len(data) and self.part is not Part.END:
             if self.part is Part.DATA:
@@ -55,27 +55,27 @@
 
     def _check_line(self, *, is_whole: bool) -> str | None:
         if len(self.line) > MAX_LINE_BYTES:
-            return 'a line of a chunked body is too long'
+            return 'a line of the chunked body is longer than 4096 bytes'
         if not is_whole:
             return None
         line = bytes(self.line)
         self.line.clear()
         if not line.endswith(CRLF) or b'\r' in line[:-2]:
-            return 'a line of a chunked body does not end in CRLF'
+            return 'a line of the chunked body does not end in CRLF'
         return self._take_line(line[:-2])
 
     def _take_line(self, line: bytes) -> str | None:
         if self.part is Part.SIZE:
             if SIZE_LINE.match(line) is None:
-                return 'a chunk has an odd size or an extension'
+                return 'a chunk size line is not 1 to 8 hexadecimal digits'
             self.data_left = int(line, 16)
             self.part = Part.DATA if self.data_left else Part.TRAILER
         elif self.part is Part.DATA_END:
             if line:
-                return 'a chunk is longer than its size'
+                return 'a chunk is longer than its declared size'
             self.part = Part.SIZE
         elif not line:
             self.part = Part.END
         elif line[:1] in (b' ', b'\t'):
-            return 'a trailer is folded'
+            return 'a trailer line is folded, which is not allowed'
         return None
--- a/catkinslip/proxy/draining.py
+++ b/catkinslip/proxy/draining.py
@@ -1,4 +1,4 @@
-"""End callers' connections without cutting a request."""
+"""Closing of callers' connections without interrupting a request."""
 
 import logging
 import socket
@@ -16,45 +16,45 @@
 
 @define
 class CallerDrain:
-    """Know the open connections of callers and end them when asked to."""
+    """The open connections of callers, which are closed when the instance drains."""
 
     is_closing: bool = False
     open_wires: set[Wire] = Factory(set)
     _none_open: trio.Event = Factory(trio.Event)
 
     def open(self, stream: trio.abc.Stream) -> 'CallerWire':
-        """Return the wire of a new connection."""
+        """Return the server side of a caller's new connection and register it."""
         wire = server_wire(stream)
         wire = CallerWire(wire.stream, wire.codec, wire.peer, drain=self)
         self.open_wires.add(wire)
         return wire
 
     def closed(self, wire: Wire) -> None:
-        """Take note that a connection was closed."""
+        """Remove a connection that was closed."""
         self.open_wires.discard(wire)
         self._tell_when_none_open()
 
     def start_closing(self) -> None:
-        """Let every connection end with its next answer."""
+        """Close every connection after its next answer."""
         self.is_closing = True
         self._tell_when_none_open()
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing was sent since the last answer."""
+        """Close the connections on which nothing was received since the last answer."""
         for wire in self.open_wires:
             sock = wire.stream.socket
-            # A closed one stays known until its task runs again; to ask it would raise,
-            # and end the instance with all requests that it still answers.
+            # A closed connection stays registered until its task runs again; its socket
+            # would raise an error that stops the instance with all its requests.
             if sock.fileno() < 0 or not is_idle(wire) or sock.is_readable():
                 continue
             try:
                 # The task that waits for a request reads the end of the stream.
                 sock.shutdown(socket.SHUT_RD)
             except OSError as error:
-                log.info('lifecycle: an idle connection is gone. error=%s', error)
+                log.info('lifecycle: idle connection already closed. error=%s', error)
 
     async def wait_until_closed(self) -> None:
-        """Wait until no connection is open."""
+        """Wait until closing has started and no connection is open."""
         while self.open_wires or not self.is_closing:
             self._none_open = trio.Event()
             await self._none_open.wait()
@@ -66,24 +66,24 @@
 
 @define(eq=False)
 class CallerWire(Wire):
-    """A caller's connection; its last answer says so while its instance closes."""
+    """A caller's connection; its answers carry `connection: close` during a drain."""
 
     drain: CallerDrain = Factory(CallerDrain)
 
     def encode(self, *events: object) -> bytes:
-        """Return the bytes of events, which must be sent next."""
+        """Return the bytes of events; they must be the next that are sent."""
         if self.drain.is_closing:
             events = tuple(announce_close(event) for event in events)
         return super().encode(*events)
 
 
 def is_idle(wire: Wire) -> bool:
-    """Tell whether a connection waits for the first byte of a request."""
+    """Return whether a connection waits for the first byte of a request."""
     return wire.codec.their_state is h11.IDLE and not wire.codec.trailing_data[0]
 
 
 def announce_close(event: object) -> object:
-    """Return a final response's head with the sign that the connection ends."""
+    """Return an event; the head of a final response gets `connection: close`."""
     if type(event) is not h11.Response:
         return event
     headers = [each for each in event.headers if each[0] != b'connection']
--- a/catkinslip/proxy/exchange.py
+++ b/catkinslip/proxy/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt: send a request to a backend server and pass its answer on."""
+"""One attempt: a request to a backend server, and its answer to the caller."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -22,8 +22,8 @@
 
 __all__ = ['AnswerHead', 'Attempt', 'Call']
 
-# A kept connection that answered this lately is trusted with a request that may
-# not be repeated; servers close idle connections after seconds, not at once.
+# A request that is not repeatable is sent on a reused connection only if that was in
+# use this recently: servers close idle connections after seconds, not at once.
 RECENT_SECONDS = 1.0
 OWN_DIALECT = OwnDialect()
 METHODS_WITH_BODY = frozenset({b'POST', b'PUT', b'PATCH'})
@@ -37,25 +37,25 @@
 def ignore_head(
     headers: Iterable[names.Header], report: reports.LoadReport | None
 ) -> None:
-    """Take no notice of the head of an answer."""
+    """Ignore the head of an answer."""
 
 
 OnWords = Callable[[ServerWords, AnswerKind, float], None]
 
 
 def ignore_words(words: ServerWords, kind: AnswerKind, sent_at: float) -> None:
-    """Take no notice of what a server asks for."""
+    """Ignore the signals of a server."""
 
 
 @frozen
 class Break:
-    """A connection that ended after a request had been sent on it."""
+    """The end of a connection after a request was sent on it."""
 
-    #: Seconds from the request's first byte.
+    #: Seconds since the first byte of the request.
     seconds: float
-    #: Whether it had carried an earlier request; servers close idle connections.
+    #: Whether the connection carried an earlier request; servers close idle ones.
     is_reused: bool
-    #: Whether bytes of an answer came.
+    #: Whether bytes of an answer were received.
     has_begun: bool
     detail: str
 
@@ -68,17 +68,17 @@
 
 
 def ignore_break(broken: Break) -> None:
-    """Take no notice of a connection that ended."""
+    """Ignore a connection that broke."""
 
 
 def always() -> bool:
-    """Send whatever happened since the choice."""
+    """Allow the request whatever changed since the server was chosen."""
     return True
 
 
 @frozen
 class AnswerHead:
-    """The head of an answer; its body still waits on the connection."""
+    """The head of an answer whose body was not read from the connection yet."""
 
     response: h11.Response
     headers: list[names.Header]
@@ -88,7 +88,7 @@
 
 @define
 class Attempt:
-    """A call sent to one backend server, and the answer's way back."""
+    """An attempt to run a call at one backend server and pass its answer on."""
 
     call: Call
     address: Address
@@ -101,34 +101,35 @@
     on_head: OnHead = ignore_head
     on_words: OnWords = ignore_words
     on_break: OnBreak = ignore_break
-    #: Asked right before the first byte, as a connection may be waited for.
+    #: Check right before the first byte, as the attempt may wait for a connection.
     may_send: Callable[[], bool] = always
     is_sent: bool = False
     sent_at: float = 0.0
-    #: How the last connection ended, if it did under the request.
+    #: How the last connection broke after the request was sent; None if it did not.
     broken: Break | None = None
+    #: Whether a reused connection was closed before any byte of an answer.
     is_stale: bool = False
-    #: That a send before the last one may have run, whatever became of the last.
+    #: Result of the first send if the request was sent twice: it may have run.
     doubt: Unknown | None = None
 
     async def run(self) -> Outcome:
-        """Send the request and pass the answer on."""
+        """Send the request, pass the answer on and return the outcome."""
         result = await self.start()
         if isinstance(result, AnswerHead):
             return await self.pass_on(result)
         return result
 
     async def start(self) -> AnswerHead | NotRun | Unknown:
-        """Send the request and wait for the head of the answer."""
+        """Send the request and return the head of the answer, or why there is none."""
         if not self.call.repeatable:
             return await self._start(RECENT_SECONDS)
         result = await self._start(MAX_IDLE_SECONDS)
         if self.is_stale and self.call.is_resendable:
-            # A server that ended at work closes its connections like an idle one:
-            # 41 of 42 calls whose server ended so were told that nothing had run.
+            # The connections of a crashed server end like idle ones that are closed: 41
+            # of 42 calls whose server crashed were reported as not run.
             self.doubt = result
             log.info(
-                'routing: %s goes again to %s, the kept connection was closed.',
+                'routing: %s is sent again to %s, the reused connection was closed.',
                 self.call.request_id,
                 self.address,
             )
@@ -136,14 +137,14 @@
         return result
 
     async def pass_on(self, head: AnswerHead) -> Outcome:
-        """Pass a whole answer on to the caller."""
+        """Pass an answer on to the caller as it is read, and return the outcome."""
         try:
             return await self._pass_on(head)
         finally:
             await self._release(head.wire)
 
     async def discard(self, head: AnswerHead) -> None:
-        """Drop an answer that is not passed on."""
+        """Release the connection of an answer that is not passed on."""
         await self._release(head.wire)
 
     async def _release(self, wire: Wire) -> None:
@@ -164,7 +165,7 @@
     async def _exchange(self, wire: Wire) -> AnswerHead | NotRun | Unknown:
         try:
             data = wire.encode(*self._request_events())
-            # Nothing may wait between this check and the first byte.
+            # No await between these checks and the first byte.
             if self.call.is_late(self.clock):
                 return NotRun(Reason.TOO_LATE)
             if not self.may_send():
@@ -192,7 +193,7 @@
             return fault
         refusal = self.dialect.find_refusal(status, headers)
         if refusal is Reason.MISDIRECTED:
-            # Another server has the address: what it says is of itself.
+            # Another server has the address: its report and signals are its own.
             await answers.drain_body(wire)
             return NotRun(refusal)
         report = self.dialect.read_report(headers)
@@ -285,7 +286,7 @@
             try:
                 await wire.send(h11.EndOfMessage() if is_end else event)
             except (*ConnectionErrors, h11.LocalProtocolError):
-                # Only the answer can tell why the server stopped reading.
+                # The answer, if one comes, contains why the server stopped reading.
                 return
             if is_end:
                 return
@@ -300,14 +301,14 @@
 
 
 def kind_of(status: int, refusal: Reason | None) -> AnswerKind:
-    """Return what an answer to a request is."""
+    """Return whether an answer is a result, a failure or a refusal."""
     if refusal is not None:
         return AnswerKind.REFUSAL
     return AnswerKind.ANSWER if status < 400 else AnswerKind.FAILURE
 
 
 def framing(length: int | None) -> names.Header:
-    """Return the header that frames a request body."""
+    """Return the header that frames a request body; None is an unknown length."""
     if length is None:
         return b'transfer-encoding', b'chunked'
     return b'content-length', b'%d' % length
--- a/catkinslip/proxy/forwarder.py
+++ b/catkinslip/proxy/forwarder.py
@@ -1,4 +1,4 @@
-"""Forward a call: admit it or refuse it at once, then run its attempts."""
+"""The entry to forwarding: calls are admitted or refused, then attempted."""
 
 from math import inf
 from random import Random
@@ -22,17 +22,17 @@
 from catkinslip.proxy.wire import Wire
 from catkinslip.routing.directory import Directory
 
-#: Operators take a zone back after seconds at the soonest; callers come back within a
-#: third of their time in any case.
+#: Operators reopen an evacuated zone after some seconds at the earliest; callers retry
+#: within a third of their time in any case.
 EVACUATED_RETRY_SECONDS = 1.0
-#: Weak instances are ready 0.4 to 1.4 s after a start of all (logs of 22); who comes
-#: back after 0.05 s is most likely refused by the same one again.
+#: Slow instances are ready 0.4 to 1.4 s after all instances start (logs of 22); a
+#: caller that retries after 0.05 s is most likely refused by the same instance again.
 START_RETRY_SECONDS = 0.5
 
 
 @define
 class Forwarder(CallForwarder):
-    """Forward calls to backend servers."""
+    """A forwarder of calls to backend servers."""
 
     directory: Directory
     pool: BackendPool
@@ -50,7 +50,7 @@
     )
 
     async def forward(self, call: Call, caller: Wire) -> Outcome:
-        """Forward one call within its deadline."""
+        """Forward a call within its deadline and return its outcome."""
         self._note_spent(call)
         outcome = await self._forward(call, caller)
         if not isinstance(outcome, Answered):
--- a/catkinslip/proxy/hedges.py
+++ b/catkinslip/proxy/hedges.py
@@ -1,4 +1,4 @@
-"""Start hedges when their time has come, without a task for each call."""
+"""A timer that starts hedges when they are due, without a task for each call."""
 
 from abc import ABC, abstractmethod
 from heapq import heappop, heappush
@@ -8,24 +8,24 @@
 import trio
 from attrs import Factory, define, field
 
-# A hedge may start so much late; most calls end before their hedge is due, and
-# waking for each of them would cost more than the call's other timers together.
+# The most that a hedge may start late. Most calls end before their hedge is due, and
+# a wake-up for each of them would cost more than the call's other timers together.
 TICK_SECONDS = 0.002
 
 
 class Hedge(ABC):
-    """A second attempt that may start beside the first."""
+    """A second attempt that may start while the first is running."""
 
     is_over: bool = False
 
     @abstractmethod
     async def run(self) -> None:
-        """Start the second attempt, or ask for another time."""
+        """Start the second attempt, or reschedule the hedge."""
 
 
 @define
 class HedgeTimer:
-    """Run each hedge after its delay, or a tick later, unless its call ended before."""
+    """A timer that runs each due hedge within a tick, unless its call is over."""
 
     heap: list[tuple[float, int, Hedge]] = Factory(list)
     numbers: count = Factory(count)
@@ -33,14 +33,14 @@
     wakes_at: float = inf
 
     def add(self, delay: float, hedge: Hedge) -> None:
-        """Run a hedge after some seconds."""
+        """Schedule a hedge after a delay in seconds."""
         due = trio.current_time() + delay
         heappush(self.heap, (due, next(self.numbers), hedge))
         if due + TICK_SECONDS < self.wakes_at:
             self.earlier.unpark_all()
 
     async def run(self) -> None:
-        """Run hedges until cancelled."""
+        """Run the hedges that are due, until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 await self._wait()
--- a/catkinslip/proxy/launch.py
+++ b/catkinslip/proxy/launch.py
@@ -1,4 +1,4 @@
-"""One attempt of a call that was started."""
+"""An attempt that was started, with its state."""
 
 from attrs import define
 
@@ -11,15 +11,17 @@
 
 @define(eq=False)
 class Launch:
-    """One attempt that was started, and how far it came."""
+    """An attempt that was started, with its result and timing."""
 
     backend_id: str
     attempt: Attempt
+    #: Monotonic seconds.
     began: float
+    #: The delay that the router estimated, in times of the call's work.
     delay: float
-    #: The server as the router knew it; None if it was gone.
+    #: The router's load entry of the server; None if the server was removed.
     load: BackendLoad | None = None
-    #: Leave to send to it, where it may get only so many requests.
+    #: Permits to send to the server, for the gates that restrict it.
     permits: Permits = ()
     result: AnswerHead | NotRun | Unknown | None = None
     step: Step = Step.WAIT
--- a/catkinslip/proxy/pool.py
+++ b/catkinslip/proxy/pool.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers: limited, kept for reuse, trimmed when idle."""
+"""A pool of connections to backend servers, limited in number and reused."""
 
 import socket
 from collections.abc import Callable, Iterable
@@ -17,11 +17,11 @@
 MAX_IDLE = 16
 MAX_IDLE_SECONDS = 30.0
 TRIM_SECONDS = 5.0
-# The greatest home set by default, and one instance that an old answer names.
+# The largest home set by default, and one instance from an outdated address answer.
 INSTANCES_PER_BACKEND = 6
 DEFAULT_LIMIT = 50
 MAX_WAITING = 100
-#: Asks a silent other side after 1 s and twice more, and then ends the connection.
+#: TCP keep-alive: first probe after 1 s of silence, closed after two without an answer.
 KEEPALIVE_OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1),
@@ -32,7 +32,7 @@
 
 @define
 class IdleWire:
-    """A connection without a request, and since when."""
+    """An idle connection and the time since when it is idle."""
 
     wire: Wire
     since: float
@@ -40,7 +40,7 @@
 
 @define
 class BackendConnections:
-    """The connections of this instance to one backend server."""
+    """The connections from this instance to one backend server."""
 
     limit: int = DEFAULT_LIMIT
     in_use: int = 0
@@ -48,7 +48,7 @@
     waiters: trio.lowlevel.ParkingLot = field(factory=trio.lowlevel.ParkingLot)
 
     async def take_slot(self) -> bool:
-        """Wait in order for one of the limited slots; false when too many wait."""
+        """Wait in FIFO order for a connection slot; return false if too many wait."""
         if self.in_use < self.limit and not len(self.waiters):
             self.in_use += 1
             return True
@@ -58,12 +58,12 @@
         return True
 
     def has_room(self) -> bool:
-        """Tell whether one more idle connection may be kept."""
+        """Return whether one more idle connection may be kept."""
         idle = len(self.idle)
         return idle < MAX_IDLE and idle + self.in_use <= self.limit
 
     def give_slot(self) -> None:
-        """Hand a slot to who waits longest, or free it."""
+        """Release a slot to the request that has waited longest, if one waits."""
         self.in_use -= 1
         while len(self.waiters) and self.in_use < self.limit:
             self.in_use += 1
@@ -72,19 +72,19 @@
 
 @define
 class BackendPool:
-    """Open, reuse and close connections to backend servers."""
+    """A pool of connections to backend servers, by address."""
 
-    #: Instances that share the connections of one backend server.
+    #: Number of instances that share the connection limit of one backend server.
     count_instances: Callable[[], float] = lambda: INSTANCES_PER_BACKEND
-    #: Whether answers may take long, so that silence alone tells nothing.
+    #: Whether TCP keep-alive detects lost servers, for answers that may take long.
     keeps_alive: bool = False
     connections_by_address: dict[Address, BackendConnections] = Factory(dict)
-    #: Idle connections to be closed with the next trim.
+    #: Idle connections that the next trim closes.
     dropped: list[IdleWire] = Factory(list)
     document: Document = Factory(Document)
 
     def update(self, config: AcceptedConfig) -> None:
-        """Take over the connection limits of a new configuration."""
+        """Apply the connection limits of a new configuration."""
         before, document = self.document, config.document
         difference = compare(before, document)
         self.document = document
@@ -99,14 +99,14 @@
         self._limit(backends[name] for name in difference.backends if name in backends)
 
     def _drop_idle(self, address: Address) -> None:
-        """Use no more of the connections to a server that started again."""
+        """Stop reusing the idle connections to a server that restarted."""
         connections = self.connections_by_address.get(address)
         if connections is not None:
             self.dropped.extend(connections.idle)
             connections.idle.clear()
 
     def share_limits(self) -> None:
-        """Cut the connections of every server by the instances that are known now."""
+        """Divide the connection limit of every server among the current instances."""
         self._limit(self.document.register.backends.values())
 
     def _limit(self, backends: Iterable[Backend]) -> None:
@@ -120,14 +120,17 @@
             connections.limit = max(1, int(service.max_connections / instances))
 
     def is_full(self, address: Address) -> bool:
-        """Tell whether a further request would wait for one of the own connections."""
+        """Return whether another request would wait for a connection to a server."""
         connections = self._connections(address)
         return connections.in_use >= connections.limit
 
     async def acquire(
         self, address: Address, max_idle_seconds: float = MAX_IDLE_SECONDS
     ) -> Wire | NotRun:
-        """Return a connection without a request, or say why there is none."""
+        """Return an idle or new connection, or why there is none.
+
+        Only a connection that has been idle for less than max_idle_seconds is reused.
+        """
         connections = self._connections(address)
         if not await connections.take_slot():
             return NotRun(Reason.CONNECTION_LIMIT, f'to {address}')
@@ -143,7 +146,10 @@
         return wire
 
     async def release(self, address: Address, wire: Wire) -> None:
-        """Keep a connection that ended cleanly, else close it; never cancelled."""
+        """Keep a connection for reuse if its exchange ended cleanly, else close it.
+
+        The close is shielded from cancellation.
+        """
         connections = self._connections(address)
         try:
             if connections.has_room() and ended_cleanly(wire):
@@ -157,14 +163,14 @@
             connections.give_slot()
 
     async def run(self) -> None:
-        """Close connections that idled too long, until cancelled."""
+        """Update the limits and close unused connections regularly, until cancelled."""
         while True:
             await trio.sleep(TRIM_SECONDS)
             self.share_limits()
             await self.trim()
 
     async def trim(self) -> None:
-        """Close connections that idled too long or were closed by their server."""
+        """Close connections that were idle too long or closed by their server."""
         now = trio.current_time()
         for entry in self._take_dropped():
             await entry.wire.close()
@@ -173,7 +179,8 @@
             for entry in connections.idle:
                 old = now - entry.since >= MAX_IDLE_SECONDS
                 (dropped if old or is_readable(entry.wire) else kept).append(entry)
-            # In place: another list would let who takes one meanwhile take it twice.
+            # In place: with a new list, a connection that a request acquires meanwhile
+            # could be acquired a second time.
             connections.idle[:] = kept
             for entry in dropped:
                 await entry.wire.close()
@@ -217,7 +224,7 @@
 
 
 async def connect(address: Address, *, keeps_alive: bool = False) -> Wire | NotRun:
-    """Open a connection."""
+    """Open a connection to a backend server, or return why that failed."""
     family = trio.socket.AF_INET6 if ':' in address.host else trio.socket.AF_INET
     sock = trio.socket.socket(family)
     try:
@@ -234,11 +241,11 @@
         sock.close()
         raise
     sock.close()
-    return NotRun(Reason.CONNECT_FAILED, f'no connection in {CONNECT_SECONDS:g} s')
+    return NotRun(Reason.CONNECT_FAILED, f'no connection within {CONNECT_SECONDS:g} s')
 
 
 def ended_cleanly(wire: Wire) -> bool:
-    """Tell whether both sides ended and no surplus bytes came."""
+    """Return whether request and answer are complete without surplus bytes."""
     codec = wire.codec
     if wire.is_spoiled:
         return False
@@ -249,5 +256,5 @@
 
 
 def is_readable(wire: Wire) -> bool:
-    """Tell whether an idle connection was closed or got surplus bytes."""
+    """Return whether an idle connection was closed or received surplus bytes."""
     return wire.stream.socket.is_readable()
--- a/catkinslip/proxy/presence.py
+++ b/catkinslip/proxy/presence.py
@@ -1,7 +1,7 @@
-"""Notice callers that leave while their requests are in flight.
+"""Detection of callers that disconnect while their requests are in flight.
 
-One poll over all of them, now and then, costs a request far less than a task
-of its own would.
+One regular poll of all connections costs a request far less than a task of its own
+would.
 """
 
 import select
@@ -16,14 +16,14 @@
 
 @define
 class CallerWatch:
-    """Cancel the requests of callers that closed their connections."""
+    """A watch that cancels the requests of callers that closed their connections."""
 
     poll: select.poll = Factory(select.poll)
     scope_by_descriptor: dict[int, trio.CancelScope] = Factory(dict)
     has_callers: trio.Event = Factory(trio.Event)
 
     async def run(self) -> None:
-        """Watch until cancelled; an instance without callers sleeps."""
+        """Poll the callers' connections until cancelled; sleep while there are none."""
         while True:
             if not self.scope_by_descriptor:
                 self.has_callers = trio.Event()
@@ -32,14 +32,14 @@
             self.cancel_left()
 
     def cancel_left(self) -> None:
-        """Cancel the requests of callers that have left."""
+        """Cancel the requests of callers that have closed their connections."""
         if not self.scope_by_descriptor:
             return
         for descriptor, _ in self.poll.poll(0):
             self.scope_by_descriptor[descriptor].cancel()
 
     def add(self, caller: Wire, scope: trio.CancelScope) -> int | None:
-        """Watch a caller; return its descriptor, None when it has none."""
+        """Watch a caller's connection; return its descriptor, None if it has none."""
         if type(caller.stream) is not trio.SocketStream:
             return None
         descriptor = caller.stream.socket.fileno()
@@ -49,7 +49,7 @@
         return descriptor
 
     def remove(self, descriptor: int | None) -> None:
-        """Stop watching a caller."""
+        """Stop watching the connection with this descriptor."""
         if descriptor is not None:
             self.poll.unregister(descriptor)
             del self.scope_by_descriptor[descriptor]
--- a/catkinslip/proxy/race.py
+++ b/catkinslip/proxy/race.py
@@ -1,4 +1,4 @@
-"""The race of two attempts of one call."""
+"""The race between the two attempts of a hedged call."""
 
 import logging
 from typing import TYPE_CHECKING
@@ -14,9 +14,9 @@
 if TYPE_CHECKING:
     from catkinslip.proxy.runner import CallRunner
 
-#: A server that tells less than this share of its speed at the choice slowed down.
+#: A server counts as slowed down below this share of its speed at the choice.
 SLOWED_SHARE = 0.6
-#: Between two looks at the server of a call that takes long.
+#: Time between two probes of the first server, for a call that takes long.
 LOOK_AGAIN_SECONDS = 0.03
 
 log = logging.getLogger('routing')
@@ -24,12 +24,12 @@
 
 @define(eq=False)
 class Race(Hedge):
-    """The race of two attempts; the first head cancels the other attempt."""
+    """A race of two attempts; the first answer head cancels the other attempt."""
 
     runner: 'CallRunner'
     delay: float
     is_over: bool = False
-    #: Speed that the first server told right before it was chosen.
+    #: Speed that the first server last reported before the request was sent.
     launched_speed: float | None = None
     second: Launch | None = None
     first_scope: trio.CancelScope = Factory(trio.CancelScope)
@@ -37,7 +37,7 @@
     second_ended: trio.Event = Factory(trio.Event)
 
     async def run(self) -> None:
-        """Start the second attempt, or ask for another time."""
+        """Start the second attempt, or reschedule the hedge."""
         runner = self.runner
         if self.is_over:
             return
@@ -45,7 +45,7 @@
             await self._look_at_first()
             if self.is_over:
                 return
-            # Another call may have taken the last token during the look.
+            # Another call may have used the last token of the budget during the probe.
             if self._may_hedge() and self.is_first_slow():
                 self.second = runner.launch_hedge()
         if self.second is None:
@@ -68,7 +68,7 @@
             await self.runner.sampler.refresh(self.runner.router, [first.backend_id])
 
     def is_first_slow(self) -> bool:
-        """Tell whether the first server slowed down; it may not tell its speed."""
+        """Return whether the first server is slower, silent or without a speed."""
         first_id = self.runner.launches[0].backend_id
         if self.launched_speed is None or self.runner.router.is_silent(first_id):
             return True
@@ -79,6 +79,6 @@
         try:
             await self.runner.start(launch)
         except Exception as error:
-            # One call's hedge must not stop the process.
-            log.exception('routing: a hedge failed.')
+            # An error in the hedge of one call must not stop the process.
+            log.exception('routing: the second attempt of a hedged call failed.')
             await self.runner.settle(launch, Unknown(Reason.BROKEN, repr(error)))
--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -1,4 +1,4 @@
-"""Run the attempts of one call: retry, hedge, and pass one answer on."""
+"""The attempts of one call: retries, hedges and the answer to the caller."""
 
 import logging
 from collections.abc import Collection
@@ -41,8 +41,9 @@
 from catkinslip.routing.words import ServerWords
 from catkinslip.throttling.signs import AnswerKind
 
+#: Time to pass an answer on whose head came before the deadline.
 ANSWER_GRACE_SECONDS = 1.0
-#: Enough to find a request again; a caller may send 32 kB.
+#: Enough to identify a request; a caller may send a target of 32 kB.
 LOGGED_TARGET_BYTES = 200
 
 log = logging.getLogger('routing')
@@ -50,7 +51,7 @@
 
 @define
 class CallRunner:
-    """Carry out a call's plan; exactly one answer reaches the caller."""
+    """The execution of one call's plan; at most one answer reaches the caller."""
 
     call: Call
     caller: Wire
@@ -66,7 +67,7 @@
     sampler: Sampler
     random: Random
     guard: CrashGuard
-    #: Servers in regions where the call must not run.
+    #: Servers in regions in which the call must not run.
     outside: frozenset[str] = frozenset()
     launches: list[Launch] = Factory(list)
     passed_on: Launch | None = None
@@ -75,7 +76,7 @@
     wait: ServerWait = Factory(lambda self: self._make_wait(), takes_self=True)
 
     async def run(self) -> Outcome:
-        """Run attempts until one answers, none may follow, or the deadline."""
+        """Run attempts until an answer, the last allowed attempt or the deadline."""
         try:
             left = max(0.0, self.call.deadline - self.clock.monotonic())
             with trio.move_on_after(left) as self.scope:
@@ -91,7 +92,7 @@
             if isinstance(choice, NotRun):
                 self.plan.refused(choice)
                 return self.plan.told()
-            # Another call may have taken the last token during the wait.
+            # Another call may have used the last token of the budget during the wait.
             if choice is None or not self.plan.may_start():
                 return self.plan.told()
             launch = self._launch(choice, self.plan.start(), self.wait.reason(choice))
@@ -102,16 +103,16 @@
                 return self.plan.told()
 
     def launch_hedge(self) -> Launch | None:
-        """Make a second attempt; None when no server has an idle slot for it."""
+        """Create a second attempt; return None if no server has an idle slot for it."""
         choice = self.health.choose(self.router, self._tried())
         if choice is None or not self.limits.has_idle_slot(choice.backend_id):
             return None
         return self._launch(choice, self.plan.hedge(), f'hedge, {choice.reason}')
 
     def _launch(self, choice: Choice, number: int, reason: object) -> Launch:
-        """Make the attempt with a number of a chosen server."""
+        """Create the attempt with this number at the chosen server."""
         now = self.clock.monotonic()
-        # Before the request counts as sent, which it is not yet.
+        # Reserved before the router counts the request as in flight.
         permits = self.router.reserve(choice.backend_id, now)
         load = self.router.started(choice.backend_id, now)
         narrowed = self.router.narrowed(load, now)
@@ -146,14 +147,14 @@
         return launch
 
     def _may_send(self, launch: Launch) -> bool:
-        """Tell whether the first byte may be sent now, as a connection is there."""
+        """Return whether the first byte may be sent on the open connection now."""
         load, now = launch.load, self.clock.monotonic()
         return self.router.may_send(load, launch.permits, now)
 
     def _take_head(
         self, load: BackendLoad | None, headers: Headers, report: LoadReport | None
     ) -> None:
-        # An answer of before the server's last start says nothing of the one of now.
+        # An answer from before the server's last start does not describe it now.
         if self.router.is_known(load):
             self.health.answered(load.backend_id, headers, report)
 
@@ -185,7 +186,7 @@
         self.observer.broke(self.call, broken)
 
     def _tried(self) -> Collection[str]:
-        """Return the servers that must not get the call: tried or foreign ones."""
+        """Return the servers that must not get the call: tried or in other regions."""
         tried = [launch.backend_id for launch in self.launches]
         return self.outside.union(tried) if self.outside else tried
 
@@ -198,10 +199,10 @@
         return await self._race(launch, delay)
 
     def _hedge_delay(self, launch: Launch, now: float) -> float | None:
-        """Return after how many seconds to look whether a hedge is due."""
+        """Return the seconds until the first check for a hedge; None for no hedge."""
         if self.call.best_until == inf:
             return self.limits.hedge_delay(now)
-        # By then most servers that kept their speed have answered.
+        # By then most servers whose speed did not fall have answered.
         return self.wait.expect(launch.delay)
 
     def _make_wait(self) -> ServerWait:
@@ -232,21 +233,21 @@
         return race.second
 
     def speed_of(self, backend_id: str) -> float | None:
-        """Return the speed that a server told last; None if it tells none."""
+        """Return the speed that a server last reported; None if it reported none."""
         load = self.router.load_by_id.get(backend_id)
         known = load is not None and load.report is not None
         return load.report.speed if known else None
 
     async def start(self, launch: Launch) -> None:
-        """Send an attempt's request and take what comes of it."""
+        """Send an attempt's request and handle the result."""
         await self.settle(launch, await launch.attempt.start())
 
     async def settle(
         self, launch: Launch, result: AnswerHead | NotRun | Unknown
     ) -> None:
-        """Take how an attempt ended, or that its answer began."""
+        """Record the result of an attempt: the head of an answer or why none came."""
         if not launch.is_open:
-            # Given up while the answer came.
+            # The attempt was abandoned while the answer arrived.
             if isinstance(result, AnswerHead):
                 await launch.attempt.discard(result)
             return
@@ -265,7 +266,7 @@
         is_known = self.router.is_known(launch.load)
         has_ended = await self._examine(launch)
         if not launch.is_open:
-            # Given up while its server was looked at: it was counted as ended then.
+            # Abandoned, and counted as finished, while its server was checked.
             return
         if (result.reason is Reason.CONNECT_FAILED or has_ended) and is_known:
             self.health.refused(launch.backend_id)
@@ -288,9 +289,10 @@
         self._finish(launch, result)
 
     async def _examine(self, launch: Launch) -> bool:
-        """Tell whether the server of a broken attempt ended under the request.
+        """Return whether the server crashed during an attempt whose connection broke.
 
-        One that leaves cuts what it did not finish, and is to blame for it itself.
+        A leaving server closes the connections of unfinished requests itself, so its
+        requests are not suspected.
         """
         load = launch.load
         if launch.attempt.broken is None or load is None or load.draining:
@@ -306,7 +308,7 @@
 
     async def _pass_on(self, launch: Launch, head: AnswerHead) -> Outcome:
         if self.scope.cancel_called:
-            # The deadline came with the head; nothing is sent to the caller yet.
+            # The deadline passed as the head arrived; the caller was sent nothing yet.
             await trio.sleep_forever()
         self.scope.deadline += ANSWER_GRACE_SECONDS
         self.passed_on = launch
@@ -339,7 +341,7 @@
         now = self.clock.monotonic()
         launch.is_open = False
         give_back(launch.permits)
-        # A slow caller's share of the time says nothing of the server.
+        # The time that a slow caller takes to read the answer is not the server's.
         ended = now if launch.answered_at is None else launch.answered_at
         result = attempt_result(outcome, ended - launch.began)
         if self.router.is_known(launch.load):
--- a/catkinslip/proxy/server_wait.py
+++ b/catkinslip/proxy/server_wait.py
@@ -1,4 +1,4 @@
-"""Wait until a server of a service can take a call."""
+"""The wait of one call for a server of its service."""
 
 import logging
 from collections.abc import Collection
@@ -36,7 +36,7 @@
 
 @define
 class ServerWait:
-    """Find a server for one call: look, hold and refuse as its state decides."""
+    """The choice of a server for one call: choose at once, wait or refuse."""
 
     call: Call
     limits: ServiceLimits
@@ -62,14 +62,14 @@
         )
 
     async def choose(self, tried: Collection[str]) -> Choice | NotRun | None:
-        """Return a server, or why the call is refused.
+        """Return the chosen server, or why the call is refused.
 
-        None where no server is left to choose.
+        None if no server is left to choose.
         """
         self.waiting.note_time(self.expect(1.0), self.clock.monotonic())
         while True:
             if not self.waiting.is_late:
-                # Probes are kept for calls that can still be in time.
+                # Probes are reserved for calls that can still be answered in time.
                 await self.sampler.refresh(self.router, tried)
             choice = self.health.choose(self.router, self._excluded(tried))
             if choice is None:
@@ -89,8 +89,8 @@
     def _excluded(self, tried: Collection[str]) -> Collection[str]:
         """Return the servers that must not get the call.
 
-        One that may end servers warms none, as what is cold ends for less, and is kept
-        from those in need.
+        A suspect request is not sent to cold servers, which crash more easily, nor to
+        throttled servers.
         """
         if not self.call.is_suspect:
             return tried
@@ -98,7 +98,7 @@
         return [*tried, *self.router.cold.cold(self.clock.monotonic()), *in_need]
 
     def _refuse_guarded(self) -> NotRun | None:
-        """Refuse a call where only servers are left that bear no more now."""
+        """Return the refusal if only servers are left that can handle no more now."""
         now = self.clock.monotonic()
         closure = self.router.closure(now)
         if closure is None:
@@ -118,11 +118,11 @@
         return refusal
 
     def reason(self, choice: Choice) -> object:
-        """Return why a server was chosen, for the log."""
+        """Return why a server was chosen, as text for the log."""
         return f'late, {choice.reason}' if self.waiting.is_late else choice.reason
 
     def expect(self, delay: float) -> float:
-        """Return the expected seconds until an answer."""
+        """Return the expected seconds until the answer of a server with this delay."""
         return self.limits.work.expect(self.call.route, delay, self.call.target_latency)
 
     def _find_slow(self, tried: Collection[str], now: float) -> Choice | None:
--- a/catkinslip/proxy/wire.py
+++ b/catkinslip/proxy/wire.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection: h11's codec over a trio stream."""
+"""An HTTP/1.1 connection: an h11 codec on a trio stream."""
 
 import os
 import socket
@@ -21,13 +21,17 @@
 
 @define(eq=False)
 class Wire:
-    """Send and receive HTTP events on one connection."""
+    """An HTTP/1.1 connection that sends and receives h11 events."""
 
     stream: trio.abc.Stream
     codec: h11.Connection
+    #: IP address of the other side; empty if unknown.
     peer: str = ''
+    #: Whether the connection carried an earlier request.
     is_reused: bool = False
+    #: Whether the connection must not be reused.
     is_spoiled: bool = False
+    #: Check of the chunked body that is received, if any.
     chunk_check: ChunkCheck | None = None
 
     async def receive(self) -> Any:
@@ -41,20 +45,20 @@
             await self.fill()
 
     async def fill(self) -> None:
-        """Read what has come into the codec."""
+        """Read the available bytes from the connection into the codec."""
         data = await self._read()
         if self.chunk_check is not None:
             self.check_chunks(data)
         self.codec.receive_data(data)
 
     def check_chunks(self, data: bytes) -> None:
-        """Raise h11.RemoteProtocolError when a chunked body is framed oddly."""
+        """Raise h11.RemoteProtocolError if the framing of a chunked body is invalid."""
         fault = self.chunk_check.feed(data)
         if fault is not None:
             raise h11.RemoteProtocolError(fault)
 
     def encode(self, *events: Any) -> bytes:
-        """Return the bytes of events, which must be sent next."""
+        """Return the bytes of events; they must be the next that are sent."""
         return b''.join([self.codec.send(event) or b'' for event in events])
 
     async def send(self, *events: Any) -> None:
@@ -64,7 +68,7 @@
             await self.write(data)
 
     async def write(self, data: bytes) -> None:
-        """Send bytes, without a task switch when the socket takes them at once."""
+        """Send bytes, without a task switch if the socket accepts them at once."""
         if type(self.stream) is trio.SocketStream:
             try:
                 sent = os.write(self._descriptor(), data)
@@ -86,14 +90,14 @@
                 continue
 
     def _descriptor(self) -> int:
-        # Asked for anew each time: a closed one may belong to another connection.
+        # Read anew each time: a closed descriptor may belong to another connection.
         descriptor = self.stream.socket.fileno()
         if descriptor < 0:
             raise trio.ClosedResourceError
         return descriptor
 
     def start_next_cycle(self) -> None:
-        """Make ready for the next exchange."""
+        """Prepare the connection for the next request."""
         self.chunk_check = None
         self.codec.start_next_cycle()
 
@@ -102,13 +106,13 @@
         await trio.aclose_forcefully(self.stream)
 
     async def reset(self) -> None:
-        """Close so that the other side sees a broken message in any framing."""
+        """Close with a reset, which makes any unfinished message an error."""
         if type(self.stream) is trio.SocketStream:
             self.stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         await self.close()
 
     async def close_gently(self) -> None:
-        """Close after the other side had time to read what was sent."""
+        """Close after the other side had time to read the last bytes sent."""
         left = LINGER_BYTES
         with trio.move_on_after(LINGER_SECONDS):
             await self.stream.send_eof()
@@ -121,22 +125,22 @@
 
 
 def server_wire(stream: trio.abc.Stream) -> Wire:
-    """Return the server's side of a connection."""
+    """Return the server side of a connection on a stream."""
     codec = h11.Connection(h11.SERVER, max_incomplete_event_size=RECEIVE_SIZE)
     return Wire(stream, codec, peer_of(stream))
 
 
 def peer_of(stream: trio.abc.Stream) -> str:
-    """Return the IP number of the other side; empty where it is not known."""
+    """Return the IP address of the other side; empty if it is unknown."""
     if not isinstance(stream, trio.SocketStream):
         return ''
     try:
         return stream.socket.getpeername()[0]
     except OSError:
-        # Reset before it was accepted; the first read tells, and is caught.
+        # Reset before it was accepted; the first read raises an error that is handled.
         return ''
 
 
 def client_wire(stream: trio.abc.Stream) -> Wire:
-    """Return the client's side of a connection."""
+    """Return the client side of a connection on a stream."""
     return Wire(stream, h11.Connection(h11.CLIENT))
