--- a/catkinslip/proxy/exchange.py
+++ b/catkinslip/proxy/exchange.py
@@ -40,10 +40,10 @@
     """Ignore the head of an answer."""
 
 
-OnWords = Callable[[ServerWords, AnswerKind, float], None]
+OnSignals = Callable[[ServerWords, AnswerKind, float], None]
 
 
-def ignore_words(words: ServerWords, kind: AnswerKind, sent_at: float) -> None:
+def ignore_signals(signals: ServerWords, kind: AnswerKind, sent_at: float) -> None:
     """Ignore the signals of a server."""
 
 
@@ -99,7 +99,7 @@
     dialect: Dialect = OWN_DIALECT
     backend_id: str = ''
     on_head: OnHead = ignore_head
-    on_words: OnWords = ignore_words
+    on_signals: OnSignals = ignore_signals
     on_break: OnBreak = ignore_break
     #: Check right before the first byte, as the attempt may wait for a connection.
     may_send: Callable[[], bool] = always
@@ -199,7 +199,7 @@
         report = self.dialect.read_report(headers)
         self.on_head(headers, report)
         kind = kind_of(status, refusal)
-        self.on_words(self.dialect.read_words(status, headers), kind, self.sent_at)
+        self.on_signals(self.dialect.read_words(status, headers), kind, self.sent_at)
         if refusal is not None:
             await answers.drain_body(wire)
             return NotRun(refusal, report=report)
--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -136,9 +136,9 @@
             number=number,
             dialect=self.dialect,
             backend_id=choice.backend_id,
-            on_head=partial(self._take_head, load),
-            on_words=partial(self._take_words, load),
-            on_break=partial(self._take_break, choice.backend_id),
+            on_head=partial(self._handle_head, load),
+            on_signals=partial(self._apply_signals, load),
+            on_break=partial(self._handle_break, choice.backend_id),
         )
         launch = Launch(choice.backend_id, attempt, now, choice.delay, load, permits)
         attempt.may_send = partial(self._may_send, launch)
@@ -151,27 +151,27 @@
         load, now = launch.load, self.clock.monotonic()
         return self.router.may_send(load, launch.permits, now)
 
-    def _take_head(
+    def _handle_head(
         self, load: BackendLoad | None, headers: Headers, report: LoadReport | None
     ) -> None:
         # An answer from before the server's last start does not describe it now.
         if self.router.is_known(load):
             self.health.answered(load.backend_id, headers, report)
 
-    def _take_words(
+    def _apply_signals(
         self,
         load: BackendLoad | None,
-        words: ServerWords,
+        signals: ServerWords,
         kind: AnswerKind,
         sent_at: float,
     ) -> None:
         if self.router.is_known(load):
             now = self.clock.monotonic()
-            self.router.take_words(load, words, kind, sent_at, now)
-            if words.is_leaving:
+            self.router.take_words(load, signals, kind, sent_at, now)
+            if signals.is_leaving:
                 self.health.leaves(load.backend_id)
 
-    def _take_break(self, backend_id: str, broken: Break) -> None:
+    def _handle_break(self, backend_id: str, broken: Break) -> None:
         log.info(
             'routing: %s the connection to %s broke. %s request=%s caller=%s target=%s '
             'detail=%s',
