--- a/catkinslip/metrics/requests.py
+++ b/catkinslip/metrics/requests.py
@@ -9,7 +9,7 @@
 from catkinslip.metrics.base import Family, MetricSource, counter, gauge, summary
 from catkinslip.metrics.durations import COARSE, FINE, Durations
 from catkinslip.proxy.calls import Call
-from catkinslip.proxy.exchange import Break
+from catkinslip.proxy.exchange import ConnectionBreak
 from catkinslip.proxy.observer import RequestObserver
 from catkinslip.proxy.outcomes import Answered, NotRun, Outcome, Reason
 from catkinslip.routing.base import Choice
@@ -59,7 +59,7 @@
             self.tally_by_backend[backend_id] = tally
         tally.count(outcome, seconds, self.clock.monotonic())
 
-    def broke(self, call: Call, broken: Break) -> None:
+    def broke(self, call: Call, broken: ConnectionBreak) -> None:
         """Learn of a connection that ended under an attempt."""
         kind = 'kept' if broken.is_reused else 'new'
         self._service(call.service).breaks[kind] += 1
--- a/catkinslip/proxy/exchange.py
+++ b/catkinslip/proxy/exchange.py
@@ -48,7 +48,7 @@
 
 
 @frozen
-class Break:
+class ConnectionBreak:
     """The end of a connection after a request was sent on it."""
 
     #: Seconds since the first byte of the request.
@@ -64,10 +64,10 @@
         return f'ms={self.seconds * 1e3:.0f} connection={kind} begun={self.has_begun}'
 
 
-OnBreak = Callable[[Break], None]
+OnBreak = Callable[[ConnectionBreak], None]
 
 
-def ignore_break(broken: Break) -> None:
+def ignore_break(connection_break: ConnectionBreak) -> None:
     """Ignore a connection that broke."""
 
 
@@ -106,7 +106,7 @@
     is_sent: bool = False
     sent_at: float = 0.0
     #: How the last connection broke after the request was sent; None if it did not.
-    broken: Break | None = None
+    connection_break: ConnectionBreak | None = None
     #: Whether a reused connection was closed before any byte of an answer.
     is_stale: bool = False
     #: Result of the first send if the request was sent twice: it may have run.
@@ -176,9 +176,9 @@
             self._start_upload(wire)
             response = await answers.receive_response(wire)
         except ConnectionErrors as error:
-            return self._broken(wire, error)
+            return self._record_break(wire, error)
         except h11.ProtocolError as error:
-            return self._broken(wire, error)
+            return self._record_break(wire, error)
         return await self._judge(wire, response)
 
     async def _judge(
@@ -205,20 +205,20 @@
             return NotRun(refusal, report=report)
         return AnswerHead(response, headers, report, wire)
 
-    def _broken(self, wire: Wire, error: Exception) -> Unknown:
+    def _record_break(self, wire: Wire, error: Exception) -> Unknown:
         rest = self.call.rest
         if rest is not None and rest.fault is not None:
             return Unknown(rest.fault)
-        broken = self.broken = Break(
+        connection_break = self.connection_break = ConnectionBreak(
             self.clock.monotonic() - self.sent_at,
             wire.is_reused,
             answers.has_begun(wire),
             str(error) or repr(error),
         )
-        self.on_break(broken)
-        self.is_stale = broken.is_reused and not broken.has_begun
+        self.on_break(connection_break)
+        self.is_stale = connection_break.is_reused and not connection_break.has_begun
         wire.is_spoiled = True
-        return Unknown(Reason.BROKEN, broken.detail)
+        return Unknown(Reason.BROKEN, connection_break.detail)
 
     async def _pass_on(self, head: AnswerHead) -> Outcome:
         waiting = [self._answer_head(head)]
@@ -233,7 +233,7 @@
                     await wire.fill()
                     continue
             except (*ConnectionErrors, h11.RemoteProtocolError) as error:
-                return evolve(self._broken(wire, error), answer_started=True)
+                return evolve(self._record_break(wire, error), answer_started=True)
             if type(event) is not h11.EndOfMessage:
                 waiting.append(event)
                 continue
--- a/catkinslip/proxy/observer.py
+++ b/catkinslip/proxy/observer.py
@@ -5,7 +5,7 @@
 from attrs import frozen
 
 from catkinslip.proxy.calls import Call
-from catkinslip.proxy.exchange import Break
+from catkinslip.proxy.exchange import ConnectionBreak
 from catkinslip.proxy.outcomes import Outcome
 from catkinslip.routing.base import Choice
 
@@ -23,7 +23,7 @@
     ) -> None:
         """Learn how an attempt ended and how long it took."""
 
-    def broke(self, call: Call, broken: Break) -> None:  # noqa: B027
+    def broke(self, call: Call, broken: ConnectionBreak) -> None:  # noqa: B027
         """Learn of a connection that ended under an attempt."""
 
     @abstractmethod
@@ -49,7 +49,7 @@
         for observer in self.observers:
             observer.attempted(call, backend_id, outcome, seconds)
 
-    def broke(self, call: Call, broken: Break) -> None:
+    def broke(self, call: Call, broken: ConnectionBreak) -> None:
         """Learn of a connection that ended under an attempt."""
         for observer in self.observers:
             observer.broke(call, broken)
--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -18,7 +18,7 @@
 from catkinslip.limits.plan import CallPlan, Step
 from catkinslip.limits.service import ServiceLimits
 from catkinslip.proxy.dialect import Dialect
-from catkinslip.proxy.exchange import AnswerHead, Attempt, Break, Call
+from catkinslip.proxy.exchange import AnswerHead, Attempt, Call, ConnectionBreak
 from catkinslip.proxy.hedges import HedgeTimer
 from catkinslip.proxy.launch import Launch
 from catkinslip.proxy.observer import RequestObserver
@@ -171,19 +171,19 @@
             if signals.is_leaving:
                 self.health.leaves(load.backend_id)
 
-    def _handle_break(self, backend_id: str, broken: Break) -> None:
+    def _handle_break(self, backend_id: str, connection_break: ConnectionBreak) -> None:
         log.info(
             'routing: %s the connection to %s broke. %s request=%s caller=%s target=%s '
             'detail=%s',
             self.call.request_id,
             backend_id,
-            broken,
+            connection_break,
             key_of(self.call),
             self.call.peer,
             self.call.target[:LOGGED_TARGET_BYTES].decode('latin-1'),
-            broken.detail,
+            connection_break.detail,
         )
-        self.observer.broke(self.call, broken)
+        self.observer.broke(self.call, connection_break)
 
     def _tried(self) -> Collection[str]:
         """Return the servers that must not get the call: tried or in other regions."""
@@ -295,7 +295,7 @@
         requests are not suspected.
         """
         load = launch.load
-        if launch.attempt.broken is None or load is None or load.draining:
+        if launch.attempt.connection_break is None or load is None or load.draining:
             return False
         server = server_name(launch.backend_id, load.incarnation)
         is_cold = load.is_cold(launch.began)
@@ -318,7 +318,7 @@
         outcome = await launch.attempt.pass_on(head)
         if isinstance(outcome, Answered) and outcome.status not in SERVER_ERRORS:
             self.guard.answered(self.call)
-        elif launch.attempt.broken is not None:
+        elif launch.attempt.connection_break is not None:
             await self._examine(launch)
         self._finish(launch, outcome)
         return outcome
