--- a/catkinslip/proxy/exchange.py
+++ b/catkinslip/proxy/exchange.py
@@ -71,7 +71,7 @@
     """Ignore a connection that broke."""
 
 
-def always() -> bool:
+def always_allow() -> bool:
     """Allow the request whatever changed since the server was chosen."""
     return True
 
@@ -102,15 +102,15 @@
     on_signals: OnSignals = ignore_signals
     on_break: OnBreak = ignore_break
     #: Check right before the first byte, as the attempt may wait for a connection.
-    may_send: Callable[[], bool] = always
+    may_send: Callable[[], bool] = always_allow
     is_sent: bool = False
     sent_at: float = 0.0
     #: How the last connection broke after the request was sent; None if it did not.
     connection_break: ConnectionBreak | None = None
     #: Whether a reused connection was closed before any byte of an answer.
-    is_stale: bool = False
+    used_stale_connection: bool = False
     #: Result of the first send if the request was sent twice: it may have run.
-    doubt: Unknown | None = None
+    earlier_result: Unknown | None = None
 
     async def run(self) -> Outcome:
         """Send the request, pass the answer on and return the outcome."""
@@ -124,10 +124,10 @@
         if not self.call.repeatable:
             return await self._start(RECENT_SECONDS)
         result = await self._start(MAX_IDLE_SECONDS)
-        if self.is_stale and self.call.is_resendable:
+        if self.used_stale_connection and self.call.is_resendable:
             # The connections of a crashed server end like idle ones that are closed: 41
             # of 42 calls whose server crashed were reported as not run.
-            self.doubt = result
+            self.earlier_result = result
             log.info(
                 'routing: %s is sent again to %s, the reused connection was closed.',
                 self.call.request_id,
@@ -179,9 +179,9 @@
             return self._record_break(wire, error)
         except h11.ProtocolError as error:
             return self._record_break(wire, error)
-        return await self._judge(wire, response)
+        return await self._classify_response(wire, response)
 
-    async def _judge(
+    async def _classify_response(
         self, wire: Wire, response: h11.Response
     ) -> AnswerHead | NotRun | Unknown:
         call = self.call
@@ -198,7 +198,7 @@
             return NotRun(refusal)
         report = self.dialect.read_report(headers)
         self.on_head(headers, report)
-        kind = kind_of(status, refusal)
+        kind = answer_kind(status, refusal)
         self.on_signals(self.dialect.read_words(status, headers), kind, self.sent_at)
         if refusal is not None:
             await answers.drain_body(wire)
@@ -216,33 +216,35 @@
             str(error) or repr(error),
         )
         self.on_break(connection_break)
-        self.is_stale = connection_break.is_reused and not connection_break.has_begun
+        self.used_stale_connection = (
+            connection_break.is_reused and not connection_break.has_begun
+        )
         wire.is_spoiled = True
         return Unknown(Reason.BROKEN, connection_break.detail)
 
     async def _pass_on(self, head: AnswerHead) -> Outcome:
-        waiting = [self._answer_head(head)]
+        pending = [self._answer_head(head)]
         wire = head.wire
         while True:
             try:
                 event = wire.codec.next_event()
                 if event is h11.NEED_DATA:
-                    if waiting and not await self._send_on(waiting):
+                    if pending and not await self._send_to_caller(pending):
                         break
-                    waiting = []
+                    pending = []
                     await wire.fill()
                     continue
             except (*ConnectionErrors, h11.RemoteProtocolError) as error:
                 return evolve(self._record_break(wire, error), answer_started=True)
             if type(event) is not h11.EndOfMessage:
-                waiting.append(event)
+                pending.append(event)
                 continue
-            if await self._send_on([*waiting, h11.EndOfMessage()]):
+            if await self._send_to_caller([*pending, h11.EndOfMessage()]):
                 return Answered(head.response.status_code, head.report)
             break
         return Unknown(Reason.CALLER_LEFT, answer_started=True)
 
-    async def _send_on(self, events: list[h11.Event]) -> bool:
+    async def _send_to_caller(self, events: list[h11.Event]) -> bool:
         try:
             await self.caller.send(*events)
         except ConnectionErrors:
@@ -251,14 +253,14 @@
 
     def _request_events(self) -> list[h11.Event]:
         call = self.call
-        time_left = call.deadline - self.clock.monotonic()
+        remaining_time = call.deadline - self.clock.monotonic()
         headers = self.dialect.request_headers(
-            call, self.backend_id, self.number, time_left
+            call, self.backend_id, self.number, remaining_time
         )
         if call.rest is not None:
-            headers.append(framing(call.rest.length))
+            headers.append(framing_header(call.rest.length))
         elif call.body or call.method in METHODS_WITH_BODY:
-            headers.append(framing(len(call.body)))
+            headers.append(framing_header(len(call.body)))
         events: list[h11.Event] = [
             h11.Request(
                 method=call.method, target=call.target, headers=names.checked(headers)
@@ -300,14 +302,14 @@
         )
 
 
-def kind_of(status: int, refusal: Reason | None) -> AnswerKind:
+def answer_kind(status: int, refusal: Reason | None) -> AnswerKind:
     """Return whether an answer is a result, a failure or a refusal."""
     if refusal is not None:
         return AnswerKind.REFUSAL
     return AnswerKind.ANSWER if status < 400 else AnswerKind.FAILURE
 
 
-def framing(length: int | None) -> names.Header:
+def framing_header(length: int | None) -> names.Header:
     """Return the header that frames a request body; None is an unknown length."""
     if length is None:
         return b'transfer-encoding', b'chunked'
--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -270,8 +270,8 @@
             return
         if (result.reason is Reason.CONNECT_FAILED or has_ended) and is_known:
             self.health.refused(launch.backend_id)
-        if launch.attempt.doubt is not None:
-            self.plan.doubted(launch.attempt.doubt)
+        if launch.attempt.earlier_result is not None:
+            self.plan.doubted(launch.attempt.earlier_result)
         launch.step = self.plan.ended(
             result,
             now,
