--- a/catkinslip/proxy/forwarder.py
+++ b/catkinslip/proxy/forwarder.py
@@ -104,6 +104,6 @@
             sampler=self.sampler,
             random=self.random,
             guard=self.guard,
-            outside=self.directory.outside(call.service, call.regions),
+            excluded_by_region=self.directory.outside(call.service, call.regions),
         )
         return await runner.run()
--- a/catkinslip/proxy/race.py
+++ b/catkinslip/proxy/race.py
@@ -17,7 +17,7 @@
 #: A server counts as slowed down below this share of its speed at the choice.
 SLOWED_SHARE = 0.6
 #: Time between two probes of the first server, for a call that takes long.
-LOOK_AGAIN_SECONDS = 0.03
+PROBE_AGAIN_SECONDS = 0.03
 
 log = logging.getLogger('routing')
 
@@ -30,7 +30,7 @@
     delay: float
     is_over: bool = False
     #: Speed that the first server last reported before the request was sent.
-    launched_speed: float | None = None
+    initial_speed: float | None = None
     second: Launch | None = None
     first_scope: trio.CancelScope = Factory(trio.CancelScope)
     second_scope: trio.CancelScope = Factory(trio.CancelScope)
@@ -42,14 +42,14 @@
         if self.is_over:
             return
         if self._may_hedge():
-            await self._look_at_first()
+            await self._probe_first()
             if self.is_over:
                 return
             # Another call may have used the last token of the budget during the probe.
             if self._may_hedge() and self.is_first_slow():
                 self.second = runner.launch_hedge()
         if self.second is None:
-            delay = self.delay if self.launched_speed is None else LOOK_AGAIN_SECONDS
+            delay = self.delay if self.initial_speed is None else PROBE_AGAIN_SECONDS
             runner.hedges.add(delay, self)
             return
         with self.second_scope:
@@ -61,8 +61,8 @@
     def _may_hedge(self) -> bool:
         return self.runner.plan.may_hedge(self.runner.clock.monotonic())
 
-    async def _look_at_first(self) -> None:
-        if self.launched_speed is not None:
+    async def _probe_first(self) -> None:
+        if self.initial_speed is not None:
             first = self.runner.launches[0]
             await self.runner.sampler.look(self.runner.router, first.backend_id)
             await self.runner.sampler.refresh(self.runner.router, [first.backend_id])
@@ -70,10 +70,10 @@
     def is_first_slow(self) -> bool:
         """Return whether the first server is slower, silent or without a speed."""
         first_id = self.runner.launches[0].backend_id
-        if self.launched_speed is None or self.runner.router.is_silent(first_id):
+        if self.initial_speed is None or self.runner.router.is_silent(first_id):
             return True
-        speed = self.runner.speed_of(first_id)
-        return speed is not None and speed < SLOWED_SHARE * self.launched_speed
+        speed = self.runner.reported_speed(first_id)
+        return speed is not None and speed < SLOWED_SHARE * self.initial_speed
 
     async def _start_second(self, launch: Launch) -> None:
         try:
@@ -81,4 +81,4 @@
         except Exception as error:
             # An error in the hedge of one call must not stop the process.
             log.exception('routing: the second attempt of a hedged call failed.')
-            await self.runner.settle(launch, Unknown(Reason.BROKEN, repr(error)))
+            await self.runner.handle_result(launch, Unknown(Reason.BROKEN, repr(error)))
--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -68,7 +68,7 @@
     random: Random
     guard: CrashGuard
     #: Servers in regions in which the call must not run.
-    outside: frozenset[str] = frozenset()
+    excluded_by_region: frozenset[str] = frozenset()
     launches: list[Launch] = Factory(list)
     passed_on: Launch | None = None
     began: float = Factory(lambda self: self.clock.monotonic(), takes_self=True)
@@ -78,13 +78,13 @@
     async def run(self) -> Outcome:
         """Run attempts until an answer, the last allowed attempt or the deadline."""
         try:
-            left = max(0.0, self.call.deadline - self.clock.monotonic())
-            with trio.move_on_after(left) as self.scope:
+            remaining = max(0.0, self.call.deadline - self.clock.monotonic())
+            with trio.move_on_after(remaining) as self.scope:
                 return await self._run_attempts()
             return self._expire()
         finally:
             for launch in self.launches:
-                await self._give_up(launch)
+                await self._abandon(launch)
 
     async def _run_attempts(self) -> Outcome:
         while True:
@@ -188,7 +188,9 @@
     def _tried(self) -> Collection[str]:
         """Return the servers that must not get the call: tried or in other regions."""
         tried = [launch.backend_id for launch in self.launches]
-        return self.outside.union(tried) if self.outside else tried
+        return (
+            self.excluded_by_region.union(tried) if self.excluded_by_region else tried
+        )
 
     async def _await_head(self, launch: Launch) -> Launch:
         now = self.clock.monotonic()
@@ -218,7 +220,7 @@
         )
 
     async def _race(self, first: Launch, delay: float) -> Launch:
-        race = Race(self, delay, launched_speed=self.speed_of(first.backend_id))
+        race = Race(self, delay, initial_speed=self.reported_speed(first.backend_id))
         self.hedges.add(delay, race)
         try:
             with race.first_scope:
@@ -232,7 +234,7 @@
             return first
         return race.second
 
-    def speed_of(self, backend_id: str) -> float | None:
+    def reported_speed(self, backend_id: str) -> float | None:
         """Return the speed that a server last reported; None if it reported none."""
         load = self.router.load_by_id.get(backend_id)
         known = load is not None and load.report is not None
@@ -240,9 +242,9 @@
 
     async def start(self, launch: Launch) -> None:
         """Send an attempt's request and handle the result."""
-        await self.settle(launch, await launch.attempt.start())
+        await self.handle_result(launch, await launch.attempt.start())
 
-    async def settle(
+    async def handle_result(
         self, launch: Launch, result: AnswerHead | NotRun | Unknown
     ) -> None:
         """Record the result of an attempt: the head of an answer or why none came."""
@@ -264,11 +266,11 @@
             )
             return
         is_known = self.router.is_known(launch.load)
-        has_ended = await self._examine(launch)
+        has_crashed = await self._check_for_crash(launch)
         if not launch.is_open:
             # Abandoned, and counted as finished, while its server was checked.
             return
-        if (result.reason is Reason.CONNECT_FAILED or has_ended) and is_known:
+        if (result.reason is Reason.CONNECT_FAILED or has_crashed) and is_known:
             self.health.refused(launch.backend_id)
         if launch.attempt.earlier_result is not None:
             self.plan.doubted(launch.attempt.earlier_result)
@@ -288,7 +290,7 @@
             )
         self._finish(launch, result)
 
-    async def _examine(self, launch: Launch) -> bool:
+    async def _check_for_crash(self, launch: Launch) -> bool:
         """Return whether the server crashed during an attempt whose connection broke.
 
         A leaving server closes the connections of unfinished requests itself, so its
@@ -299,12 +301,12 @@
             return False
         server = server_name(launch.backend_id, load.incarnation)
         is_cold = load.is_cold(launch.began)
-        has_ended = await self.guard.examine(
+        has_crashed = await self.guard.examine(
             self.call, server, launch.attempt.address, is_cold=is_cold
         )
         if self.call.is_suspect:
             self.plan.repeatable = False
-        return has_ended
+        return has_crashed
 
     async def _pass_on(self, launch: Launch, head: AnswerHead) -> Outcome:
         if self.scope.cancel_called:
@@ -314,12 +316,12 @@
         self.passed_on = launch
         for other in self.launches:
             if other is not launch:
-                await self._give_up(other)
+                await self._abandon(other)
         outcome = await launch.attempt.pass_on(head)
         if isinstance(outcome, Answered) and outcome.status not in SERVER_ERRORS:
             self.guard.answered(self.call)
         elif launch.attempt.connection_break is not None:
-            await self._examine(launch)
+            await self._check_for_crash(launch)
         self._finish(launch, outcome)
         return outcome
 
@@ -330,7 +332,7 @@
             answer_started=self.passed_on is not None,
         )
 
-    async def _give_up(self, launch: Launch) -> None:
+    async def _abandon(self, launch: Launch) -> None:
         if not launch.is_open:
             return
         if isinstance(launch.result, AnswerHead) and launch is not self.passed_on:
