--- a/catkinslip/proxy/forwarder.py
+++ b/catkinslip/proxy/forwarder.py
@@ -27,7 +27,7 @@
 EVACUATED_RETRY_SECONDS = 1.0
 #: Slow instances are ready 0.4 to 1.4 s after all instances start (logs of 22); a
 #: caller that retries after 0.05 s is most likely refused by the same instance again.
-START_RETRY_SECONDS = 0.5
+NOT_READY_RETRY_SECONDS = 0.5
 
 
 @define
@@ -51,15 +51,15 @@
 
     async def forward(self, call: Call, caller: Wire) -> Outcome:
         """Forward a call within its deadline and return its outcome."""
-        self._note_spent(call)
+        self._record_spent(call)
         outcome = await self._forward(call, caller)
         if not isinstance(outcome, Answered):
             self.spent.turned_away(self.clock.monotonic())
         return outcome
 
-    def _note_spent(self, call: Call) -> None:
-        is_told = call.patience is not None and call.target_latency < inf
-        if is_told and self.limits.settings.admission.counts_spent:
+    def _record_spent(self, call: Call) -> None:
+        has_times = call.patience is not None and call.target_latency < inf
+        if has_times and self.limits.settings.admission.counts_spent:
             now = self.clock.monotonic()
             call.note_spent(
                 self.spent.observe(call.route, call.patience, call.target_latency, now)
@@ -67,7 +67,7 @@
 
     async def _forward(self, call: Call, caller: Wire) -> Outcome:
         if not self.directory.is_ready:
-            return NotRun(Reason.NOT_READY, retry_after=START_RETRY_SECONDS)
+            return NotRun(Reason.NOT_READY, retry_after=NOT_READY_RETRY_SECONDS)
         router = self.directory.router_by_service.get(call.service)
         if router is None:
             return NotRun(Reason.UNKNOWN_SERVICE, call.service)
--- a/catkinslip/proxy/hedges.py
+++ b/catkinslip/proxy/hedges.py
@@ -29,7 +29,7 @@
 
     heap: list[tuple[float, int, Hedge]] = Factory(list)
     numbers: count = Factory(count)
-    earlier: trio.lowlevel.ParkingLot = field(factory=trio.lowlevel.ParkingLot)
+    earlier_due: trio.lowlevel.ParkingLot = field(factory=trio.lowlevel.ParkingLot)
     wakes_at: float = inf
 
     def add(self, delay: float, hedge: Hedge) -> None:
@@ -37,7 +37,7 @@
         due = trio.current_time() + delay
         heappush(self.heap, (due, next(self.numbers), hedge))
         if due + TICK_SECONDS < self.wakes_at:
-            self.earlier.unpark_all()
+            self.earlier_due.unpark_all()
 
     async def run(self) -> None:
         """Run the hedges that are due, until cancelled."""
@@ -55,4 +55,4 @@
         if self.heap:
             self.wakes_at = max(self.heap[0][0], trio.current_time() + TICK_SECONDS)
         with trio.move_on_at(self.wakes_at):
-            await self.earlier.park()
+            await self.earlier_due.park()
--- a/catkinslip/proxy/server_wait.py
+++ b/catkinslip/proxy/server_wait.py
@@ -22,12 +22,12 @@
 
 log = logging.getLogger('limits')
 
-REASON_BY_WORD = {
+REASON_BY_RESTRICTION = {
     GuardWord.RATE: Reason.THROTTLED,
     GuardWord.COLD: Reason.COLD,
     GuardWord.REST: Reason.RESTING,
 }
-DETAIL_BY_WORD = {
+DETAIL_BY_RESTRICTION = {
     GuardWord.RATE: 'servers in need at their rates',
     GuardWord.COLD: 'cold servers',
     GuardWord.REST: 'servers that asked for rest',
@@ -73,7 +73,7 @@
                 await self.sampler.refresh(self.router, tried)
             choice = self.health.choose(self.router, self._excluded(tried))
             if choice is None:
-                return self._refuse_guarded()
+                return self._refuse_restricted()
             if self.call.best_until == inf:
                 return choice
             now = self.clock.monotonic()
@@ -94,18 +94,20 @@
         """
         if not self.call.is_suspect:
             return tried
-        in_need = [rate.load.backend_id for rate in self.router.throttle.book.holding()]
-        return [*tried, *self.router.cold.cold(self.clock.monotonic()), *in_need]
+        throttled = [
+            rate.load.backend_id for rate in self.router.throttle.book.holding()
+        ]
+        return [*tried, *self.router.cold.cold(self.clock.monotonic()), *throttled]
 
-    def _refuse_guarded(self) -> NotRun | None:
+    def _refuse_restricted(self) -> NotRun | None:
         """Return the refusal if only servers are left that can handle no more now."""
         now = self.clock.monotonic()
         closure = self.router.closure(now)
         if closure is None:
             return None
         refusal = NotRun(
-            REASON_BY_WORD[closure.word],
-            f'{closure.servers} {DETAIL_BY_WORD[closure.word]}',
+            REASON_BY_RESTRICTION[closure.word],
+            f'{closure.servers} {DETAIL_BY_RESTRICTION[closure.word]}',
             retry_after=guarded_retry(closure, self.waiting, self.random, now),
         )
         log.info(
@@ -127,8 +129,8 @@
 
     def _find_slow(self, tried: Collection[str], now: float) -> Choice | None:
         ranked = self.health.rank(self.router, self._excluded(tried))
-        place = self.waiting.find_slow(ranked, self.expect(1.0), now)
-        return None if place is None else self.router.choice_of(place, now)
+        estimate = self.waiting.find_slow(ranked, self.expect(1.0), now)
+        return None if estimate is None else self.router.choice_of(estimate, now)
 
     def _refuse(self, choice: Choice, now: float) -> NotRun:
         expected = self.expect(choice.delay)
