--- a/catkinslip/platform/client.py
+++ b/catkinslip/platform/client.py
@@ -80,7 +80,7 @@
 
     address: Address
     #: A watch on a connection that went silent would hide changes for its whole wait.
-    pages: PageClient = Factory(lambda: PageClient(BackendPool(keeps_alive=True)))
+    pages: PageClient = Factory(lambda: PageClient(BackendPool(uses_keepalive=True)))
     #: The life of the store that it told last; it rises as it comes back from a copy.
     era: int = 0
     #: Waits that end as the store tells another life.
--- a/catkinslip/proxy/pool.py
+++ b/catkinslip/proxy/pool.py
@@ -16,7 +16,7 @@
 CONNECT_SECONDS = 1.0
 MAX_IDLE = 16
 MAX_IDLE_SECONDS = 30.0
-TRIM_SECONDS = 5.0
+TRIM_INTERVAL_SECONDS = 5.0
 # The largest home set by default, and one instance from an outdated address answer.
 INSTANCES_PER_BACKEND = 6
 DEFAULT_LIMIT = 50
@@ -47,7 +47,7 @@
     idle: list[IdleWire] = Factory(list)
     waiters: trio.lowlevel.ParkingLot = field(factory=trio.lowlevel.ParkingLot)
 
-    async def take_slot(self) -> bool:
+    async def acquire_slot(self) -> bool:
         """Wait in FIFO order for a connection slot; return false if too many wait."""
         if self.in_use < self.limit and not len(self.waiters):
             self.in_use += 1
@@ -57,12 +57,12 @@
         await self.waiters.park()
         return True
 
-    def has_room(self) -> bool:
+    def may_keep_idle(self) -> bool:
         """Return whether one more idle connection may be kept."""
         idle = len(self.idle)
         return idle < MAX_IDLE and idle + self.in_use <= self.limit
 
-    def give_slot(self) -> None:
+    def release_slot(self) -> None:
         """Release a slot to the request that has waited longest, if one waits."""
         self.in_use -= 1
         while len(self.waiters) and self.in_use < self.limit:
@@ -77,7 +77,7 @@
     #: Number of instances that share the connection limit of one backend server.
     count_instances: Callable[[], float] = lambda: INSTANCES_PER_BACKEND
     #: Whether TCP keep-alive detects lost servers, for answers that may take long.
-    keeps_alive: bool = False
+    uses_keepalive: bool = False
     connections_by_address: dict[Address, BackendConnections] = Factory(dict)
     #: Idle connections that the next trim closes.
     dropped: list[IdleWire] = Factory(list)
@@ -94,7 +94,7 @@
             if new is not None and new.incarnation != old.incarnation:
                 self._drop_idle(Address(old.host, old.port))
         if difference.redefined:
-            self.share_limits()
+            self.divide_limits()
             return
         self._limit(backends[name] for name in difference.backends if name in backends)
 
@@ -105,7 +105,7 @@
             self.dropped.extend(connections.idle)
             connections.idle.clear()
 
-    def share_limits(self) -> None:
+    def divide_limits(self) -> None:
         """Divide the connection limit of every server among the current instances."""
         self._limit(self.document.register.backends.values())
 
@@ -132,17 +132,17 @@
         Only a connection that has been idle for less than max_idle_seconds is reused.
         """
         connections = self._connections(address)
-        if not await connections.take_slot():
+        if not await connections.acquire_slot():
             return NotRun(Reason.CONNECTION_LIMIT, f'to {address}')
         try:
-            wire = await self._take_idle(connections, max_idle_seconds)
+            wire = await self._acquire_idle(connections, max_idle_seconds)
             if wire is None:
-                wire = await connect(address, keeps_alive=self.keeps_alive)
+                wire = await connect(address, uses_keepalive=self.uses_keepalive)
         except BaseException:
-            connections.give_slot()
+            connections.release_slot()
             raise
         if isinstance(wire, NotRun):
-            connections.give_slot()
+            connections.release_slot()
         return wire
 
     async def release(self, address: Address, wire: Wire) -> None:
@@ -152,7 +152,7 @@
         """
         connections = self._connections(address)
         try:
-            if connections.has_room() and ended_cleanly(wire):
+            if connections.may_keep_idle() and ended_cleanly(wire):
                 wire.start_next_cycle()
                 wire.is_reused = True
                 connections.idle.append(IdleWire(wire, trio.current_time()))
@@ -160,19 +160,19 @@
                 with trio.CancelScope(shield=True):
                     await wire.close()
         finally:
-            connections.give_slot()
+            connections.release_slot()
 
     async def run(self) -> None:
         """Update the limits and close unused connections regularly, until cancelled."""
         while True:
-            await trio.sleep(TRIM_SECONDS)
-            self.share_limits()
+            await trio.sleep(TRIM_INTERVAL_SECONDS)
+            self.divide_limits()
             await self.trim()
 
     async def trim(self) -> None:
         """Close connections that were idle too long or closed by their server."""
         now = trio.current_time()
-        for entry in self._take_dropped():
+        for entry in self._pop_dropped():
             await entry.wire.close()
         for connections in list(self.connections_by_address.values()):
             kept, dropped = [], []
@@ -185,13 +185,13 @@
             for entry in dropped:
                 await entry.wire.close()
 
-    def _take_dropped(self) -> list[IdleWire]:
+    def _pop_dropped(self) -> list[IdleWire]:
         dropped, self.dropped = self.dropped, []
         return dropped
 
     async def close(self) -> None:
         """Close every idle connection."""
-        for entry in self._take_dropped():
+        for entry in self._pop_dropped():
             await entry.wire.close()
         for connections in self.connections_by_address.values():
             while connections.idle:
@@ -204,7 +204,7 @@
             self.connections_by_address[address] = connections
         return connections
 
-    async def _take_idle(
+    async def _acquire_idle(
         self, connections: BackendConnections, max_idle_seconds: float
     ) -> Wire | None:
         idle = connections.idle
@@ -223,12 +223,12 @@
         return None
 
 
-async def connect(address: Address, *, keeps_alive: bool = False) -> Wire | NotRun:
+async def connect(address: Address, *, uses_keepalive: bool = False) -> Wire | NotRun:
     """Open a connection to a backend server, or return why that failed."""
     family = trio.socket.AF_INET6 if ':' in address.host else trio.socket.AF_INET
     sock = trio.socket.socket(family)
     try:
-        if keeps_alive:
+        if uses_keepalive:
             for option in KEEPALIVE_OPTIONS:
                 sock.setsockopt(*option)
         with trio.move_on_after(CONNECT_SECONDS):
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -187,11 +187,11 @@
             address = directory.address_by_backend['i-1']
             connections = entry.pool.connections_by_address[address]
             connections.limit = 1
-            await connections.take_slot()
+            await connections.acquire_slot()
             entry.sampler.answer_seconds = 0.02
             await entry.sampler.look(router, 'i-1')
             self.assertFalse(router.is_silent('i-1'))
-            connections.give_slot()
+            connections.release_slot()
             entry.sampler.answer_seconds = PROBE_SECONDS
             await entry.sampler.look(router, 'i-1')
             self.assertIsNotNone(router.load_by_id['i-1'].report)
