--- a/catkinslip/health/sampler.py
+++ b/catkinslip/health/sampler.py
@@ -273,7 +273,7 @@
         except (*ConnectionErrors, h11.ProtocolError) as error:
             log.info('health: a probe broke. backend=%s error=%r', backend_id, error)
         finally:
-            wire.is_spoiled = wire.is_spoiled or not is_done
+            wire.must_close = wire.must_close or not is_done
             await self.pool.release(address, wire)
         return is_done
 
--- a/catkinslip/page_client.py
+++ b/catkinslip/page_client.py
@@ -64,7 +64,7 @@
         except (*ConnectionErrors, h11.ProtocolError) as error:
             return Unknown(Reason.BROKEN, repr(error))
         finally:
-            wire.is_spoiled = wire.is_spoiled or not is_done
+            wire.must_close = wire.must_close or not is_done
             with trio.CancelScope(shield=True):
                 await self.pool.release(address, wire)
 
--- a/catkinslip/proxy/answers.py
+++ b/catkinslip/proxy/answers.py
@@ -14,7 +14,7 @@
 async def receive_response(wire: Wire) -> h11.Response:
     """Return the final response head."""
     # Nothing of the answer can be in the codec yet.
-    await wire.fill()
+    await wire.read_into_codec()
     while True:
         event = await wire.receive()
         if type(event) is h11.Response:
@@ -34,7 +34,7 @@
             left -= len(event.data)
     except (*ConnectionErrors, h11.RemoteProtocolError):
         pass
-    wire.is_spoiled = True
+    wire.must_close = True
 
 
 def has_begun(wire: Wire) -> bool:
--- a/catkinslip/proxy/callers.py
+++ b/catkinslip/proxy/callers.py
@@ -166,7 +166,7 @@
     async def _report(self, wire: Wire, call: Call, outcome: Outcome) -> bool:
         if isinstance(outcome, Answered):
             if wire.codec.their_state is h11.SEND_BODY:
-                await wire.close_gently()
+                await wire.close_gracefully()
             return is_reusable(wire)
         if outcome.reason is Reason.CALLER_LEFT or has_begun(wire):
             await wire.reset()
@@ -209,7 +209,7 @@
         events = self.dialect.problem_events(outcome, request_id, method, close=close)
         await wire.send(*events)
         if close:
-            await wire.close_gently()
+            await wire.close_gracefully()
         return is_reusable(wire)
 
 
--- a/catkinslip/proxy/exchange.py
+++ b/catkinslip/proxy/exchange.py
@@ -189,7 +189,7 @@
         status = response.status_code
         fault = self.dialect.find_fault(call, status, headers)
         if fault is not None:
-            wire.is_spoiled = True
+            wire.must_close = True
             return fault
         refusal = self.dialect.find_refusal(status, headers)
         if refusal is Reason.MISDIRECTED:
@@ -219,7 +219,7 @@
         self.used_stale_connection = (
             connection_break.is_reused and not connection_break.has_begun
         )
-        wire.is_spoiled = True
+        wire.must_close = True
         return Unknown(Reason.BROKEN, connection_break.detail)
 
     async def _pass_on(self, head: AnswerHead) -> Outcome:
@@ -232,7 +232,7 @@
                     if pending and not await self._send_to_caller(pending):
                         break
                     pending = []
-                    await wire.fill()
+                    await wire.read_into_codec()
                     continue
             except (*ConnectionErrors, h11.RemoteProtocolError) as error:
                 return evolve(self._record_break(wire, error), answer_started=True)
--- a/catkinslip/proxy/intake.py
+++ b/catkinslip/proxy/intake.py
@@ -54,7 +54,7 @@
         data, is_closed = wire.codec.trailing_data
         if not data and not is_closed:
             with trio.move_on_after(self.idle_timeout):
-                await wire.fill()
+                await wire.read_into_codec()
             data, is_closed = wire.codec.trailing_data
         if not data:
             return None
@@ -73,7 +73,7 @@
                 return head
             if is_closed:
                 return None
-            await wire.fill()
+            await wire.read_into_codec()
 
 
 def take_head(data: bytes) -> bytes | NotRun | None:
--- a/catkinslip/proxy/pool.py
+++ b/catkinslip/proxy/pool.py
@@ -247,7 +247,7 @@
 def ended_cleanly(wire: Wire) -> bool:
     """Return whether request and answer are complete without surplus bytes."""
     codec = wire.codec
-    if wire.is_spoiled:
+    if wire.must_close:
         return False
     if codec.our_state is not h11.DONE or codec.their_state is not h11.DONE:
         return False
--- a/catkinslip/proxy/wire.py
+++ b/catkinslip/proxy/wire.py
@@ -30,7 +30,7 @@
     #: Whether the connection carried an earlier request.
     is_reused: bool = False
     #: Whether the connection must not be reused.
-    is_spoiled: bool = False
+    must_close: bool = False
     #: Check of the chunked body that is received, if any.
     chunk_check: ChunkCheck | None = None
 
@@ -42,9 +42,9 @@
                 return event
             if self.codec.they_are_waiting_for_100_continue:
                 await self.send(h11.InformationalResponse(status_code=100, headers=[]))
-            await self.fill()
+            await self.read_into_codec()
 
-    async def fill(self) -> None:
+    async def read_into_codec(self) -> None:
         """Read the available bytes from the connection into the codec."""
         data = await self._read()
         if self.chunk_check is not None:
@@ -111,26 +111,26 @@
             self.stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         await self.close()
 
-    async def close_gently(self) -> None:
+    async def close_gracefully(self) -> None:
         """Close after the other side had time to read the last bytes sent."""
-        left = LINGER_BYTES
+        remaining = LINGER_BYTES
         with trio.move_on_after(LINGER_SECONDS):
             await self.stream.send_eof()
-            while left > 0:
+            while remaining > 0:
                 data = await self.stream.receive_some(RECEIVE_SIZE)
                 if not data:
                     break
-                left -= len(data)
+                remaining -= len(data)
         await self.close()
 
 
 def server_wire(stream: trio.abc.Stream) -> Wire:
     """Return the server side of a connection on a stream."""
     codec = h11.Connection(h11.SERVER, max_incomplete_event_size=RECEIVE_SIZE)
-    return Wire(stream, codec, peer_of(stream))
+    return Wire(stream, codec, peer_ip(stream))
 
 
-def peer_of(stream: trio.abc.Stream) -> str:
+def peer_ip(stream: trio.abc.Stream) -> str:
     """Return the IP address of the other side; empty if it is unknown."""
     if not isinstance(stream, trio.SocketStream):
         return ''
