--- a/catkinslip/proxy/chunk_checks.py
+++ b/catkinslip/proxy/chunk_checks.py
@@ -15,7 +15,7 @@
 
 
 @unique
-class Part(Enum):
+class BodyPart(Enum):
     """The part of a chunked body that the next bytes belong to."""
 
     SIZE = auto()
@@ -29,25 +29,25 @@
 class ChunkCheck:
     """An incremental check of the framing of one chunked body."""
 
-    part: Part = Part.SIZE
-    data_left: int = 0
+    part: BodyPart = BodyPart.SIZE
+    remaining_bytes: int = 0
     line: bytearray = Factory(bytearray)
 
     def feed(self, data: bytes) -> str | None:
         """Check the next bytes of the body; return the fault, or None."""
-        at = 0
-        while at < len(data) and self.part is not Part.END:
-            if self.part is Part.DATA:
-                step = min(self.data_left, len(data) - at)
-                self.data_left -= step
-                at += step
-                if not self.data_left:
-                    self.part = Part.DATA_END
+        position = 0
+        while position < len(data) and self.part is not BodyPart.END:
+            if self.part is BodyPart.DATA:
+                step = min(self.remaining_bytes, len(data) - position)
+                self.remaining_bytes -= step
+                position += step
+                if not self.remaining_bytes:
+                    self.part = BodyPart.DATA_END
                 continue
-            end = data.find(b'\n', at)
+            end = data.find(b'\n', position)
             stop = len(data) if end < 0 else end + 1
-            self.line += data[at:stop]
-            at = stop
+            self.line += data[position:stop]
+            position = stop
             fault = self._check_line(is_whole=end >= 0)
             if fault is not None:
                 return fault
@@ -62,20 +62,20 @@
         self.line.clear()
         if not line.endswith(CRLF) or b'\r' in line[:-2]:
             return 'a line of the chunked body does not end in CRLF'
-        return self._take_line(line[:-2])
+        return self._parse_line(line[:-2])
 
-    def _take_line(self, line: bytes) -> str | None:
-        if self.part is Part.SIZE:
+    def _parse_line(self, line: bytes) -> str | None:
+        if self.part is BodyPart.SIZE:
             if SIZE_LINE.match(line) is None:
                 return 'a chunk size line is not 1 to 8 hexadecimal digits'
-            self.data_left = int(line, 16)
-            self.part = Part.DATA if self.data_left else Part.TRAILER
-        elif self.part is Part.DATA_END:
+            self.remaining_bytes = int(line, 16)
+            self.part = BodyPart.DATA if self.remaining_bytes else BodyPart.TRAILER
+        elif self.part is BodyPart.DATA_END:
             if line:
                 return 'a chunk is longer than its declared size'
-            self.part = Part.SIZE
+            self.part = BodyPart.SIZE
         elif not line:
-            self.part = Part.END
+            self.part = BodyPart.END
         elif line[:1] in (b' ', b'\t'):
             return 'a trailer line is folded, which is not allowed'
         return None
--- a/tests/test_proxy_input.py
+++ b/tests/test_proxy_input.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from catkinslip.clock import SystemClock
-from catkinslip.proxy.chunk_checks import ChunkCheck, Part
+from catkinslip.proxy.chunk_checks import BodyPart, ChunkCheck
 from catkinslip.proxy.intake import take_head
 from catkinslip.proxy.outcomes import NotRun, Reason
 from tests.builders import caller_server
@@ -220,7 +220,7 @@
         fault = whole.feed(data)
         faults = [split.feed(data[n : n + step]) for n in range(0, len(data), step)]
         self.assertEqual(fault, next((each for each in faults if each), None))
-        if fault is None and whole.part is Part.END:
+        if fault is None and whole.part is BodyPart.END:
             self.assertRegex(
                 data, rb'\A([0-9A-Fa-f]+\r\n(?s:.*?)\r\n)*0+\r\n([^\r\n]+\r\n)*\r\n'
             )
