--- a/catkinslip/proxy/callers.py
+++ b/catkinslip/proxy/callers.py
@@ -90,7 +90,7 @@
             self.connections -= 1
             with trio.CancelScope(shield=True):
                 await trio.aclose_forcefully(stream)
-            self.drain.closed(wire)
+            self.drain.remove(wire)
 
     async def _serve_requests(self, wire: Wire) -> None:
         if self.connections > self.limits.max_connections:
--- a/catkinslip/proxy/draining.py
+++ b/catkinslip/proxy/draining.py
@@ -29,15 +29,15 @@
         self.open_wires.add(wire)
         return wire
 
-    def closed(self, wire: Wire) -> None:
+    def remove(self, wire: Wire) -> None:
         """Remove a connection that was closed."""
         self.open_wires.discard(wire)
-        self._tell_when_none_open()
+        self._notify_if_none_open()
 
     def start_closing(self) -> None:
         """Close every connection after its next answer."""
         self.is_closing = True
-        self._tell_when_none_open()
+        self._notify_if_none_open()
 
     def close_idle(self) -> None:
         """Close the connections on which nothing was received since the last answer."""
@@ -59,7 +59,7 @@
             self._none_open = trio.Event()
             await self._none_open.wait()
 
-    def _tell_when_none_open(self) -> None:
+    def _notify_if_none_open(self) -> None:
         if self.is_closing and not self.open_wires:
             self._none_open.set()
 
@@ -73,7 +73,7 @@
     def encode(self, *events: object) -> bytes:
         """Return the bytes of events; they must be the next that are sent."""
         if self.drain.is_closing:
-            events = tuple(announce_close(event) for event in events)
+            events = tuple(with_close_header(event) for event in events)
         return super().encode(*events)
 
 
@@ -82,7 +82,7 @@
     return wire.codec.their_state is h11.IDLE and not wire.codec.trailing_data[0]
 
 
-def announce_close(event: object) -> object:
+def with_close_header(event: object) -> object:
     """Return an event; the head of a final response gets `connection: close`."""
     if type(event) is not h11.Response:
         return event
--- a/catkinslip/proxy/presence.py
+++ b/catkinslip/proxy/presence.py
@@ -11,7 +11,7 @@
 
 from catkinslip.proxy.wire import Wire
 
-WATCH_SECONDS = 0.025
+POLL_INTERVAL_SECONDS = 0.025
 
 
 @define
@@ -28,10 +28,10 @@
             if not self.scope_by_descriptor:
                 self.has_callers = trio.Event()
                 await self.has_callers.wait()
-            await trio.sleep(WATCH_SECONDS)
-            self.cancel_left()
+            await trio.sleep(POLL_INTERVAL_SECONDS)
+            self.cancel_disconnected()
 
-    def cancel_left(self) -> None:
+    def cancel_disconnected(self) -> None:
         """Cancel the requests of callers that have closed their connections."""
         if not self.scope_by_descriptor:
             return
