--- a/tests/test_leaving_path.py
+++ b/tests/test_leaving_path.py
@@ -1,4 +1,4 @@
-"""Servers that say in their answers that they leave, on the users' platform."""
+"""Tests of servers that announce in their answers that they leave the platform."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 async def call_some(platform: SmallPlatform, name: str) -> list[int]:
-    """Send more requests at once than one server has slots; return the statuses."""
+    """Send more requests at once than a server has slots; return the statuses."""
     statuses: list[int] = []
 
     async def call(number: int) -> None:
@@ -28,7 +28,7 @@
 
 
 async def leaving(platform: SmallPlatform) -> None:
-    """Start two servers, and let one of them say once that it leaves."""
+    """Start two servers, of which one is leaving, and send requests until it got some."""
     for server_id in ('i-1', 'i-2'):
         await platform.add_worker(server_id, work_seconds=WORK_SECONDS)
     entry = await platform.add_entry()
@@ -40,7 +40,7 @@
 
 
 class LeavingTest(unittest.TestCase):
-    """What a server gets that said that it leaves."""
+    """A server that announced in an answer that it leaves gets no requests."""
 
     def test_server_that_said_so_in_an_answer_gets_nothing_more(self):
         async def check(platform):
@@ -116,7 +116,7 @@
 
 
 class SilentTest(unittest.TestCase):
-    """What does not say that a server leaves."""
+    """Events that must not mark a server as leaving."""
 
     def test_server_that_closes_its_connections_goes_on_to_be_used(self):
         async def check(platform):
@@ -149,7 +149,7 @@
 
 
 class HeaderTest(unittest.TestCase):
-    """How the header is read."""
+    """The values of the header that announces that a server leaves."""
 
     def test_only_one_says_that_the_server_leaves(self):
         dialect = PlatformDialect()
@@ -159,7 +159,7 @@
 
 
 def parts(item: dict) -> tuple[dict, dict]:
-    """Return what an object holds."""
+    """Return the spec and the status of an object of the store."""
     return item['spec'], item['status']
 
 
--- a/tests/test_proxy_draining.py
+++ b/tests/test_proxy_draining.py
@@ -1,4 +1,4 @@
-"""Idle connections are ended without harm to those with a request."""
+"""Tests of closing idle connections of callers when an instance drains."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 async def open_pair() -> tuple[trio.SocketStream, trio.SocketStream]:
-    """Return both ends of one connection."""
+    """Return the client and the server end of one connection."""
     (listener,) = await trio.open_tcp_listeners(0, host='127.0.0.1')
     port = listener.socket.getsockname()[1]
     near = await trio.open_tcp_stream('127.0.0.1', port)
@@ -18,7 +18,7 @@
 
 
 class CloseIdleTest(unittest.TestCase):
-    """What becomes of idle connections when an instance stops."""
+    """Idle connections are closed when an instance stops."""
 
     def test_idle_connection_is_ended(self):
         async def check():
@@ -37,7 +37,8 @@
             near, far = await open_pair()
             other_near, other_far = await open_pair()
             drain = CallerDrain()
-            # Its task still waits for the end of the close, so it is not taken out yet.
+            # The task of the connection still waits for its end, so that the connection
+            # is closed but still registered.
             drain.open(far)
             drain.open(other_far)
             await trio.aclose_forcefully(far)
--- a/tests/test_proxy_exchange.py
+++ b/tests/test_proxy_exchange.py
@@ -1,4 +1,4 @@
-"""Answers of faulty backend servers, and callers that leave (issue 3)."""
+"""Tests of faulty answers, lost callers, connection limits and bodies in transit."""
 
 import unittest
 from contextlib import asynccontextmanager
@@ -24,7 +24,7 @@
 
 @define
 class SteppedClock(Clock):
-    """A clock that is moved by hand."""
+    """A clock that only advances when a test sets it."""
 
     now: float = 1000.0
 
@@ -37,7 +37,7 @@
 
 @define
 class Bench:
-    """One caller server before one raw backend server."""
+    """A caller server that forwards to one raw backend server."""
 
     backend: RawBackend
     forwarder: OneBackendForwarder
@@ -47,7 +47,7 @@
         return await trio.open_tcp_stream('127.0.0.1', self.port)
 
     async def ask(self, *requests: bytes) -> list:
-        """Send requests on one connection and return the answers."""
+        """Send requests one by one on one connection and return the answers."""
         stream = await self.connect()
         answers = []
         for request in requests:
@@ -73,7 +73,7 @@
 
 
 async def receive_answer(stream, request: bytes) -> tuple[int, dict, bytes]:
-    """Return status, headers and body; raise RemoteProtocolError when cut."""
+    """Return status, headers and body; raise RemoteProtocolError if incomplete."""
     codec = h11.Connection(h11.CLIENT)
     method = request.split(b' ')[0]
     codec.send(h11.Request(method=method, target='/', headers=[('host', 'a')]))
@@ -94,7 +94,7 @@
 
 
 def run(test):
-    """Turn an async test into a plain one."""
+    """Return a test method that runs an async test with trio."""
 
     def plain(self):
         trio.run(test, self)
@@ -104,7 +104,7 @@
 
 
 class FaultyAnswerTest(unittest.TestCase):
-    """What callers are told when a backend server answers wrongly."""
+    """Outcomes that callers receive when a backend server answers incorrectly."""
 
     @run
     async def test_a_body_cut_short_is_never_whole_to_the_caller(self):
@@ -200,7 +200,7 @@
 
 
 class PresenceTest(unittest.TestCase):
-    """Callers that leave, and calls that wait for a connection."""
+    """Callers that disconnect, idle connections and calls that wait for one."""
 
     @run
     async def test_a_caller_that_leaves_ends_its_request_upstream(self):
@@ -249,7 +249,7 @@
 
 
 class BodyTest(unittest.TestCase):
-    """Bodies and headers on their way through."""
+    """Bodies and headers that are passed on in both directions."""
 
     @run
     async def test_large_bodies_are_streamed_both_ways(self):
@@ -351,7 +351,7 @@
 
 
 class ReasonTest(unittest.TestCase):
-    """The reasons of refusals."""
+    """The identifiers of the reasons for refusals."""
 
     def test_each_not_run_refusal_has_a_type_of_its_own(self):
         slugs = [reason.slug for reason in Reason]
--- a/tests/test_proxy_hedges.py
+++ b/tests/test_proxy_hedges.py
@@ -1,4 +1,4 @@
-"""Test the timer that starts hedges."""
+"""Tests of the timer that starts hedges."""
 
 import unittest
 from random import Random
@@ -16,28 +16,28 @@
 
 @define(eq=False)
 class NotedHedge(Hedge):
-    """Note when it ran."""
+    """A hedge that records when it ran."""
 
     ran_at: list[float] = Factory(list)
 
     async def run(self) -> None:
-        """Note the time."""
+        """Record the current time."""
         self.ran_at.append(trio.current_time())
 
 
 @define(eq=False)
 class StepCount(trio.abc.Instrument):
-    """Count the steps of the timer's task."""
+    """An instrument that counts the steps of the timer's task."""
 
     steps: int = 0
 
     def before_task_step(self, task) -> None:
-        """Count a step."""
+        """Count a step if the task runs the timer."""
         self.steps += 'HedgeTimer' in task.name
 
 
 async def run_timer(act) -> None:
-    """Run a timer while some function adds to it."""
+    """Run a hedge timer while a function adds hedges to it."""
     timer = HedgeTimer()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(timer.run)
@@ -49,12 +49,12 @@
     """The timer runs each hedge once, never early and at most a tick late."""
 
     def run_on_mock_clock(self, act, *instruments) -> None:
-        """Run on a clock that jumps when every task waits."""
+        """Run the timer on a clock that jumps when every task waits."""
         clock = trio.testing.MockClock(autojump_threshold=0)
         trio.run(run_timer, act, clock=clock, instruments=instruments)
 
     def test_hedges_in_any_order_run_once_and_at_most_a_tick_late(self) -> None:
-        """A hedge that is due before the others does not wait for them."""
+        """Check that a hedge that is due before earlier ones does not wait for them."""
         random = Random(SEED)
 
         async def act(timer: HedgeTimer) -> None:
@@ -75,7 +75,7 @@
         self.run_on_mock_clock(act)
 
     def test_calls_that_end_early_wake_the_timer_at_most_once_a_tick(self) -> None:
-        """Their hedges never run."""
+        """Check that the hedges of calls that ended never run or wake the timer."""
         count = StepCount()
 
         async def act(timer: HedgeTimer) -> None:
--- a/tests/test_proxy_pool.py
+++ b/tests/test_proxy_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections while others are trimmed."""
+"""Tests of acquiring idle connections while the pool is trimmed."""
 
 import unittest
 
@@ -10,12 +10,12 @@
 from standins.raw import RawBackend
 
 GENEROUS_SECONDS = 20.0
-#: Tasks of one step run in any order.
+#: trio runs the tasks of one step in random order, so each check is repeated.
 TRIES = 20
 
 
 class KeptStreams:
-    """A server that can close each of its connections."""
+    """A server that records its connections, so that a test can close each."""
 
     def __init__(self) -> None:
         self.backend = RawBackend()
@@ -28,7 +28,7 @@
 
 
 async def keep_two(nursery: trio.Nursery) -> tuple[BackendPool, Address, KeptStreams]:
-    """Return a pool that keeps two connections."""
+    """Return a pool with two idle connections, their address and their server."""
     pool, server = BackendPool(), KeptStreams()
     listeners = await nursery.start(trio.serve_tcp, server.serve, 0)
     address = Address('127.0.0.1', listeners[0].socket.getsockname()[1])
@@ -40,7 +40,7 @@
 
 
 def run(check) -> None:
-    """Run an async check several times."""
+    """Run an async check TRIES times."""
 
     async def play():
         with trio.fail_after(GENEROUS_SECONDS):
@@ -53,7 +53,7 @@
 
 
 class TrimTest(unittest.TestCase):
-    """A connection belongs to one request, also while the pool is trimmed."""
+    """A connection belongs to one request, even while the pool is trimmed."""
 
     async def _acquire_and_trim(self, pool, address):
         taken = []
