--- a/tests/test_proxy_draining.py
+++ b/tests/test_proxy_draining.py
@@ -11,10 +11,10 @@
     """Return the client and the server end of one connection."""
     (listener,) = await trio.open_tcp_listeners(0, host='127.0.0.1')
     port = listener.socket.getsockname()[1]
-    near = await trio.open_tcp_stream('127.0.0.1', port)
-    far = await listener.accept()
+    client_end = await trio.open_tcp_stream('127.0.0.1', port)
+    server_end = await listener.accept()
     await listener.aclose()
-    return near, far
+    return client_end, server_end
 
 
 class CloseIdleTest(unittest.TestCase):
@@ -22,29 +22,29 @@
 
     def test_idle_connection_is_ended(self):
         async def check():
-            near, far = await open_pair()
+            client_end, server_end = await open_pair()
             drain = CallerDrain()
-            drain.open(far)
+            drain.open(server_end)
             drain.close_idle()
-            self.assertEqual(await far.receive_some(1), b'')
-            await near.aclose()
-            await far.aclose()
+            self.assertEqual(await server_end.receive_some(1), b'')
+            await client_end.aclose()
+            await server_end.aclose()
 
         trio.run(check)
 
     def test_connection_that_is_being_closed_does_no_harm(self):
         async def check():
-            near, far = await open_pair()
-            other_near, other_far = await open_pair()
+            client_end, server_end = await open_pair()
+            other_client_end, other_server_end = await open_pair()
             drain = CallerDrain()
             # The task of the connection still waits for its end, so that the connection
             # is closed but still registered.
-            drain.open(far)
-            drain.open(other_far)
-            await trio.aclose_forcefully(far)
+            drain.open(server_end)
+            drain.open(other_server_end)
+            await trio.aclose_forcefully(server_end)
             drain.close_idle()
-            self.assertEqual(await other_far.receive_some(1), b'')
-            for stream in (near, other_near, other_far):
+            self.assertEqual(await other_server_end.receive_some(1), b'')
+            for stream in (client_end, other_client_end, other_server_end):
                 await stream.aclose()
 
         trio.run(check)
--- a/tests/test_proxy_pool.py
+++ b/tests/test_proxy_pool.py
@@ -14,7 +14,7 @@
 TRIES = 20
 
 
-class KeptStreams:
+class ClosableServer:
     """A server that records its connections, so that a test can close each."""
 
     def __init__(self) -> None:
@@ -27,9 +27,11 @@
         await self.backend.serve(stream)
 
 
-async def keep_two(nursery: trio.Nursery) -> tuple[BackendPool, Address, KeptStreams]:
+async def make_pool_with_two_idle(
+    nursery: trio.Nursery,
+) -> tuple[BackendPool, Address, ClosableServer]:
     """Return a pool with two idle connections, their address and their server."""
-    pool, server = BackendPool(), KeptStreams()
+    pool, server = BackendPool(), ClosableServer()
     listeners = await nursery.start(trio.serve_tcp, server.serve, 0)
     address = Address('127.0.0.1', listeners[0].socket.getsockname()[1])
     client = PageClient(pool)
@@ -42,33 +44,33 @@
 def run(check) -> None:
     """Run an async check TRIES times."""
 
-    async def play():
+    async def run_checks():
         with trio.fail_after(GENEROUS_SECONDS):
             for _ in range(TRIES):
                 async with trio.open_nursery() as nursery:
                     await check(nursery)
                     nursery.cancel_scope.cancel()
 
-    trio.run(play)
+    trio.run(run_checks)
 
 
 class TrimTest(unittest.TestCase):
     """A connection belongs to one request, even while the pool is trimmed."""
 
     async def _acquire_and_trim(self, pool, address):
-        taken = []
+        acquired = []
 
         async def acquire():
-            taken.append(await pool.acquire(address))
+            acquired.append(await pool.acquire(address))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(acquire)
             nursery.start_soon(pool.trim)
-        return taken[0]
+        return acquired[0]
 
-    def test_connection_that_trimming_closed_is_not_looked_at(self):
+    def test_connection_that_trimming_closed_is_not_used(self):
         async def check(nursery):
-            pool, address, server = await keep_two(nursery)
+            pool, address, server = await make_pool_with_two_idle(nursery)
             for stream in server.streams:
                 await stream.send_eof()
             await trio.sleep(0.01)
@@ -79,7 +81,7 @@
 
     def test_connection_is_not_given_to_two_requests(self):
         async def check(nursery):
-            pool, address, server = await keep_two(nursery)
+            pool, address, server = await make_pool_with_two_idle(nursery)
             idle = pool.connections_by_address[address].idle
             last = idle[-1].wire.stream.socket.getsockname()
             for stream in server.streams:
