--- a/tests/test_leaving_path.py
+++ b/tests/test_leaving_path.py
@@ -27,7 +27,7 @@
     return statuses
 
 
-async def leaving(platform: SmallPlatform) -> None:
+async def start_leaving_server(platform: SmallPlatform) -> None:
     """Start two servers, of which one is leaving, and send requests until it got some."""
     for server_id in ('i-1', 'i-2'):
         await platform.add_worker(server_id, work_seconds=WORK_SECONDS)
@@ -42,9 +42,9 @@
 class LeavingTest(unittest.TestCase):
     """A server that announced in an answer that it leaves gets no requests."""
 
-    def test_server_that_said_so_in_an_answer_gets_nothing_more(self):
+    def test_server_that_announced_it_in_an_answer_gets_no_requests(self):
         async def check(platform):
-            await leaving(platform)
+            await start_leaving_server(platform)
             worker = platform.worker_by_id['i-1']
             before = len(worker.arrived_at)
             self.assertIn(200, await call_some(platform, 'more'))
@@ -52,9 +52,9 @@
 
         on_platform(check)
 
-    def test_nor_while_the_store_is_away(self):
+    def test_server_gets_no_requests_while_the_store_is_unavailable(self):
         async def check(platform):
-            await leaving(platform)
+            await start_leaving_server(platform)
             platform.store.faults.refuse_with = 503
             worker = platform.worker_by_id['i-1']
             before = len(worker.arrived_at)
@@ -63,15 +63,17 @@
 
         on_platform(check)
 
-    def test_nor_as_its_entry_goes_on_to_say_ready_or_lapses_and_is_back(self):
+    def test_server_gets_no_requests_if_its_entry_stays_ready_or_is_added_again(self):
         async def check(platform):
-            await leaving(platform)
+            await start_leaving_server(platform)
             worker = platform.worker_by_id['i-1']
             before = len(worker.arrived_at)
             entry = platform.entries[0]
             port = entry.sampler.health.directory.address_by_backend['i-1'].port
             platform.store.put(
-                'servers', 'i-1', *parts(server_item('i-1', 'one', port, slots=3))
+                'servers',
+                'i-1',
+                *spec_and_status(server_item('i-1', 'one', port, slots=3)),
             )
             router = entry.sampler.health.directory.router_by_service['one']
             await wait_for(lambda: router.load_by_id['i-1'].slots == 3)
@@ -85,7 +87,7 @@
 
         on_platform(check)
 
-    def test_refusals_and_errors_and_probes_say_it_too(self):
+    def test_refusals_and_probe_answers_mark_a_server_as_leaving(self):
         async def check(platform):
             await platform.add_worker('i-1', fault=Fault.SHED, is_leaving=True)
             entry = await platform.add_entry()
@@ -97,9 +99,9 @@
 
         on_platform(check)
 
-    def test_next_start_of_the_server_is_used(self):
+    def test_restarted_server_is_used(self):
         async def check(platform):
-            await leaving(platform)
+            await start_leaving_server(platform)
             entry = platform.entries[0]
             port = entry.sampler.health.directory.address_by_backend['i-1'].port
             worker = platform.worker_by_id['i-1']
@@ -115,10 +117,10 @@
         on_platform(check)
 
 
-class SilentTest(unittest.TestCase):
+class NotLeavingTest(unittest.TestCase):
     """Events that must not mark a server as leaving."""
 
-    def test_server_that_closes_its_connections_goes_on_to_be_used(self):
+    def test_server_that_closes_its_connections_is_still_used(self):
         async def check(platform):
             await platform.add_worker('i-1')
             entry = await platform.add_entry()
@@ -133,7 +135,7 @@
 
         on_platform(check)
 
-    def test_another_server_at_its_address_speaks_for_itself_alone(self):
+    def test_another_server_at_its_address_does_not_mark_it_as_leaving(self):
         async def check(platform):
             port = await platform.add_worker('i-9', service='two', is_leaving=True)
             platform.register('i-1', 'one', port)
@@ -151,14 +153,19 @@
 class HeaderTest(unittest.TestCase):
     """The values of the header that announces that a server leaves."""
 
-    def test_only_one_says_that_the_server_leaves(self):
+    def test_only_the_value_1_marks_the_server_as_leaving(self):
         dialect = PlatformDialect()
-        for value, says in ((b'1', True), (b' 1 ', True), (b'0', False), (b'', False)):
+        for value, is_leaving in (
+            (b'1', True),
+            (b' 1 ', True),
+            (b'0', False),
+            (b'', False),
+        ):
             words = dialect.read_words(200, [(b'server-leaving', value)])
-            self.assertEqual(words.is_leaving, says, value)
+            self.assertEqual(words.is_leaving, is_leaving, value)
 
 
-def parts(item: dict) -> tuple[dict, dict]:
+def spec_and_status(item: dict) -> tuple[dict, dict]:
     """Return the spec and the status of an object of the store."""
     return item['spec'], item['status']
 
