--- a/tests/test_leaving_path.py
+++ b/tests/test_leaving_path.py
@@ -28,7 +28,7 @@
 
 
 async def start_leaving_server(platform: SmallPlatform) -> None:
-    """Start two servers, of which one is leaving, and send requests until it got some."""
+    """Start two servers, one of them leaving, and send requests until it got some."""
     for server_id in ('i-1', 'i-2'):
         await platform.add_worker(server_id, work_seconds=WORK_SECONDS)
     entry = await platform.add_entry()
@@ -87,7 +87,7 @@
 
         on_platform(check)
 
-    def test_refusals_and_probe_answers_mark_a_server_as_leaving(self):
+    def test_refusals_errors_and_probe_answers_mark_a_server_as_leaving(self):
         async def check(platform):
             await platform.add_worker('i-1', fault=Fault.SHED, is_leaving=True)
             entry = await platform.add_entry()
--- a/tests/test_proxy_pool.py
+++ b/tests/test_proxy_pool.py
@@ -35,9 +35,9 @@
     listeners = await nursery.start(trio.serve_tcp, server.serve, 0)
     address = Address('127.0.0.1', listeners[0].socket.getsockname()[1])
     client = PageClient(pool)
-    async with trio.open_nursery() as asking:
+    async with trio.open_nursery() as requests:
         for _ in range(2):
-            asking.start_soon(client.ask, address, '/', GENEROUS_SECONDS)
+            requests.start_soon(client.ask, address, '/', GENEROUS_SECONDS)
     return pool, address, server
 
 
