--- a/catkinslip/proxy/callers.py
+++ b/catkinslip/proxy/callers.py
@@ -10,6 +10,7 @@
 from catkinslip.environment import Environment
 from catkinslip.proxy.base import CallForwarder, OwnPages
 from catkinslip.proxy.bodies import BodyReader, RestOfBody
+from catkinslip.proxy.caller_watch import CallerWatch
 from catkinslip.proxy.calls import Call, CallMaker
 from catkinslip.proxy.dialect import Dialect
 from catkinslip.proxy.draining import CallerDrain
@@ -18,7 +19,6 @@
 from catkinslip.proxy.observer import ObserverGroup, RequestObserver
 from catkinslip.proxy.outcomes import Answered, NotRun, Outcome, Reason, Unknown
 from catkinslip.proxy.own_dialect import OwnDialect
-from catkinslip.proxy.presence import CallerWatch
 from catkinslip.proxy.wire import ConnectionErrors, Wire
 
 log = logging.getLogger('request')
