--- a/catkinslip/proxy/exchange.py
+++ b/catkinslip/proxy/exchange.py
@@ -101,7 +101,7 @@
     on_head: OnHead = ignore_head
     on_signals: OnSignals = ignore_signals
     on_break: OnBreak = ignore_break
-    #: Check right before the first byte, as the attempt may wait for a connection.
+    #: Check that runs right before the first byte, as a connection may take time.
     may_send: Callable[[], bool] = always_allow
     is_sent: bool = False
     sent_at: float = 0.0
@@ -126,7 +126,7 @@
         result = await self._start(MAX_IDLE_SECONDS)
         if self.used_stale_connection and self.call.is_resendable:
             # The connections of a crashed server end like idle ones that are closed: 41
-            # of 42 calls whose server crashed were reported as not run.
+            # of 42 calls whose server crashed this way were reported as not run.
             self.earlier_result = result
             log.info(
                 'routing: %s is sent again to %s, the reused connection was closed.',
@@ -193,7 +193,7 @@
             return fault
         refusal = self.dialect.find_refusal(status, headers)
         if refusal is Reason.MISDIRECTED:
-            # Another server has the address: its report and signals are its own.
+            # Another server has the address: the report and signals describe that one.
             await answers.drain_body(wire)
             return NotRun(refusal)
         report = self.dialect.read_report(headers)
--- a/catkinslip/proxy/launch.py
+++ b/catkinslip/proxy/launch.py
@@ -15,9 +15,9 @@
 
     backend_id: str
     attempt: Attempt
-    #: Monotonic seconds.
+    #: Start of the attempt, in monotonic seconds.
     began: float
-    #: The delay that the router estimated, in times of the call's work.
+    #: Delay that the router estimated, as a multiple of the call's work.
     delay: float
     #: The router's load entry of the server; None if the server was removed.
     load: BackendLoad | None = None
--- a/catkinslip/proxy/pool.py
+++ b/catkinslip/proxy/pool.py
@@ -32,7 +32,7 @@
 
 @define
 class IdleWire:
-    """An idle connection and the time since when it is idle."""
+    """An idle connection and the trio time at which it became idle."""
 
     wire: Wire
     since: float
@@ -63,7 +63,7 @@
         return idle < MAX_IDLE and idle + self.in_use <= self.limit
 
     def release_slot(self) -> None:
-        """Release a slot to the request that has waited longest, if one waits."""
+        """Release a slot and hand it to the request that has waited longest, if any."""
         self.in_use -= 1
         while len(self.waiters) and self.in_use < self.limit:
             self.in_use += 1
@@ -127,7 +127,7 @@
     async def acquire(
         self, address: Address, max_idle_seconds: float = MAX_IDLE_SECONDS
     ) -> Wire | NotRun:
-        """Return an idle or new connection, or why there is none.
+        """Return an idle or new connection to a server, or why there is none.
 
         Only a connection that has been idle for less than max_idle_seconds is reused.
         """
--- a/catkinslip/proxy/race.py
+++ b/catkinslip/proxy/race.py
@@ -68,7 +68,7 @@
             await self.runner.sampler.refresh(self.runner.router, [first.backend_id])
 
     def is_first_slow(self) -> bool:
-        """Return whether the first server is slower, silent or without a speed."""
+        """Return whether the first server slowed down, is silent or has no speed."""
         first_id = self.runner.launches[0].backend_id
         if self.initial_speed is None or self.runner.router.is_silent(first_id):
             return True
--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -70,6 +70,7 @@
     #: Servers in regions in which the call must not run.
     excluded_by_region: frozenset[str] = frozenset()
     launches: list[Launch] = Factory(list)
+    #: Attempt whose answer is passed on to the caller.
     passed_on: Launch | None = None
     began: float = Factory(lambda self: self.clock.monotonic(), takes_self=True)
     scope: trio.CancelScope = Factory(trio.CancelScope)
@@ -343,7 +344,7 @@
         now = self.clock.monotonic()
         launch.is_open = False
         give_back(launch.permits)
-        # The time that a slow caller takes to read the answer is not the server's.
+        # The time that a slow caller takes to read the answer is not counted.
         ended = now if launch.answered_at is None else launch.answered_at
         result = attempt_result(outcome, ended - launch.began)
         if self.router.is_known(launch.load):
--- a/catkinslip/proxy/server_wait.py
+++ b/catkinslip/proxy/server_wait.py
@@ -36,7 +36,7 @@
 
 @define
 class ServerWait:
-    """The choice of a server for one call: choose at once, wait or refuse."""
+    """The choice of a server for one call, which is sent, held or refused."""
 
     call: Call
     limits: ServiceLimits
@@ -64,7 +64,7 @@
     async def choose(self, tried: Collection[str]) -> Choice | NotRun | None:
         """Return the chosen server, or why the call is refused.
 
-        None if no server is left to choose.
+        Return None if no server is left to choose.
         """
         self.waiting.note_time(self.expect(1.0), self.clock.monotonic())
         while True:
--- a/catkinslip/proxy/wire.py
+++ b/catkinslip/proxy/wire.py
@@ -106,13 +106,13 @@
         await trio.aclose_forcefully(self.stream)
 
     async def reset(self) -> None:
-        """Close with a reset, which makes any unfinished message an error."""
+        """Close with a reset, so that no unfinished message looks complete."""
         if type(self.stream) is trio.SocketStream:
             self.stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         await self.close()
 
     async def close_gracefully(self) -> None:
-        """Close after the other side had time to read the last bytes sent."""
+        """Close the connection after the other side had time to read what was sent."""
         remaining = LINGER_BYTES
         with trio.move_on_after(LINGER_SECONDS):
             await self.stream.send_eof()
--- a/tests/test_leaving_path.py
+++ b/tests/test_leaving_path.py
@@ -1,4 +1,4 @@
-"""Tests of servers that announce in their answers that they leave the platform."""
+"""Tests of platform servers that announce in their answers that they are leaving."""
 
 import unittest
 
@@ -28,7 +28,7 @@
 
 
 async def start_leaving_server(platform: SmallPlatform) -> None:
-    """Start two servers, one of them leaving, and send requests until it got some."""
+    """Start two servers, one of them leaving, and send requests until it answers."""
     for server_id in ('i-1', 'i-2'):
         await platform.add_worker(server_id, work_seconds=WORK_SECONDS)
     entry = await platform.add_entry()
