--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -116,9 +116,9 @@
         # Reserved before the router counts the request as in flight.
         permits = self.router.reserve(choice.backend_id, now)
         load = self.router.started(choice.backend_id, now)
-        narrowed = self.router.narrowed(load, now)
-        if narrowed:
-            reason = f'{reason} {narrowed}'
+        restriction = self.router.narrowed(load, now)
+        if restriction:
+            reason = f'{reason} {restriction}'
         log.info(
             'routing: %s %s goes to %s, %s.',
             self.call.request_id,
--- a/tests/test_leaving_path.py
+++ b/tests/test_leaving_path.py
@@ -42,7 +42,7 @@
 class LeavingTest(unittest.TestCase):
     """A server that announced in an answer that it leaves gets no requests."""
 
-    def test_server_that_announced_it_in_an_answer_gets_no_requests(self):
+    def test_leaving_server_gets_no_requests(self):
         async def check(platform):
             await start_leaving_server(platform)
             worker = platform.worker_by_id['i-1']
@@ -52,7 +52,7 @@
 
         on_platform(check)
 
-    def test_server_gets_no_requests_while_the_store_is_unavailable(self):
+    def test_leaving_server_gets_no_requests_while_the_store_is_unavailable(self):
         async def check(platform):
             await start_leaving_server(platform)
             platform.store.faults.refuse_with = 503
@@ -63,7 +63,7 @@
 
         on_platform(check)
 
-    def test_server_gets_no_requests_if_its_entry_stays_ready_or_is_added_again(self):
+    def test_leaving_server_gets_no_requests_if_its_entry_stays_ready_or_returns(self):
         async def check(platform):
             await start_leaving_server(platform)
             worker = platform.worker_by_id['i-1']
@@ -135,7 +135,7 @@
 
         on_platform(check)
 
-    def test_another_server_at_its_address_does_not_mark_it_as_leaving(self):
+    def test_another_server_at_its_address_does_not_mark_a_server_as_leaving(self):
         async def check(platform):
             port = await platform.add_worker('i-9', service='two', is_leaving=True)
             platform.register('i-1', 'one', port)
@@ -161,8 +161,8 @@
             (b'0', False),
             (b'', False),
         ):
-            words = dialect.read_words(200, [(b'server-leaving', value)])
-            self.assertEqual(words.is_leaving, is_leaving, value)
+            signals = dialect.read_words(200, [(b'server-leaving', value)])
+            self.assertEqual(signals.is_leaving, is_leaving, value)
 
 
 def spec_and_status(item: dict) -> tuple[dict, dict]:
