--- a/catkinslip/limits/admission.py
+++ b/catkinslip/limits/admission.py
@@ -46,9 +46,7 @@
             return None
         if wait + self.margin * load.service_time <= time_left:
             return None
-        detail = (
-            f'expected wait {wait * 1e3:.0f} ms, left {time_left * 1e3:.0f} ms'
-        )
+        detail = f'expected wait {wait * 1e3:.0f} ms, left {time_left * 1e3:.0f} ms'
         return NotRun(Reason.DEADLINE_UNMET, detail, retry_after=retry_after(load))
 
 
--- a/catkinslip/proxy/answers.py
+++ b/catkinslip/proxy/answers.py
@@ -17,7 +17,7 @@
     Raises h11.RemoteProtocolError when the connection closes before one arrives.
     """
     # The codec holds no bytes of the answer yet, so read before parsing.
-    await wire.fill()
+    await wire.read_into_codec()
     while True:
         event = await wire.receive()
         if type(event) is h11.Response:
@@ -41,7 +41,7 @@
             remaining -= len(event.data)
     except (*ConnectionErrors, h11.RemoteProtocolError):
         pass
-    wire.is_spoiled = True
+    wire.must_close = True
 
 
 def has_begun(wire: Wire) -> bool:
--- a/catkinslip/proxy/callers.py
+++ b/catkinslip/proxy/callers.py
@@ -10,6 +10,9 @@
 from catkinslip.environment import Environment
 from catkinslip.proxy.base import CallForwarder, LocalPages
 from catkinslip.proxy.bodies import BodyReader, BodyRemainder
+from catkinslip.proxy.caller_watch import (
+    CallerWatch,
+)
 from catkinslip.proxy.calls import Call, CallFactory
 from catkinslip.proxy.dialect import Dialect
 from catkinslip.proxy.draining import CallerDrain
@@ -18,7 +21,6 @@
 from catkinslip.proxy.native_dialect import NativeDialect
 from catkinslip.proxy.observer import ObserverGroup, RequestObserver
 from catkinslip.proxy.outcomes import Answered, NotRun, Outcome, Reason, Unknown
-from catkinslip.proxy.presence import CallerWatch
 from catkinslip.proxy.wire import ConnectionErrors, Wire
 
 log = logging.getLogger('request')
@@ -92,7 +94,7 @@
             self.connections -= 1
             with trio.CancelScope(shield=True):
                 await trio.aclose_forcefully(stream)
-            self.drain.closed(wire)
+            self.drain.remove(wire)
 
     async def _serve_requests(self, wire: Wire) -> None:
         if self.connections > self.limits.max_connections:
@@ -170,7 +172,7 @@
     async def _report(self, wire: Wire, call: Call, outcome: Outcome) -> bool:
         if isinstance(outcome, Answered):
             if wire.codec.their_state is h11.SEND_BODY:
-                await wire.close_gently()
+                await wire.close_gracefully()
             return is_reusable(wire)
         if outcome.reason is Reason.CALLER_LEFT or has_begun(wire):
             await wire.reset()
@@ -213,7 +215,7 @@
         events = self.dialect.problem_events(outcome, request_id, method, close=close)
         await wire.send(*events)
         if close:
-            await wire.close_gently()
+            await wire.close_gracefully()
         return is_reusable(wire)
 
 
--- a/catkinslip/proxy/chunk_checks.py
+++ b/catkinslip/proxy/chunk_checks.py
@@ -1,7 +1,7 @@
-"""Check the framing of chunked bodies more strictly than the codec does.
+"""Checks of chunked bodies that are stricter than those of the codec.
 
-Two readers of one body must never part it differently, so only the plainest
-form passes: https://www.rfc-editor.org/rfc/rfc9112#section-7.1
+Two servers must never split one body differently, so only the simplest framing is
+accepted: https://www.rfc-editor.org/rfc/rfc9112#section-7.1
 """
 
 import re
@@ -15,8 +15,8 @@
 
 
 @unique
-class Part(Enum):
-    """What the next bytes of a chunked body are."""
+class BodyPart(Enum):
+    """The part of a chunked body that the next bytes belong to."""
 
     SIZE = auto()
     DATA = auto()
@@ -27,27 +27,27 @@
 
 @define
 class ChunkCheck:
-    """Follow a chunked body in pieces and find the first odd byte."""
+    """An incremental check of the framing of one chunked body."""
 
-    part: Part = Part.SIZE
-    data_left: int = 0
+    part: BodyPart = BodyPart.SIZE
+    remaining_bytes: int = 0
     line: bytearray = Factory(bytearray)
 
     def feed(self, data: bytes) -> str | None:
-        """Return what is wrong with the next piece; None when nothing is."""
-        at = 0
-        while at < len(data) and self.part is not Part.END:
-            if self.part is Part.DATA:
-                step = min(self.data_left, len(data) - at)
-                self.data_left -= step
-                at += step
-                if not self.data_left:
-                    self.part = Part.DATA_END
+        """Check the next bytes of the body; return the fault, or None."""
+        position = 0
+        while position < len(data) and self.part is not BodyPart.END:
+            if self.part is BodyPart.DATA:
+                step = min(self.remaining_bytes, len(data) - position)
+                self.remaining_bytes -= step
+                position += step
+                if not self.remaining_bytes:
+                    self.part = BodyPart.DATA_END
                 continue
-            end = data.find(b'\n', at)
+            end = data.find(b'\n', position)
             stop = len(data) if end < 0 else end + 1
-            self.line += data[at:stop]
-            at = stop
+            self.line += data[position:stop]
+            position = stop
             fault = self._check_line(is_whole=end >= 0)
             if fault is not None:
                 return fault
@@ -62,20 +62,20 @@
         self.line.clear()
         if not line.endswith(CRLF) or b'\r' in line[:-2]:
             return 'a line of a chunked body does not end in CRLF'
-        return self._take_line(line[:-2])
+        return self._parse_line(line[:-2])
 
-    def _take_line(self, line: bytes) -> str | None:
-        if self.part is Part.SIZE:
+    def _parse_line(self, line: bytes) -> str | None:
+        if self.part is BodyPart.SIZE:
             if SIZE_LINE.match(line) is None:
                 return 'a chunk has an odd size or an extension'
-            self.data_left = int(line, 16)
-            self.part = Part.DATA if self.data_left else Part.TRAILER
-        elif self.part is Part.DATA_END:
+            self.remaining_bytes = int(line, 16)
+            self.part = BodyPart.DATA if self.remaining_bytes else BodyPart.TRAILER
+        elif self.part is BodyPart.DATA_END:
             if line:
                 return 'a chunk is longer than its size'
-            self.part = Part.SIZE
+            self.part = BodyPart.SIZE
         elif not line:
-            self.part = Part.END
+            self.part = BodyPart.END
         elif line[:1] in (b' ', b'\t'):
             return 'a trailer is folded'
         return None
--- a/catkinslip/proxy/exchange.py
+++ b/catkinslip/proxy/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt: send a request to a backend server and pass its answer on."""
+"""One attempt: a request to a backend server, and its answer to the caller."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -19,15 +19,17 @@
 from catkinslip.proxy.pool import MAX_IDLE_SECONDS, BackendPool
 from catkinslip.proxy.wire import ConnectionErrors, Wire
 from catkinslip.routing import reports
-from catkinslip.routing.signals import ServerSignals
+from catkinslip.routing.signals import (
+    ServerSignals,
+)
 from catkinslip.throttling.signals import (
     AnswerKind,
 )
 
 __all__ = ['AnswerHead', 'Attempt', 'Call']
 
-# A kept connection that answered this lately is trusted with a request that may
-# not be repeated; servers close idle connections after seconds, not at once.
+# A request that is not repeatable is sent on a reused connection only if that was in
+# use this recently: servers close idle connections after seconds, not at once.
 RECENT_SECONDS = 1.0
 OWN_DIALECT = NativeDialect()
 METHODS_WITH_BODY = frozenset({b'POST', b'PUT', b'PATCH'})
@@ -41,25 +43,25 @@
 def ignore_head(
     headers: Iterable[names.Header], report: reports.LoadReport | None
 ) -> None:
-    """Take no notice of the head of an answer."""
+    """Ignore the head of an answer."""
 
 
-OnWords = Callable[[ServerSignals, AnswerKind, float], None]
+OnSignals = Callable[[ServerSignals, AnswerKind, float], None]
 
 
-def ignore_words(words: ServerSignals, kind: AnswerKind, sent_at: float) -> None:
-    """Take no notice of what a server asks for."""
+def ignore_signals(signals: ServerSignals, kind: AnswerKind, sent_at: float) -> None:
+    """Ignore the signals of a server."""
 
 
 @frozen
-class Break:
-    """A connection that ended after a request had been sent on it."""
+class ConnectionBreak:
+    """The end of a connection after a request was sent on it."""
 
-    #: Seconds from the request's first byte.
+    #: Seconds since the first byte of the request.
     seconds: float
-    #: Whether it had carried an earlier request; servers close idle connections.
+    #: Whether the connection carried an earlier request; servers close idle ones.
     is_reused: bool
-    #: Whether bytes of an answer came.
+    #: Whether bytes of an answer were received.
     has_begun: bool
     detail: str
 
@@ -68,21 +70,21 @@
         return f'ms={self.seconds * 1e3:.0f} connection={kind} begun={self.has_begun}'
 
 
-OnBreak = Callable[[Break], None]
+OnBreak = Callable[[ConnectionBreak], None]
 
 
-def ignore_break(broken: Break) -> None:
-    """Take no notice of a connection that ended."""
+def ignore_break(connection_break: ConnectionBreak) -> None:
+    """Ignore a connection that broke."""
 
 
-def always() -> bool:
-    """Send whatever happened since the choice."""
+def always_allow() -> bool:
+    """Allow the request whatever changed since the server was chosen."""
     return True
 
 
 @frozen
 class AnswerHead:
-    """The head of an answer; its body still waits on the connection."""
+    """The head of an answer whose body was not read from the connection yet."""
 
     response: h11.Response
     headers: list[names.Header]
@@ -92,7 +94,7 @@
 
 @define
 class Attempt:
-    """A call sent to one backend server, and the answer's way back."""
+    """An attempt to run a call at one backend server and pass its answer on."""
 
     call: Call
     address: Address
@@ -103,36 +105,37 @@
     dialect: Dialect = OWN_DIALECT
     backend_id: str = ''
     on_head: OnHead = ignore_head
-    on_words: OnWords = ignore_words
+    on_signals: OnSignals = ignore_signals
     on_break: OnBreak = ignore_break
-    #: Asked right before the first byte, as a connection may be waited for.
-    may_send: Callable[[], bool] = always
+    #: Check that runs right before the first byte, as a connection may take time.
+    may_send: Callable[[], bool] = always_allow
     is_sent: bool = False
     sent_at: float = 0.0
-    #: How the last connection ended, if it did under the request.
-    broken: Break | None = None
-    is_stale: bool = False
-    #: That a send before the last one may have run, whatever became of the last.
-    doubt: Unknown | None = None
+    #: How the last connection broke after the request was sent; None if it did not.
+    connection_break: ConnectionBreak | None = None
+    #: Whether a reused connection was closed before any byte of an answer.
+    used_stale_connection: bool = False
+    #: Result of the first send if the request was sent twice: it may have run.
+    earlier_result: Unknown | None = None
 
     async def run(self) -> Outcome:
-        """Send the request and pass the answer on."""
+        """Send the request, pass the answer on and return the outcome."""
         result = await self.start()
         if isinstance(result, AnswerHead):
             return await self.pass_on(result)
         return result
 
     async def start(self) -> AnswerHead | NotRun | Unknown:
-        """Send the request and wait for the head of the answer."""
+        """Send the request and return the head of the answer, or why there is none."""
         if not self.call.repeatable:
             return await self._start(RECENT_SECONDS)
         result = await self._start(MAX_IDLE_SECONDS)
-        if self.is_stale and self.call.is_resendable:
-            # A server that ended at work closes its connections like an idle one:
-            # 41 of 42 calls whose server ended so were told that nothing had run.
-            self.doubt = result
+        if self.used_stale_connection and self.call.is_resendable:
+            # The connections of a crashed server end like idle ones that are closed: 41
+            # of 42 calls whose server crashed this way were reported as not run.
+            self.earlier_result = result
             log.info(
-                'routing: %s goes again to %s, the kept connection was closed.',
+                'routing: %s is sent again to %s, the reused connection was closed.',
                 self.call.request_id,
                 self.address,
             )
@@ -140,14 +143,14 @@
         return result
 
     async def pass_on(self, head: AnswerHead) -> Outcome:
-        """Pass a whole answer on to the caller."""
+        """Pass an answer on to the caller as it is read, and return the outcome."""
         try:
             return await self._pass_on(head)
         finally:
             await self._release(head.wire)
 
     async def discard(self, head: AnswerHead) -> None:
-        """Drop an answer that is not passed on."""
+        """Release the connection of an answer that is not passed on."""
         await self._release(head.wire)
 
     async def _release(self, wire: Wire) -> None:
@@ -168,7 +171,7 @@
     async def _exchange(self, wire: Wire) -> AnswerHead | NotRun | Unknown:
         try:
             data = wire.encode(*self._request_events())
-            # Nothing may wait between this check and the first byte.
+            # No await between these checks and the first byte.
             if self.call.is_expired(self.clock):
                 return NotRun(Reason.TOO_LATE)
             if not self.may_send():
@@ -179,12 +182,12 @@
             self._start_upload(wire)
             response = await answers.receive_response(wire)
         except ConnectionErrors as error:
-            return self._broken(wire, error)
+            return self._record_break(wire, error)
         except h11.ProtocolError as error:
-            return self._broken(wire, error)
-        return await self._judge(wire, response)
+            return self._record_break(wire, error)
+        return await self._classify_response(wire, response)
 
-    async def _judge(
+    async def _classify_response(
         self, wire: Wire, response: h11.Response
     ) -> AnswerHead | NotRun | Unknown:
         call = self.call
@@ -192,60 +195,62 @@
         status = response.status_code
         fault = self.dialect.find_fault(call, status, headers)
         if fault is not None:
-            wire.is_spoiled = True
+            wire.must_close = True
             return fault
         refusal = self.dialect.find_refusal(status, headers)
         if refusal is Reason.MISDIRECTED:
-            # Another server has the address: what it says is of itself.
+            # Another server has the address: the report and signals describe that one.
             await answers.drain_body(wire)
             return NotRun(refusal)
         report = self.dialect.read_report(headers)
         self.on_head(headers, report)
-        kind = kind_of(status, refusal)
-        self.on_words(self.dialect.read_signals(status, headers), kind, self.sent_at)
+        kind = answer_kind(status, refusal)
+        self.on_signals(self.dialect.read_signals(status, headers), kind, self.sent_at)
         if refusal is not None:
             await answers.drain_body(wire)
             return NotRun(refusal, report=report)
         return AnswerHead(response, headers, report, wire)
 
-    def _broken(self, wire: Wire, error: Exception) -> Unknown:
+    def _record_break(self, wire: Wire, error: Exception) -> Unknown:
         body_remainder = self.call.body_remainder
         if body_remainder is not None and body_remainder.fault is not None:
             return Unknown(body_remainder.fault)
-        broken = self.broken = Break(
+        connection_break = self.connection_break = ConnectionBreak(
             self.clock.monotonic() - self.sent_at,
             wire.is_reused,
             answers.has_begun(wire),
             str(error) or repr(error),
         )
-        self.on_break(broken)
-        self.is_stale = broken.is_reused and not broken.has_begun
-        wire.is_spoiled = True
-        return Unknown(Reason.BROKEN, broken.detail)
+        self.on_break(connection_break)
+        self.used_stale_connection = (
+            connection_break.is_reused and not connection_break.has_begun
+        )
+        wire.must_close = True
+        return Unknown(Reason.BROKEN, connection_break.detail)
 
     async def _pass_on(self, head: AnswerHead) -> Outcome:
-        waiting = [self._answer_head(head)]
+        pending = [self._answer_head(head)]
         wire = head.wire
         while True:
             try:
                 event = wire.codec.next_event()
                 if event is h11.NEED_DATA:
-                    if waiting and not await self._send_on(waiting):
+                    if pending and not await self._send_to_caller(pending):
                         break
-                    waiting = []
-                    await wire.fill()
+                    pending = []
+                    await wire.read_into_codec()
                     continue
             except (*ConnectionErrors, h11.RemoteProtocolError) as error:
-                return evolve(self._broken(wire, error), answer_started=True)
+                return evolve(self._record_break(wire, error), answer_started=True)
             if type(event) is not h11.EndOfMessage:
-                waiting.append(event)
+                pending.append(event)
                 continue
-            if await self._send_on([*waiting, h11.EndOfMessage()]):
+            if await self._send_to_caller([*pending, h11.EndOfMessage()]):
                 return Answered(head.response.status_code, head.report)
             break
         return Unknown(Reason.CALLER_LEFT, answer_started=True)
 
-    async def _send_on(self, events: list[h11.Event]) -> bool:
+    async def _send_to_caller(self, events: list[h11.Event]) -> bool:
         try:
             await self.caller.send(*events)
         except ConnectionErrors:
@@ -254,14 +259,14 @@
 
     def _request_events(self) -> list[h11.Event]:
         call = self.call
-        remaining = call.deadline - self.clock.monotonic()
+        remaining_time = call.deadline - self.clock.monotonic()
         headers = self.dialect.request_headers(
-            call, self.backend_id, self.number, remaining
+            call, self.backend_id, self.number, remaining_time
         )
         if call.body_remainder is not None:
-            headers.append(framing(call.body_remainder.length))
+            headers.append(framing_header(call.body_remainder.length))
         elif call.body or call.method in METHODS_WITH_BODY:
-            headers.append(framing(len(call.body)))
+            headers.append(framing_header(len(call.body)))
         events: list[h11.Event] = [
             h11.Request(
                 method=call.method, target=call.target, headers=names.checked(headers)
@@ -289,7 +294,7 @@
             try:
                 await wire.send(h11.EndOfMessage() if is_end else event)
             except (*ConnectionErrors, h11.LocalProtocolError):
-                # Only the answer can tell why the server stopped reading.
+                # The answer, if one comes, contains why the server stopped reading.
                 return
             if is_end:
                 return
@@ -303,15 +308,15 @@
         )
 
 
-def kind_of(status: int, refusal: Reason | None) -> AnswerKind:
-    """Return what an answer to a request is."""
+def answer_kind(status: int, refusal: Reason | None) -> AnswerKind:
+    """Return whether an answer is a result, a failure or a refusal."""
     if refusal is not None:
         return AnswerKind.REFUSAL
     return AnswerKind.ANSWER if status < 400 else AnswerKind.FAILURE
 
 
-def framing(length: int | None) -> names.Header:
-    """Return the header that frames a request body."""
+def framing_header(length: int | None) -> names.Header:
+    """Return the header that frames a request body; None is an unknown length."""
     if length is None:
         return b'transfer-encoding', b'chunked'
     return b'content-length', b'%d' % length
--- a/catkinslip/proxy/forwarder.py
+++ b/catkinslip/proxy/forwarder.py
@@ -1,4 +1,4 @@
-"""Forward a call: admit it or refuse it at once, then run its attempts."""
+"""The entry to forwarding: calls are admitted or refused, then attempted."""
 
 from math import inf
 from random import Random
@@ -24,17 +24,17 @@
 from catkinslip.proxy.wire import Wire
 from catkinslip.routing.directory import Directory
 
-#: Operators take a zone back after seconds at the soonest; callers come back within a
-#: third of their time in any case.
+#: Operators reopen an evacuated zone after some seconds at the earliest; callers retry
+#: within a third of their time in any case.
 EVACUATED_RETRY_SECONDS = 1.0
-#: Weak instances are ready 0.4 to 1.4 s after a start of all (logs of 22); who comes
-#: back after 0.05 s is most likely refused by the same one again.
-START_RETRY_SECONDS = 0.5
+#: Slow instances are ready 0.4 to 1.4 s after all instances start (logs of 22); a
+#: caller that retries after 0.05 s is most likely refused by the same instance again.
+NOT_READY_RETRY_SECONDS = 0.5
 
 
 @define
 class Forwarder(CallForwarder):
-    """Forward calls to backend servers."""
+    """A forwarder of calls to backend servers."""
 
     directory: Directory
     pool: BackendPool
@@ -52,16 +52,16 @@
     )
 
     async def forward(self, call: Call, caller: Wire) -> Outcome:
-        """Forward one call within its deadline."""
-        self._note_spent(call)
+        """Forward a call within its deadline and return its outcome."""
+        self._record_spent(call)
         outcome = await self._forward(call, caller)
         if not isinstance(outcome, Answered):
             self.spent.record_unanswered(self.clock.monotonic())
         return outcome
 
-    def _note_spent(self, call: Call) -> None:
-        is_told = call.caller_timeout is not None and call.target_latency < inf
-        if is_told and self.limits.settings.admission.counts_spent:
+    def _record_spent(self, call: Call) -> None:
+        has_times = call.caller_timeout is not None and call.target_latency < inf
+        if has_times and self.limits.settings.admission.counts_spent:
             now = self.clock.monotonic()
             call.record_spent(
                 self.spent.observe(
@@ -71,7 +71,7 @@
 
     async def _forward(self, call: Call, caller: Wire) -> Outcome:
         if not self.directory.is_ready:
-            return NotRun(Reason.NOT_READY, retry_after=START_RETRY_SECONDS)
+            return NotRun(Reason.NOT_READY, retry_after=NOT_READY_RETRY_SECONDS)
         router = self.directory.router_by_service.get(call.service)
         if router is None:
             return NotRun(Reason.UNKNOWN_SERVICE, call.service)
@@ -108,6 +108,8 @@
             sampler=self.sampler,
             random=self.random,
             guard=self.guard,
-            outside=self.directory.servers_outside(call.service, call.regions),
+            excluded_by_region=self.directory.servers_outside(
+                call.service, call.regions
+            ),
         )
         return await runner.run()
--- a/catkinslip/proxy/observer.py
+++ b/catkinslip/proxy/observer.py
@@ -5,7 +5,9 @@
 from attrs import frozen
 
 from catkinslip.proxy.calls import Call
-from catkinslip.proxy.exchange import Break
+from catkinslip.proxy.exchange import (
+    ConnectionBreak,
+)
 from catkinslip.proxy.outcomes import Outcome
 from catkinslip.routing.base import Choice
 
@@ -23,7 +25,7 @@
     ) -> None:
         """Record the outcome of an attempt and its duration in seconds."""
 
-    def on_connection_broken(self, call: Call, broken: Break) -> None:  # noqa: B027
+    def on_connection_broken(self, call: Call, broken: ConnectionBreak) -> None:  # noqa: B027
         """Record a connection that broke during an attempt."""
 
     @abstractmethod
@@ -49,7 +51,7 @@
         for observer in self.observers:
             observer.on_attempt_ended(call, backend_id, outcome, seconds)
 
-    def on_connection_broken(self, call: Call, broken: Break) -> None:
+    def on_connection_broken(self, call: Call, broken: ConnectionBreak) -> None:
         """Record a connection that broke during an attempt."""
         for observer in self.observers:
             observer.on_connection_broken(call, broken)
--- a/catkinslip/proxy/race.py
+++ b/catkinslip/proxy/race.py
@@ -1,4 +1,4 @@
-"""The race of two attempts of one call."""
+"""The race between the two attempts of a hedged call."""
 
 import logging
 from typing import TYPE_CHECKING
@@ -14,42 +14,42 @@
 if TYPE_CHECKING:
     from catkinslip.proxy.runner import CallRunner
 
-#: A server that tells less than this share of its speed at the choice slowed down.
+#: A server counts as slowed down below this share of its speed at the choice.
 SLOWED_SHARE = 0.6
-#: Between two looks at the server of a call that takes long.
-LOOK_AGAIN_SECONDS = 0.03
+#: Time between two probes of the first server, for a call that takes long.
+PROBE_AGAIN_SECONDS = 0.03
 
 log = logging.getLogger('routing')
 
 
 @define(eq=False)
 class Race(Hedge):
-    """The race of two attempts; the first head cancels the other attempt."""
+    """A race of two attempts; the first answer head cancels the other attempt."""
 
     runner: 'CallRunner'
     delay: float
     is_over: bool = False
-    #: Speed that the first server told right before it was chosen.
-    launched_speed: float | None = None
+    #: Speed that the first server last reported before the request was sent.
+    initial_speed: float | None = None
     second: Launch | None = None
     first_scope: trio.CancelScope = Factory(trio.CancelScope)
     second_scope: trio.CancelScope = Factory(trio.CancelScope)
     second_ended: trio.Event = Factory(trio.Event)
 
     async def run(self) -> None:
-        """Start the second attempt, or ask for another time."""
+        """Start the second attempt, or reschedule the hedge."""
         runner = self.runner
         if self.is_over:
             return
         if self._may_hedge():
-            await self._look_at_first()
+            await self._probe_first()
             if self.is_over:
                 return
-            # Another call may have taken the last token during the look.
+            # Another call may have used the last token of the budget during the probe.
             if self._may_hedge() and self.is_first_slow():
                 self.second = runner.launch_hedge()
         if self.second is None:
-            delay = self.delay if self.launched_speed is None else LOOK_AGAIN_SECONDS
+            delay = self.delay if self.initial_speed is None else PROBE_AGAIN_SECONDS
             runner.hedges.add(delay, self)
             return
         with self.second_scope:
@@ -61,24 +61,24 @@
     def _may_hedge(self) -> bool:
         return self.runner.plan.may_hedge(self.runner.clock.monotonic())
 
-    async def _look_at_first(self) -> None:
-        if self.launched_speed is not None:
+    async def _probe_first(self) -> None:
+        if self.initial_speed is not None:
             first = self.runner.launches[0]
             await self.runner.sampler.refresh_one(self.runner.router, first.backend_id)
             await self.runner.sampler.refresh(self.runner.router, [first.backend_id])
 
     def is_first_slow(self) -> bool:
-        """Tell whether the first server slowed down; it may not tell its speed."""
+        """Return whether the first server slowed down, is silent or has no speed."""
         first_id = self.runner.launches[0].backend_id
-        if self.launched_speed is None or self.runner.router.is_silent(first_id):
+        if self.initial_speed is None or self.runner.router.is_silent(first_id):
             return True
-        speed = self.runner.speed_of(first_id)
-        return speed is not None and speed < SLOWED_SHARE * self.launched_speed
+        speed = self.runner.reported_speed(first_id)
+        return speed is not None and speed < SLOWED_SHARE * self.initial_speed
 
     async def _start_second(self, launch: Launch) -> None:
         try:
             await self.runner.start(launch)
         except Exception as error:
-            # One call's hedge must not stop the process.
-            log.exception('routing: a hedge failed.')
-            await self.runner.settle(launch, Unknown(Reason.BROKEN, repr(error)))
+            # An error in the hedge of one call must not stop the process.
+            log.exception('routing: the second attempt of a hedged call failed.')
+            await self.runner.handle_result(launch, Unknown(Reason.BROKEN, repr(error)))
--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -1,4 +1,4 @@
-"""Run the attempts of one call: retry, hedge, and pass one answer on."""
+"""The attempts of one call: retries, hedges and the answer to the caller."""
 
 import logging
 from collections.abc import Collection
@@ -18,7 +18,7 @@
 from catkinslip.limits.plan import CallPlan, Step
 from catkinslip.limits.service import ServiceLimits
 from catkinslip.proxy.dialect import Dialect
-from catkinslip.proxy.exchange import AnswerHead, Attempt, Break, Call
+from catkinslip.proxy.exchange import AnswerHead, Attempt, Call, ConnectionBreak
 from catkinslip.proxy.hedges import HedgeTimer
 from catkinslip.proxy.launch import Launch
 from catkinslip.proxy.observer import RequestObserver
@@ -47,8 +47,9 @@
     AnswerKind,
 )
 
+#: Time to pass an answer on whose head came before the deadline.
 ANSWER_GRACE_SECONDS = 1.0
-#: Enough to find a request again; a caller may send 32 kB.
+#: Enough to identify a request; a caller may send a target of 32 kB.
 LOGGED_TARGET_BYTES = 200
 
 log = logging.getLogger('routing')
@@ -56,7 +57,7 @@
 
 @define
 class CallRunner:
-    """Carry out a call's plan; exactly one answer reaches the caller."""
+    """The execution of one call's plan; at most one answer reaches the caller."""
 
     call: Call
     caller: Wire
@@ -72,24 +73,25 @@
     sampler: Sampler
     random: Random
     guard: CrashGuard
-    #: Servers in regions where the call must not run.
-    outside: frozenset[str] = frozenset()
+    #: Servers in regions in which the call must not run.
+    excluded_by_region: frozenset[str] = frozenset()
     launches: list[Launch] = Factory(list)
+    #: Attempt whose answer is passed on to the caller.
     passed_on: Launch | None = None
     began: float = Factory(lambda self: self.clock.monotonic(), takes_self=True)
     scope: trio.CancelScope = Factory(trio.CancelScope)
     wait: ServerWait = Factory(lambda self: self._make_wait(), takes_self=True)
 
     async def run(self) -> Outcome:
-        """Run attempts until one answers, none may follow, or the deadline."""
+        """Run attempts until an answer, the last allowed attempt or the deadline."""
         try:
-            left = max(0.0, self.call.deadline - self.clock.monotonic())
-            with trio.move_on_after(left) as self.scope:
+            remaining = max(0.0, self.call.deadline - self.clock.monotonic())
+            with trio.move_on_after(remaining) as self.scope:
                 return await self._run_attempts()
             return self._expire()
         finally:
             for launch in self.launches:
-                await self._give_up(launch)
+                await self._abandon(launch)
 
     async def _run_attempts(self) -> Outcome:
         while True:
@@ -97,7 +99,7 @@
             if isinstance(choice, NotRun):
                 self.plan.refused(choice)
                 return self.plan.final_outcome()
-            # Another call may have taken the last token during the wait.
+            # Another call may have used the last token of the budget during the wait.
             if choice is None or not self.plan.may_start():
                 return self.plan.final_outcome()
             launch = self._launch(choice, self.plan.start(), self.wait.reason(choice))
@@ -108,21 +110,21 @@
                 return self.plan.final_outcome()
 
     def launch_hedge(self) -> Launch | None:
-        """Make a second attempt; None when no server has an idle slot for it."""
+        """Create a second attempt; return None if no server has an idle slot for it."""
         choice = self.health.choose(self.router, self._tried())
         if choice is None or not self.limits.has_idle_slot(choice.backend_id):
             return None
         return self._launch(choice, self.plan.hedge(), f'hedge, {choice.reason}')
 
     def _launch(self, choice: Choice, number: int, reason: object) -> Launch:
-        """Make the attempt with a number of a chosen server."""
+        """Create the attempt with this number at the chosen server."""
         now = self.clock.monotonic()
-        # Before the request counts as sent, which it is not yet.
+        # Reserved before the router counts the request as in flight.
         permits = self.router.reserve(choice.backend_id, now)
         load = self.router.started(choice.backend_id, now)
-        narrowed = self.router.describe_restrictions(load, now)
-        if narrowed:
-            reason = f'{reason} {narrowed}'
+        restriction = self.router.describe_restrictions(load, now)
+        if restriction:
+            reason = f'{reason} {restriction}'
         log.info(
             'routing: %s %s goes to %s, %s.',
             self.call.request_id,
@@ -141,9 +143,9 @@
             number=number,
             dialect=self.dialect,
             backend_id=choice.backend_id,
-            on_head=partial(self._take_head, load),
-            on_words=partial(self._take_words, load),
-            on_break=partial(self._take_break, choice.backend_id),
+            on_head=partial(self._handle_head, load),
+            on_signals=partial(self._apply_signals, load),
+            on_break=partial(self._handle_break, choice.backend_id),
         )
         launch = Launch(choice.backend_id, attempt, now, choice.delay, load, permits)
         attempt.may_send = partial(self._may_send, launch)
@@ -152,48 +154,50 @@
         return launch
 
     def _may_send(self, launch: Launch) -> bool:
-        """Tell whether the first byte may be sent now, as a connection is there."""
+        """Return whether the first byte may be sent on the open connection now."""
         load, now = launch.load, self.clock.monotonic()
         return self.router.may_send(load, launch.permits, now)
 
-    def _take_head(
+    def _handle_head(
         self, load: BackendLoad | None, headers: Headers, report: LoadReport | None
     ) -> None:
-        # An answer of before the server's last start says nothing of the one of now.
+        # An answer from before the server's last start does not describe it now.
         if self.router.is_known(load):
             self.health.record_answer(load.backend_id, headers, report)
 
-    def _take_words(
+    def _apply_signals(
         self,
         load: BackendLoad | None,
-        words: ServerSignals,
+        signals: ServerSignals,
         kind: AnswerKind,
         sent_at: float,
     ) -> None:
         if self.router.is_known(load):
             now = self.clock.monotonic()
-            self.router.apply_signals(load, words, kind, sent_at, now)
-            if words.is_leaving:
+            self.router.apply_signals(load, signals, kind, sent_at, now)
+            if signals.is_leaving:
                 self.health.mark_leaving(load.backend_id)
 
-    def _take_break(self, backend_id: str, broken: Break) -> None:
+    def _handle_break(self, backend_id: str, connection_break: ConnectionBreak) -> None:
         log.info(
             'routing: %s the connection to %s broke. %s request=%s caller=%s target=%s '
             'detail=%s',
             self.call.request_id,
             backend_id,
-            broken,
+            connection_break,
             key_of(self.call),
             self.call.peer,
             self.call.target[:LOGGED_TARGET_BYTES].decode('latin-1'),
-            broken.detail,
+            connection_break.detail,
         )
-        self.observer.on_connection_broken(self.call, broken)
+        self.observer.on_connection_broken(self.call, connection_break)
 
     def _tried(self) -> Collection[str]:
-        """Return the servers that must not get the call: tried or foreign ones."""
+        """Return the servers that must not get the call: tried or in other regions."""
         tried = [launch.backend_id for launch in self.launches]
-        return self.outside.union(tried) if self.outside else tried
+        return (
+            self.excluded_by_region.union(tried) if self.excluded_by_region else tried
+        )
 
     async def _await_head(self, launch: Launch) -> Launch:
         now = self.clock.monotonic()
@@ -204,10 +208,10 @@
         return await self._race(launch, delay)
 
     def _hedge_delay(self, launch: Launch, now: float) -> float | None:
-        """Return after how many seconds to look whether a hedge is due."""
+        """Return the seconds until the first check for a hedge; None for no hedge."""
         if self.call.target_deadline == inf:
             return self.limits.hedge_delay(now)
-        # By then most servers that kept their speed have answered.
+        # By then most servers whose speed did not fall have answered.
         return self.wait.expect(launch.delay)
 
     def _make_wait(self) -> ServerWait:
@@ -223,7 +227,7 @@
         )
 
     async def _race(self, first: Launch, delay: float) -> Launch:
-        race = Race(self, delay, launched_speed=self.speed_of(first.backend_id))
+        race = Race(self, delay, initial_speed=self.reported_speed(first.backend_id))
         self.hedges.add(delay, race)
         try:
             with race.first_scope:
@@ -237,22 +241,22 @@
             return first
         return race.second
 
-    def speed_of(self, backend_id: str) -> float | None:
-        """Return the speed that a server told last; None if it tells none."""
+    def reported_speed(self, backend_id: str) -> float | None:
+        """Return the speed that a server last reported; None if it reported none."""
         load = self.router.load_by_id.get(backend_id)
         known = load is not None and load.report is not None
         return load.report.speed if known else None
 
     async def start(self, launch: Launch) -> None:
-        """Send an attempt's request and take what comes of it."""
-        await self.settle(launch, await launch.attempt.start())
+        """Send an attempt's request and handle the result."""
+        await self.handle_result(launch, await launch.attempt.start())
 
-    async def settle(
+    async def handle_result(
         self, launch: Launch, result: AnswerHead | NotRun | Unknown
     ) -> None:
-        """Take how an attempt ended, or that its answer began."""
+        """Record the result of an attempt: the head of an answer or why none came."""
         if not launch.is_open:
-            # Given up while the answer came.
+            # The attempt was abandoned while the answer arrived.
             if isinstance(result, AnswerHead):
                 await launch.attempt.discard(result)
             return
@@ -269,14 +273,14 @@
             )
             return
         is_known = self.router.is_known(launch.load)
-        has_ended = await self._examine(launch)
+        has_crashed = await self._check_for_crash(launch)
         if not launch.is_open:
-            # Given up while its server was looked at: it was counted as ended then.
+            # Abandoned, and counted as finished, while its server was checked.
             return
-        if (result.reason is Reason.CONNECT_FAILED or has_ended) and is_known:
+        if (result.reason is Reason.CONNECT_FAILED or has_crashed) and is_known:
             self.health.record_refusal(launch.backend_id)
-        if launch.attempt.doubt is not None:
-            self.plan.record_unknown(launch.attempt.doubt)
+        if launch.attempt.earlier_result is not None:
+            self.plan.record_unknown(launch.attempt.earlier_result)
         launch.step = self.plan.ended(
             result,
             now,
@@ -293,37 +297,38 @@
             )
         self._finish(launch, result)
 
-    async def _examine(self, launch: Launch) -> bool:
-        """Tell whether the server of a broken attempt ended under the request.
+    async def _check_for_crash(self, launch: Launch) -> bool:
+        """Return whether the server crashed during an attempt whose connection broke.
 
-        One that leaves cuts what it did not finish, and is to blame for it itself.
+        A leaving server closes the connections of unfinished requests itself, so its
+        requests are not suspected.
         """
         load = launch.load
-        if launch.attempt.broken is None or load is None or load.draining:
+        if launch.attempt.connection_break is None or load is None or load.draining:
             return False
         server = server_name(launch.backend_id, load.incarnation)
         is_cold = load.is_cold(launch.began)
-        has_ended = await self.guard.examine(
+        has_crashed = await self.guard.examine(
             self.call, server, launch.attempt.address, is_cold=is_cold
         )
         if self.call.is_suspect:
             self.plan.repeatable = False
-        return has_ended
+        return has_crashed
 
     async def _pass_on(self, launch: Launch, head: AnswerHead) -> Outcome:
         if self.scope.cancel_called:
-            # The deadline came with the head; nothing is sent to the caller yet.
+            # The deadline passed as the head arrived; the caller was sent nothing yet.
             await trio.sleep_forever()
         self.scope.deadline += ANSWER_GRACE_SECONDS
         self.passed_on = launch
         for other in self.launches:
             if other is not launch:
-                await self._give_up(other)
+                await self._abandon(other)
         outcome = await launch.attempt.pass_on(head)
         if isinstance(outcome, Answered) and outcome.status not in SERVER_ERRORS:
             self.guard.answered(self.call)
-        elif launch.attempt.broken is not None:
-            await self._examine(launch)
+        elif launch.attempt.connection_break is not None:
+            await self._check_for_crash(launch)
         self._finish(launch, outcome)
         return outcome
 
@@ -334,7 +339,7 @@
             answer_started=self.passed_on is not None,
         )
 
-    async def _give_up(self, launch: Launch) -> None:
+    async def _abandon(self, launch: Launch) -> None:
         if not launch.is_open:
             return
         if isinstance(launch.result, AnswerHead) and launch is not self.passed_on:
@@ -345,7 +350,7 @@
         now = self.clock.monotonic()
         launch.is_open = False
         release_permits(launch.permits)
-        # A slow caller's share of the time says nothing of the server.
+        # The time that a slow caller takes to read the answer is not counted.
         ended = now if launch.answered_at is None else launch.answered_at
         result = attempt_result(outcome, ended - launch.began)
         if self.router.is_known(launch.load):
--- a/catkinslip/proxy/server_wait.py
+++ b/catkinslip/proxy/server_wait.py
@@ -1,4 +1,4 @@
-"""Wait until a server of a service can take a call."""
+"""The wait of one call for a server of its service."""
 
 import logging
 from collections.abc import Collection
@@ -22,17 +22,19 @@
 from catkinslip.proxy.calls import Call
 from catkinslip.proxy.outcomes import NotRun, Reason
 from catkinslip.routing.base import Choice
-from catkinslip.routing.gates import RestrictionReason
+from catkinslip.routing.gates import (
+    RestrictionReason,
+)
 from catkinslip.routing.router import ServiceRouter
 
 log = logging.getLogger('limits')
 
-REASON_BY_WORD = {
+REASON_BY_RESTRICTION = {
     RestrictionReason.RATE: Reason.THROTTLED,
     RestrictionReason.COLD: Reason.COLD,
     RestrictionReason.REST: Reason.RESTING,
 }
-DETAIL_BY_WORD = {
+DETAIL_BY_RESTRICTION = {
     RestrictionReason.RATE: 'servers in need at their rates',
     RestrictionReason.COLD: 'cold servers',
     RestrictionReason.REST: 'servers that asked for rest',
@@ -41,7 +43,7 @@
 
 @define
 class ServerWait:
-    """Find a server for one call: look, hold and refuse as its state decides."""
+    """The choice of a server for one call, which is sent, held or refused."""
 
     call: Call
     limits: ServiceLimits
@@ -67,18 +69,18 @@
         )
 
     async def choose(self, tried: Collection[str]) -> Choice | NotRun | None:
-        """Return a server, or why the call is refused.
+        """Return the chosen server, or why the call is refused.
 
-        None where no server is left to choose.
+        Return None if no server is left to choose.
         """
         self.waiting.update_lateness(self.expect(1.0), self.clock.monotonic())
         while True:
             if not self.waiting.is_late:
-                # Probes are kept for calls that can still be in time.
+                # Probes are reserved for calls that can still be answered in time.
                 await self.sampler.refresh(self.router, tried)
             choice = self.health.choose(self.router, self._excluded(tried))
             if choice is None:
-                return self._refuse_guarded()
+                return self._refuse_restricted()
             if self.call.target_deadline == inf:
                 return choice
             now = self.clock.monotonic()
@@ -94,26 +96,26 @@
     def _excluded(self, tried: Collection[str]) -> Collection[str]:
         """Return the servers that must not get the call.
 
-        One that may end servers warms none, as what is cold ends for less, and is kept
-        from those in need.
+        A suspect request is not sent to cold servers, which crash more easily, nor to
+        throttled servers.
         """
         if not self.call.is_suspect:
             return tried
-        in_need = [
+        throttled = [
             rate.load.backend_id
             for rate in self.router.throttle.registry.active_rates()
         ]
-        return [*tried, *self.router.cold.cold(self.clock.monotonic()), *in_need]
+        return [*tried, *self.router.cold.cold(self.clock.monotonic()), *throttled]
 
-    def _refuse_guarded(self) -> NotRun | None:
-        """Refuse a call where only servers are left that bear no more now."""
+    def _refuse_restricted(self) -> NotRun | None:
+        """Return the refusal if only servers are left that can handle no more now."""
         now = self.clock.monotonic()
         closure = self.router.closure(now)
         if closure is None:
             return None
         refusal = NotRun(
-            REASON_BY_WORD[closure.reason],
-            f'{closure.servers} {DETAIL_BY_WORD[closure.reason]}',
+            REASON_BY_RESTRICTION[closure.reason],
+            f'{closure.servers} {DETAIL_BY_RESTRICTION[closure.reason]}',
             retry_after=restricted_retry_after(closure, self.waiting, self.random, now),
         )
         log.info(
@@ -126,17 +128,17 @@
         return refusal
 
     def reason(self, choice: Choice) -> object:
-        """Return why a server was chosen, for the log."""
+        """Return why a server was chosen, as text for the log."""
         return f'late, {choice.reason}' if self.waiting.is_late else choice.reason
 
     def expect(self, delay: float) -> float:
-        """Return the expected seconds until an answer."""
+        """Return the expected seconds until the answer of a server with this delay."""
         return self.limits.work.expect(self.call.route, delay, self.call.target_latency)
 
     def _find_slow(self, tried: Collection[str], now: float) -> Choice | None:
         ranked = self.health.rank(self.router, self._excluded(tried))
-        place = self.waiting.find_slow(ranked, self.expect(1.0), now)
-        return None if place is None else self.router.choice_of(place, now)
+        estimate = self.waiting.find_slow(ranked, self.expect(1.0), now)
+        return None if estimate is None else self.router.choice_of(estimate, now)
 
     def _refuse(self, choice: Choice, now: float) -> NotRun:
         expected = self.expect(choice.delay)
