--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -24,7 +24,7 @@
 from catkinslip.config.history import Head, extend_head, follow
 from catkinslip.config.holder import ConfigHolder
 from catkinslip.config.topic import ConfigTopic
-from catkinslip.membership.detector import SPREAD_FANOUT
+from catkinslip.membership.detector import GOSSIP_FANOUT
 from standins.fleet import TopicFleet
 from standins.registers import many_workers
 
@@ -173,7 +173,7 @@
             topic.config.offer(first)
         for topic in fleet.topics[:2]:
             topic.config.offer_changes(head.changes)
-        reached.append(fleet.run_burst(second.version, SPREAD_FANOUT) / size)
+        reached.append(fleet.run_burst(second.version, GOSSIP_FANOUT) / size)
         rounds.append(fleet.rounds_until(second.version))
         for _ in range(20):
             fleet.run_round()
--- a/catkinslip/membership/detector.py
+++ b/catkinslip/membership/detector.py
@@ -24,7 +24,7 @@
 #: A gateway talks to another zone in one round of so many.
 ROUNDS_PER_CROSSING = 2
 #: Peers of the cell told at once of news that cannot wait for the next round.
-SPREAD_FANOUT = 3
+GOSSIP_FANOUT = 3
 
 
 @define
@@ -77,14 +77,14 @@
             chosen.append(self._next_failed())
         return [each for each in chosen if each is not None]
 
-    def spread_targets(self, now: float) -> list[Member]:
+    def gossip_targets(self, now: float) -> list[Member]:
         """Return whom to tell urgent news at once.
 
         A gateway also tells a member of each other zone of its region, as those
         zones' address answers name members of this one.
         """
         cell = [each for each in self.targets(now) if each.status is Status.ALIVE]
-        chosen = self.random.sample(cell, min(SPREAD_FANOUT, len(cell)))
+        chosen = self.random.sample(cell, min(GOSSIP_FANOUT, len(cell)))
         if not self.is_gateway(now):
             return chosen
         for zone in sorted(self.zones.members_by_zone.keys() - self.cell_zones(now)):
--- a/catkinslip/membership/exchange.py
+++ b/catkinslip/membership/exchange.py
@@ -28,7 +28,7 @@
 JSON_HEADERS = {'Content-Type': 'application/json'}
 
 #: Urgent news that come together are passed on together.
-SPREAD_PAUSE_ROUNDS = 0.2
+GOSSIP_PAUSE_ROUNDS = 0.2
 #: An outcome that took so much longer than the timeout was seen by a paused process.
 PAUSE_SLACK_SECONDS = 1.0
 
@@ -58,12 +58,12 @@
     contacts: Contacts = Factory(
         lambda self: Contacts(self.members, self.seeds, self.random), takes_self=True
     )
-    _wanted: trio.Event = Factory(trio.Event)
+    _gossip_requested: trio.Event = Factory(trio.Event)
 
     async def run(self, read_list: ListReader) -> None:
         """Exchange with peers for ever, and learn of others from the list."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._spread_when_wanted)
+            nursery.start_soon(self._gossip_when_requested)
             nursery.start_soon(self._follow_list, read_list)
             while True:
                 await self.run_once()
@@ -80,13 +80,13 @@
             for control_address in self.contacts.due(now):
                 nursery.start_soon(self.exchange_with, control_address)
 
-    def spread_soon(self) -> None:
+    def gossip_soon(self) -> None:
         """Tell several peers at once; for news that must be in force within seconds."""
-        self._wanted.set()
+        self._gossip_requested.set()
 
-    async def spread(self) -> None:
+    async def gossip(self) -> None:
         """Exchange with several peers now."""
-        targets = self.protocol.detector.spread_targets(self.clock.monotonic())
+        targets = self.protocol.detector.gossip_targets(self.clock.monotonic())
         async with trio.open_nursery() as nursery:
             for target in targets:
                 nursery.start_soon(self.exchange_with, target.control_address, target)
@@ -94,13 +94,13 @@
     async def leave(self) -> None:
         """Tell several peers that this instance is leaving."""
         self.members.leave()
-        await self.spread()
+        await self.gossip()
 
     async def end(self) -> None:
         """Tell several peers that this instance is gone."""
         self.members.end()
         with trio.move_on_after(self.timeout):
-            await self.spread()
+            await self.gossip()
 
     async def exchange_with(
         self, control_address: str, target: Member | None = None
@@ -111,7 +111,7 @@
         if answer is None:
             return False
         lacking = self.protocol.conclude(request, answer, self.clock.monotonic())
-        self._pass_on_urgent()
+        self._gossip_urgent()
         if lacking is not None:
             await self._post(control_address, PATH, lacking, ExchangeMessage)
         return True
@@ -119,7 +119,7 @@
     def receive(self, message: ExchangeMessage) -> ExchangeMessage:
         """Take a peer's message over and return this instance's answer."""
         answer = self.protocol.answer(message, self.clock.monotonic())
-        self._pass_on_urgent()
+        self._gossip_urgent()
         return answer
 
     async def reaches(self, request: ProbeRequest) -> ProbeAnswer:
@@ -145,7 +145,7 @@
             return
         if self.protocol.detector.suspect(target, self.clock.monotonic()):
             log.warning('membership: suspects %s, nobody reaches it.', target.member_id)
-            self.spread_soon()
+            self.gossip_soon()
 
     async def _is_reached_by_others(self, target: Member) -> bool:
         request = ProbeRequest(target.control_address)
@@ -185,17 +185,17 @@
             log.exception('membership: the answer of %s is malformed.', control_address)
         return None
 
-    def _pass_on_urgent(self) -> None:
+    def _gossip_urgent(self) -> None:
         if self.protocol.has_urgent_updates:
             self.protocol.has_urgent_updates = False
-            self.spread_soon()
+            self.gossip_soon()
 
-    async def _spread_when_wanted(self) -> None:
+    async def _gossip_when_requested(self) -> None:
         while True:
-            await self._wanted.wait()
-            self._wanted = trio.Event()
-            await self.spread()
-            await trio.sleep(self.interval * SPREAD_PAUSE_ROUNDS)
+            await self._gossip_requested.wait()
+            self._gossip_requested = trio.Event()
+            await self.gossip()
+            await trio.sleep(self.interval * GOSSIP_PAUSE_ROUNDS)
 
     async def _follow_list(self, read_list: ListReader) -> None:
         while True:
--- a/catkinslip/membership/members.py
+++ b/catkinslip/membership/members.py
@@ -123,7 +123,7 @@
         now: float = 0.0,
         age: float = 0.0,
         *,
-        is_passed_on: bool = True,
+        is_gossiped: bool = True,
     ) -> bool:
         """Take a word over; tell whether it said something new.
 
@@ -145,7 +145,7 @@
             self.tombstone_by_id.pop(joined.member_id, None)
             self.member_by_id[joined.member_id] = joined
         self.version += 1
-        if is_passed_on:
+        if is_gossiped:
             self.updates.add(joined.member_id)
         return True
 
--- a/catkinslip/membership/protocol.py
+++ b/catkinslip/membership/protocol.py
@@ -141,10 +141,10 @@
         for word in message.words:
             age = message.age_by_failed.get(word.member_id, 0.0)
             # What a repair teaches is known elsewhere, so it is not passed on.
-            is_passed_on = word.zone not in message.repaired_zones
-            if self.table.merge(word, now, age, is_passed_on=is_passed_on):
+            is_gossiped = word.zone not in message.repaired_zones
+            if self.table.merge(word, now, age, is_gossiped=is_gossiped):
                 log.info('membership: %s is %s.', word.member_id, standing_of(word))
-                self.has_urgent_updates |= is_passed_on and not word.is_usable
+                self.has_urgent_updates |= is_gossiped and not word.is_usable
         for zone, age in message.age_by_zone.items():
             self.zones.hear(zone, now, age)
         sender = self.table.find(message.sender)
--- a/catkinslip/membership/updates.py
+++ b/catkinslip/membership/updates.py
@@ -6,7 +6,7 @@
 
 #: An update is sent this many times the logarithm of the number of members:
 #: https://www.cs.cornell.edu/projects/Quicksilver/public_pdfs/SWIM.pdf
-SPREAD_FACTOR = 3
+TRANSMISSION_FACTOR = 3
 
 
 @define
@@ -31,4 +31,4 @@
 
 def transmissions(member_count: int) -> int:
     """Return how often one update is sent by one member."""
-    return SPREAD_FACTOR * math.ceil(math.log2(member_count + 1))
+    return TRANSMISSION_FACTOR * math.ceil(math.log2(member_count + 1))
--- a/catkinslip/wiring/daemon.py
+++ b/catkinslip/wiring/daemon.py
@@ -71,7 +71,7 @@
     hedges = HedgeTimer()
     callers = wire_callers(settings, environment, shared, hedges)
     peers = wire_peers(settings, outside, shared)
-    shared.config.listeners.append(lambda _: peers.spread_soon())
+    shared.config.listeners.append(lambda _: peers.gossip_soon())
     health, members, store = shared.health, shared.members, shared.store
     return Daemon(
         settings=settings,
@@ -113,7 +113,7 @@
         settings.peer_interval,
         PEER_TIMEOUT_SECONDS,
     )
-    crash_topic.spread_soon = peers.spread_soon
+    crash_topic.spread_soon = peers.gossip_soon
     shared.guard.listeners.append(crash_topic)
     return peers
 
--- a/tests/test_membership_protocol.py
+++ b/tests/test_membership_protocol.py
@@ -113,7 +113,7 @@
     return peers
 
 
-class SpreadTest(unittest.TestCase):
+class GossipTest(unittest.TestCase):
     """Words reach all members, a bounded number of times."""
 
     def test_one_seed_is_enough_and_updates_stop(self):
@@ -171,18 +171,18 @@
         for _ in range(3):
             leaving = sorted(peers.usable('zone-b-0'))[0]
             peers.peer_by_id[leaving].table.leave()
-            self.pass_on(peers, leaving)
+            self.gossip_urgent(peers, leaving)
         told = [name for name in peers.peer_by_id if leaving not in peers.usable(name)]
         # No round has run. The few that are left learn in the next ones.
         self.assertGreater(len(told), 30)
         peers.run_until(lambda: peers.all_see(peers.usable(leaving)), rounds=5)
 
-    def pass_on(self, peers: Peers, first: str) -> None:
+    def gossip_urgent(self, peers: Peers, first: str) -> None:
         waiting = [first]
         while waiting:
             peer = peers.peer_by_id[waiting.pop(0)]
             peer.has_urgent_updates = False
-            for target in peer.detector.spread_targets(peers.now):
+            for target in peer.detector.gossip_targets(peers.now):
                 peers.exchange(peer, target.member_id)
             for name, other in peers.peer_by_id.items():
                 if other.has_urgent_updates and name not in waiting:
