--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -134,7 +134,7 @@
     holder = ConfigHolder(before)
     holder.offer_changes(head.changes[-1:])
     behind = ConfigTopic(ConfigHolder(before), 'entry-1')
-    news = ConfigTopic(holder, 'entry-2').news_for(behind.digest())
+    news = ConfigTopic(holder, 'entry-2').updates_for(behind.digest())
     return len(orjson.dumps(news))
 
 
--- a/catkinslip/config/topic.py
+++ b/catkinslip/config/topic.py
@@ -66,7 +66,7 @@
         digest = ConfigDigest(self.bootstrap.best.version, waiting=True)
         return converter.unstructure(digest)
 
-    def news_for(self, digest: Any | None) -> Any | None:
+    def updates_for(self, digest: Any | None) -> Any | None:
         """Return what a peer lacks, or the newest changes if that is not known."""
         if digest is None:
             news = self._push()
--- a/catkinslip/crashes/topic.py
+++ b/catkinslip/crashes/topic.py
@@ -42,7 +42,7 @@
         )
         return xxhash.xxh3_64_hexdigest('\n'.join(ends).encode())
 
-    def news_for(self, digest: Any | None) -> Any | None:
+    def updates_for(self, digest: Any | None) -> Any | None:
         """Return the gravest ends for a peer that knows others."""
         suspects = self.book.suspect_by_key
         if not suspects or digest == self.digest():
--- a/catkinslip/health/topics.py
+++ b/catkinslip/health/topics.py
@@ -64,7 +64,7 @@
         """Return a hash of the drain states of all leaving servers."""
         return self.table.digest()
 
-    def news_for(self, digest: Any | None) -> Any | None:
+    def updates_for(self, digest: Any | None) -> Any | None:
         """Return all drain states for a peer whose digest differs.
 
         Returns only recent changes if the digest is None, and None if the digests are
@@ -120,7 +120,7 @@
         """
         return self.reports.version
 
-    def news_for(self, digest: Any | None) -> Any | None:
+    def updates_for(self, digest: Any | None) -> Any | None:
         """Return a batch of the newest reports; None if there are none."""
         now = self.monotonic()
         messages = [
--- a/catkinslip/membership/protocol.py
+++ b/catkinslip/membership/protocol.py
@@ -55,8 +55,8 @@
         message = evolve(message, digest_by_topic=self._digests())
         if is_across or self._requests % ROUNDS_PER_COMPARISON == 0:
             message = self._with_views(message, now)
-        news = {name: topic.news_for(None) for name, topic in self._topics()}
-        return evolve(message, news_by_topic=without_none(news))
+        updates = {name: topic.updates_for(None) for name, topic in self._topics()}
+        return evolve(message, news_by_topic=without_none(updates))
 
     def answer(self, message: ExchangeMessage, now: float) -> ExchangeMessage:
         """Take a request over and return the answer."""
@@ -82,7 +82,7 @@
                 for name, digest in self._digests().items()
                 if message.digest_by_topic.get(name) != digest
             },
-            news_by_topic=self._news(message.digest_by_topic),
+            news_by_topic=self._updates_for_digests(message.digest_by_topic),
         )
 
     def conclude(
@@ -93,10 +93,12 @@
         words = [*self._corrections(answer.words), *self._lacking(answer, now)]
         if answer.is_sender_unknown and self.table.own not in words:
             words.append(self.table.own)
-        news = self._news(answer.digest_by_topic, request.news_by_topic.keys())
-        if not words and not news:
+        updates = self._updates_for_digests(
+            answer.digest_by_topic, request.news_by_topic.keys()
+        )
+        if not words and not updates:
             return None
-        return evolve(self._message(now, words), news_by_topic=news)
+        return evolve(self._message(now, words), news_by_topic=updates)
 
     def _topics(self) -> list[tuple[str, PeerTopic]]:
         return list(self.topic_by_name.items())
@@ -104,12 +106,14 @@
     def _digests(self) -> dict[str, Any]:
         return {name: topic.digest() for name, topic in self._topics()}
 
-    def _news(self, digest_by_topic: dict[str, Any], told=()) -> dict[str, Any]:
+    def _updates_for_digests(
+        self, digest_by_topic: dict[str, Any], sent_topics=()
+    ) -> dict[str, Any]:
         return without_none(
             {
-                name: self.topic_by_name[name].news_for(digest)
+                name: self.topic_by_name[name].updates_for(digest)
                 for name, digest in digest_by_topic.items()
-                if name in self.topic_by_name and name not in told
+                if name in self.topic_by_name and name not in sent_topics
             }
         )
 
@@ -150,15 +154,15 @@
         sender = self.table.find(message.sender)
         if sender is not None:
             self.zones.hear(sender.zone, now)
-        for name, news in message.news_by_topic.items():
-            self._take_news(name, news)
+        for name, updates in message.news_by_topic.items():
+            self._apply_topic_updates(name, updates)
 
-    def _take_news(self, name: str, news: Any) -> None:
+    def _apply_topic_updates(self, name: str, updates: Any) -> None:
         topic = self.topic_by_name.get(name)
         if topic is None:
             return
         try:
-            topic.receive(news)
+            topic.receive(updates)
         except Exception:
             # One topic's malformed news must not stop the others.
             log.exception('membership: news of %s are malformed.', name)
@@ -212,7 +216,9 @@
 
 def without_none(news_by_topic: dict[str, Any]) -> dict[str, Any]:
     """Return the topics that have news."""
-    return {name: news for name, news in news_by_topic.items() if news is not None}
+    return {
+        name: updates for name, updates in news_by_topic.items() if updates is not None
+    }
 
 
 def standing_of(word: Member) -> str:
--- a/catkinslip/membership/topics.py
+++ b/catkinslip/membership/topics.py
@@ -15,9 +15,9 @@
         """Return a short summary of what this instance knows."""
 
     @abstractmethod
-    def news_for(self, digest: Any | None) -> Any | None:
+    def updates_for(self, digest: Any | None) -> Any | None:
         """Return what a peer lacks; recent news when its digest is not known."""
 
     @abstractmethod
-    def receive(self, news: Any) -> None:
+    def receive(self, updates: Any) -> None:
         """Take a peer's news over; raise ValueError when it is malformed."""
--- a/model/replay/config.py
+++ b/model/replay/config.py
@@ -109,7 +109,7 @@
 
     def _exchange(self, index: int, other: int) -> None:
         topic = self.instance_by_index[index].topic
-        news = self.instance_by_index[other].topic.news_for(topic.digest())
+        news = self.instance_by_index[other].topic.updates_for(topic.digest())
         if news is not None:
             topic.receive(news)
 
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -53,8 +53,8 @@
 
     def exchange(self, topic: ConfigTopic, peer: ConfigTopic) -> None:
         """Exchange as two instances do: digest and push, then the answer."""
-        self.deliver(topic.news_for(None), peer)
-        self.deliver(peer.news_for(topic.digest()), topic)
+        self.deliver(topic.updates_for(None), peer)
+        self.deliver(peer.updates_for(topic.digest()), topic)
 
     def deliver(self, news: object, topic: ConfigTopic) -> None:
         """Carry news as JSON and count its bytes."""
--- a/tests/test_crashes_sharing.py
+++ b/tests/test_crashes_sharing.py
@@ -38,16 +38,16 @@
 
     def test_peer_learns_and_then_there_is_nothing_new(self):
         one, two = self.topic(book_with(3)), self.topic(CrashBook())
-        two.receive(one.news_for(two.digest()))
+        two.receive(one.updates_for(two.digest()))
         self.assertEqual(two.book.judge(KEY, 'q', NOW).verdict, Verdict.REFUSED)
-        self.assertIsNone(one.news_for(two.digest()))
-        self.assertIsNone(two.news_for(one.digest()))
+        self.assertIsNone(one.updates_for(two.digest()))
+        self.assertIsNone(two.updates_for(one.digest()))
 
     def test_gravest_are_told_and_their_number_is_bounded(self):
         book = book_with(3)
         for number in range(3 * MOST_TOLD):
             book.ended(RequestKey(f't{number}', 'c'), 'q', 'i-1/1', NOW)
-        news = self.topic(book).news_for(None)
+        news = self.topic(book).updates_for(None)
         self.assertEqual(len(news), MOST_TOLD)
         self.assertEqual(news[0][:2], [KEY.target, KEY.content])
 
--- a/tests/test_health_tracker.py
+++ b/tests/test_health_tracker.py
@@ -124,7 +124,7 @@
         """Send the updates that one instance has for another one's digest."""
         topics = zip(health_topics(sender), health_topics(receiver), strict=True)
         for source, target in topics:
-            updates = source.news_for(target.digest())
+            updates = source.updates_for(target.digest())
             if updates is not None:
                 target.receive(updates)
 
