--- a/catkinslip/membership/members.py
+++ b/catkinslip/membership/members.py
@@ -54,7 +54,7 @@
         return self.status is Status.ALIVE and not self.leaving
 
     @property
-    def standing(self) -> tuple[int, int]:
+    def precedence(self) -> tuple[int, int]:
         """Return the order of words within one incarnation."""
         return self.revision, RANK_BY_STATUS[self.status]
 
@@ -67,12 +67,12 @@
     failed_at: float
 
 
-def join(word: Member, known: Member) -> Member:
+def join(record: Member, known: Member) -> Member:
     """Return what two words on one member say together; leaving wins."""
-    if word.incarnation != known.incarnation:
-        return max(word, known, key=lambda each: each.incarnation)
-    newer = max(word, known, key=lambda each: each.standing)
-    return evolve(newer, leaving=word.leaving or known.leaving)
+    if record.incarnation != known.incarnation:
+        return max(record, known, key=lambda each: each.incarnation)
+    newer = max(record, known, key=lambda each: each.precedence)
+    return evolve(newer, leaving=record.leaving or known.leaving)
 
 
 @define
@@ -119,7 +119,7 @@
 
     def merge(
         self,
-        word: Member,
+        record: Member,
         now: float = 0.0,
         age: float = 0.0,
         *,
@@ -129,11 +129,11 @@
 
         `age` is the time since a failed member was found to have failed.
         """
-        if word.member_id == self.own.member_id:
-            self._refute(word)
+        if record.member_id == self.own.member_id:
+            self._refute(record)
             return False
-        known = self.find(word.member_id)
-        joined = word if known is None else join(word, known)
+        known = self.find(record.member_id)
+        joined = record if known is None else join(record, known)
         if joined == known:
             return False
         if joined.status is Status.FAILED:
@@ -166,24 +166,26 @@
             if now - tombstone.failed_at >= TOMBSTONE_SECONDS:
                 del self.tombstone_by_id[member_id]
 
-    def age_by_failed(self, words: Iterable[Member], now: float) -> dict[str, float]:
+    def age_by_failed(self, records: Iterable[Member], now: float) -> dict[str, float]:
         """Return the seconds since each failed member among words failed."""
         return {
             each.member_id: round(now - tombstone.failed_at, 1)
-            for each in words
+            for each in records
             if (tombstone := self.tombstone_by_id.get(each.member_id))
         }
 
-    def _refute(self, word: Member) -> None:
+    def _refute(self, record: Member) -> None:
         own = self.own
         if own.status is Status.FAILED:
             return
-        if word.incarnation > own.incarnation:
+        if record.incarnation > own.incarnation:
             log.error('membership: another process uses the name %s.', own.member_id)
-            self._replace_own(evolve(own, incarnation=word.incarnation + 1))
-        elif word.incarnation == own.incarnation and word.standing > own.standing:
-            log.warning('membership: refutes that it is %s.', word.status)
-            self._replace_own(evolve(own, revision=word.revision + 1))
+            self._replace_own(evolve(own, incarnation=record.incarnation + 1))
+        elif (
+            record.incarnation == own.incarnation and record.precedence > own.precedence
+        ):
+            log.warning('membership: refutes that it is %s.', record.status)
+            self._replace_own(evolve(own, revision=record.revision + 1))
 
     def _replace_own(self, own: Member) -> None:
         self.own = own
--- a/catkinslip/membership/protocol.py
+++ b/catkinslip/membership/protocol.py
@@ -20,7 +20,7 @@
 #: Updates that one message carries along.
 MAX_UPDATES = 8
 #: Words after which an answer repairs no further zone.
-MAX_REPAIR_WORDS = 64
+MAX_REPAIR_RECORDS = 64
 #: One exchange in so many compares views; those across zones always do.
 ROUNDS_PER_COMPARISON = 3
 
@@ -63,13 +63,13 @@
         known = self.table.find(message.sender)
         self._take(message, now)
         sender = self.table.find(message.sender)
-        words = {each.member_id: each for each in self._take_updates()}
-        words |= {each.member_id: each for each in self._corrections(message.words)}
+        records = {each.member_id: each for each in self._take_updates()}
+        records |= {each.member_id: each for each in self._corrections(message.words)}
         is_new = known is None or known.incarnation < message.incarnation
         repaired = self._zones_to_repair(message, now, is_new)
         for zone in repaired:
-            words |= {each.member_id: each for each in self._words_of(zone, now)}
-        answer = self._message(now, words.values())
+            records |= {each.member_id: each for each in self._records_of(zone, now)}
+        answer = self._message(now, records.values())
         if message.hash_by_zone:
             answer = evolve(answer, age_by_zone=self.zones.age_by_zone(now))
         return evolve(
@@ -90,15 +90,15 @@
     ) -> ExchangeMessage | None:
         """Take an answer over; return what the other side still lacks, if anything."""
         self._take(answer, now)
-        words = [*self._corrections(answer.words), *self._lacking(answer, now)]
-        if answer.is_sender_unknown and self.table.own not in words:
-            words.append(self.table.own)
+        records = [*self._corrections(answer.words), *self._lacking(answer, now)]
+        if answer.is_sender_unknown and self.table.own not in records:
+            records.append(self.table.own)
         updates = self._updates_for_digests(
             answer.digest_by_topic, request.news_by_topic.keys()
         )
-        if not words and not updates:
+        if not records and not updates:
             return None
-        return evolve(self._message(now, words), news_by_topic=updates)
+        return evolve(self._message(now, records), news_by_topic=updates)
 
     def _topics(self) -> list[tuple[str, PeerTopic]]:
         return list(self.topic_by_name.items())
@@ -117,13 +117,13 @@
             }
         )
 
-    def _message(self, now: float, words: Iterable[Member]) -> ExchangeMessage:
-        words = tuple(words)
+    def _message(self, now: float, records: Iterable[Member]) -> ExchangeMessage:
+        records = tuple(records)
         return ExchangeMessage(
             sender=self.table.own.member_id,
             incarnation=self.table.own.incarnation,
-            words=words,
-            age_by_failed=self.table.age_by_failed(words, now),
+            words=records,
+            age_by_failed=self.table.age_by_failed(records, now),
         )
 
     def _with_views(self, message: ExchangeMessage, now: float) -> ExchangeMessage:
@@ -142,13 +142,15 @@
         return [each for each in members if each is not None]
 
     def _take(self, message: ExchangeMessage, now: float) -> None:
-        for word in message.words:
-            age = message.age_by_failed.get(word.member_id, 0.0)
+        for record in message.words:
+            age = message.age_by_failed.get(record.member_id, 0.0)
             # What a repair teaches is known elsewhere, so it is not passed on.
-            is_gossiped = word.zone not in message.repaired_zones
-            if self.table.merge(word, now, age, is_gossiped=is_gossiped):
-                log.info('membership: %s is %s.', word.member_id, standing_of(word))
-                self.has_urgent_updates |= is_gossiped and not word.is_usable
+            is_gossiped = record.zone not in message.repaired_zones
+            if self.table.merge(record, now, age, is_gossiped=is_gossiped):
+                log.info(
+                    'membership: %s is %s.', record.member_id, describe_status(record)
+                )
+                self.has_urgent_updates |= is_gossiped and not record.is_usable
         for zone, age in message.age_by_zone.items():
             self.zones.hear(zone, now, age)
         sender = self.table.find(message.sender)
@@ -167,10 +169,10 @@
             # One topic's malformed news must not stop the others.
             log.exception('membership: news of %s are malformed.', name)
 
-    def _corrections(self, words: Iterable[Member]) -> list[Member]:
+    def _corrections(self, records: Iterable[Member]) -> list[Member]:
         """Return this instance's words on members that a peer holds older ones of."""
-        known = [(word, self.table.find(word.member_id)) for word in words]
-        return [own for word, own in known if own is not None and own != word]
+        known = [(record, self.table.find(record.member_id)) for record in records]
+        return [own for record, own in known if own is not None and own != record]
 
     def _zones_to_repair(
         self, message: ExchangeMessage, now: float, is_new: bool
@@ -188,14 +190,14 @@
         return self._within_limit(zones)
 
     def _within_limit(self, zones: list[str]) -> list[str]:
-        chosen, words = [], 0
+        chosen, records = [], 0
         for zone in zones:
-            if words < MAX_REPAIR_WORDS:
+            if records < MAX_REPAIR_RECORDS:
                 chosen.append(zone)
-                words += len(self.zones.members_by_zone[zone])
+                records += len(self.zones.members_by_zone[zone])
         return chosen
 
-    def _words_of(self, zone: str, now: float) -> list[Member]:
+    def _records_of(self, zone: str, now: float) -> list[Member]:
         self.zones.refresh(now)
         failed = [each.member for each in self.table.tombstone_by_id.values()]
         return [
@@ -209,7 +211,7 @@
         return [
             each
             for zone in answer.repaired_zones
-            for each in self._words_of(zone, now)
+            for each in self._records_of(zone, now)
             if each.member_id not in told and each.status is not Status.FAILED
         ]
 
@@ -221,8 +223,10 @@
     }
 
 
-def standing_of(word: Member) -> str:
+def describe_status(record: Member) -> str:
     """Return what a log line says of a member."""
     return (
-        'leaving' if word.leaving and word.status is Status.ALIVE else str(word.status)
+        'leaving'
+        if record.leaving and record.status is Status.ALIVE
+        else str(record.status)
     )
--- a/catkinslip/membership/zones.py
+++ b/catkinslip/membership/zones.py
@@ -18,7 +18,9 @@
     """Return a short hash of words, whatever their order."""
     total = 0
     for each in members:
-        total ^= hash_of(each.member_id, each.incarnation, each.leaving, each.standing)
+        total ^= hash_of(
+            each.member_id, each.incarnation, each.leaving, each.precedence
+        )
     return f'{total & 0xFFFFFFFF:08x}'
 
 
--- a/tests/test_membership_protocol.py
+++ b/tests/test_membership_protocol.py
@@ -314,7 +314,7 @@
             self.assertEqual(found.incarnation, 2)
 
 
-WORDS = st.builds(
+MEMBER_RECORDS = st.builds(
     member,
     name=st.just('zone-a-1'),
     incarnation=st.integers(1, 2),
@@ -328,17 +328,17 @@
     """Words merge alike in any order."""
 
     @settings(derandomize=True, database=None, deadline=None)
-    @given(st.lists(WORDS, min_size=1, max_size=5), st.randoms())
-    def test_order_and_repeats_do_not_matter(self, words, random):
+    @given(st.lists(MEMBER_RECORDS, min_size=1, max_size=5), st.randoms())
+    def test_order_and_repeats_do_not_matter(self, records, random):
         first, second = (MemberTable(member('zone-a-0')) for _ in range(2))
-        shuffled = words + words
+        shuffled = records + records
         random.shuffle(shuffled)
-        for word in words:
-            first.merge(word)
-        for word in shuffled:
-            second.merge(word)
+        for record in records:
+            first.merge(record)
+        for record in shuffled:
+            second.merge(record)
         found = first.find('zone-a-1')
         self.assertEqual(found, second.find('zone-a-1'))
-        latest = [each for each in words if each.incarnation == found.incarnation]
+        latest = [each for each in records if each.incarnation == found.incarnation]
         self.assertEqual(found.leaving, any(each.leaving for each in latest))
         self.assertEqual(join(found, found), found)
