--- a/catkinslip/membership/detector.py
+++ b/catkinslip/membership/detector.py
@@ -12,7 +12,7 @@
 from catkinslip.membership.zones import ZoneViews, gateways
 
 #: Zones with fewer members are probed by the members of all zones of their region.
-MIN_CELL_MEMBERS = 8
+MIN_PROBE_GROUP_MEMBERS = 8
 INDIRECT_PROBES = 3
 #: A suspect has this many rounds to refute, times the logarithm of the cell's size.
 SUSPICION_FACTOR = 2
@@ -22,7 +22,7 @@
 #: Rounds that did not run for so long: this process was paused.
 PAUSED_ROUNDS = 3
 #: A gateway talks to another zone in one round of so many.
-ROUNDS_PER_CROSSING = 2
+ROUNDS_PER_CROSS_ZONE_EXCHANGE = 2
 #: Peers of the cell told at once of news that cannot wait for the next round.
 GOSSIP_FANOUT = 3
 
@@ -42,37 +42,38 @@
 
     def tick(self, now: float) -> None:
         """Let time pass: suspects that did not refute have failed."""
-        self._leave_out_pause(now)
-        self._follow_suspects(now)
+        self._compensate_pause(now)
+        self._update_suspect_deadlines(now)
         for member_id, deadline in list(self._deadline_by_suspect.items()):
             if now >= deadline:
                 del self._deadline_by_suspect[member_id]
                 self.table.mark(member_id, Status.FAILED, now)
         self.table.forget_old(now)
-        self.table.silent_zones = self.zones.silent(now) - self.cell_zones(now)
+        self.table.silent_zones = self.zones.silent(now) - self.probe_group_zones(now)
 
-    def targets(self, now: float) -> list[Member]:
+    def probe_group(self, now: float) -> list[Member]:
         """Return the members of this instance's cell."""
-        zones = self.cell_zones(now)
+        zones = self.probe_group_zones(now)
         return [each for each in self.table.member_by_id.values() if each.zone in zones]
 
-    def cell_zones(self, now: float) -> set[str]:
+    def probe_group_zones(self, now: float) -> set[str]:
         """Return the zones whose members this instance probes."""
         self.zones.refresh(now)
         own = self.table.own
         small = {
             zone
             for zone, members in self.zones.members_by_zone.items()
-            if len(members) < MIN_CELL_MEMBERS and members[0].region == own.region
+            if len(members) < MIN_PROBE_GROUP_MEMBERS
+            and members[0].region == own.region
         }
         return small | {own.zone}
 
     def next_targets(self, now: float) -> list[Member]:
         """Return whom to exchange with in this round."""
         self._rounds += 1
-        chosen = [self._next_in_cell(now)]
-        if self._rounds % ROUNDS_PER_CROSSING == 0:
-            chosen.append(self._next_across(now))
+        chosen = [self._next_in_probe_group(now)]
+        if self._rounds % ROUNDS_PER_CROSS_ZONE_EXCHANGE == 0:
+            chosen.append(self._next_in_other_zone(now))
         if self._rounds % RECONNECT_ROUNDS == 0:
             chosen.append(self._next_failed())
         return [each for each in chosen if each is not None]
@@ -83,11 +84,13 @@
         A gateway also tells a member of each other zone of its region, as those
         zones' address answers name members of this one.
         """
-        cell = [each for each in self.targets(now) if each.status is Status.ALIVE]
-        chosen = self.random.sample(cell, min(GOSSIP_FANOUT, len(cell)))
+        group = [each for each in self.probe_group(now) if each.status is Status.ALIVE]
+        chosen = self.random.sample(group, min(GOSSIP_FANOUT, len(group)))
         if not self.is_gateway(now):
             return chosen
-        for zone in sorted(self.zones.members_by_zone.keys() - self.cell_zones(now)):
+        for zone in sorted(
+            self.zones.members_by_zone.keys() - self.probe_group_zones(now)
+        ):
             members = self.zones.members_by_zone[zone]
             if members[0].region == self.table.own.region:
                 chosen.append(self.random.choice(members))
@@ -97,7 +100,7 @@
         """Return the members to ask whether they reach a target."""
         others = [
             each
-            for each in self.targets(now)
+            for each in self.probe_group(now)
             if each.status is Status.ALIVE and each.member_id != target.member_id
         ]
         return self.random.sample(others, min(INDIRECT_PROBES, len(others)))
@@ -112,16 +115,16 @@
         own = self.table.own
         return own in gateways(self.zones.members_by_zone[own.zone])
 
-    def _next_in_cell(self, now: float) -> Member | None:
-        target_by_id = {each.member_id: each for each in self.targets(now)}
+    def _next_in_probe_group(self, now: float) -> Member | None:
+        target_by_id = {each.member_id: each for each in self.probe_group(now)}
         self._order = [each for each in self._order if each in target_by_id]
         if not self._order:
             self._order = sorted(target_by_id)
             self.random.shuffle(self._order)
         return target_by_id[self._order.pop()] if self._order else None
 
-    def _next_across(self, now: float) -> Member | None:
-        others = sorted(self.zones.members_by_zone.keys() - self.cell_zones(now))
+    def _next_in_other_zone(self, now: float) -> Member | None:
+        others = sorted(self.zones.members_by_zone.keys() - self.probe_group_zones(now))
         if not others or not self.is_gateway(now):
             return None
         members = self.zones.members_by_zone[self.random.choice(others)]
@@ -135,10 +138,10 @@
         ]
         return self.random.choice(failed) if failed else None
 
-    def _follow_suspects(self, now: float) -> None:
+    def _update_suspect_deadlines(self, now: float) -> None:
         suspects = {
             each.member_id
-            for each in self.targets(now)
+            for each in self.probe_group(now)
             if each.status is Status.SUSPECT
         }
         for member_id in self._deadline_by_suspect.keys() - suspects:
@@ -147,11 +150,11 @@
             self._deadline_by_suspect[member_id] = now + self._suspicion_seconds(now)
 
     def _suspicion_seconds(self, now: float) -> float:
-        size = len(self.targets(now)) + 1
+        size = len(self.probe_group(now)) + 1
         rounds = SUSPICION_FACTOR * math.log2(size)
         return max(MIN_SUSPICION_ROUNDS, rounds) * self.interval
 
-    def _leave_out_pause(self, now: float) -> None:
+    def _compensate_pause(self, now: float) -> None:
         previous, self._ticked_at = self._ticked_at, now
         if previous is None or now - previous <= PAUSED_ROUNDS * self.interval:
             return
--- a/catkinslip/membership/exchange.py
+++ b/catkinslip/membership/exchange.py
@@ -139,7 +139,7 @@
         if self._was_paused(began) or target.status is Status.FAILED:
             return
         now = self.clock.monotonic()
-        if target.zone not in self.protocol.detector.cell_zones(now):
+        if target.zone not in self.protocol.detector.probe_group_zones(now):
             return
         if await self._is_reached_by_others(target) or self._was_paused(now):
             return
--- a/catkinslip/membership/protocol.py
+++ b/catkinslip/membership/protocol.py
@@ -50,10 +50,10 @@
         """Return the message that opens an exchange."""
         self._requests += 1
         own = self.table.own
-        is_across = target is None or target.zone != own.zone
+        is_cross_zone = target is None or target.zone != own.zone
         message = self._message(now, self._take_updates())
         message = evolve(message, digest_by_topic=self._digests())
-        if is_across or self._requests % ROUNDS_PER_COMPARISON == 0:
+        if is_cross_zone or self._requests % ROUNDS_PER_COMPARISON == 0:
             message = self._with_views(message, now)
         updates = {name: topic.updates_for(None) for name, topic in self._topics()}
         return evolve(message, news_by_topic=without_none(updates))
@@ -190,11 +190,11 @@
         return self._within_limit(zones)
 
     def _within_limit(self, zones: list[str]) -> list[str]:
-        chosen, records = [], 0
+        chosen, record_count = [], 0
         for zone in zones:
-            if records < MAX_REPAIR_RECORDS:
+            if record_count < MAX_REPAIR_RECORDS:
                 chosen.append(zone)
-                records += len(self.zones.members_by_zone[zone])
+                record_count += len(self.zones.members_by_zone[zone])
         return chosen
 
     def _records_of(self, zone: str, now: float) -> list[Member]:
--- a/tests/test_membership_protocol.py
+++ b/tests/test_membership_protocol.py
@@ -68,8 +68,8 @@
         for target in peer.detector.next_targets(self.now):
             if self.exchange(peer, target.member_id):
                 continue
-            cell = peer.detector.cell_zones(self.now)
-            if target.status is Status.FAILED or target.zone not in cell:
+            group_zones = peer.detector.probe_group_zones(self.now)
+            if target.status is Status.FAILED or target.zone not in group_zones:
                 continue
             helpers = peer.detector.helpers(target, self.now)
             reached = [
@@ -193,8 +193,8 @@
         gateways = 0
         for peer in peers.peer_by_id.values():
             own = peer.table.own
-            targets = peer.detector.targets(peers.now)
-            self.assertEqual({each.zone for each in targets}, {own.zone})
+            probed = peer.detector.probe_group(peers.now)
+            self.assertEqual({each.zone for each in probed}, {own.zone})
             gateways += peer.detector.is_gateway(peers.now)
         self.assertEqual(gateways, 9)
 
