--- a/catkinslip/membership/contacts.py
+++ b/catkinslip/membership/contacts.py
@@ -15,7 +15,7 @@
 #: Seconds between two reads of the list: until one succeeds, without peers, soon
 #: after the start, and later.
 FIRST_LIST_SECONDS = 1.0
-LONELY_LIST_SECONDS = 2.0
+NO_PEERS_LIST_SECONDS = 2.0
 EARLY_LIST_SECONDS = 10.0
 LIST_SECONDS = 120.0
 EARLY_SECONDS = 60.0
@@ -26,7 +26,7 @@
     """One address, and when to try it again; seconds on the monotonic clock."""
 
     pause: float = FIRST_PAUSE_SECONDS
-    next_at: float = 0.0
+    next_try_at: float = 0.0
 
 
 @define
@@ -40,52 +40,52 @@
     _listed: tuple[ListedInstance, ...] = ()
     _has_list: bool = False
     _started_at: float | None = None
-    _list_at: float = 0.0
-    _lonely_reads: int = 0
+    _next_read_at: float = 0.0
+    _reads_without_peers: int = 0
 
-    def wants_list(self, now: float, is_gateway: bool) -> bool:
+    def is_list_due(self, now: float, is_gateway: bool) -> bool:
         """Tell whether to read the platform's list now."""
         if self._started_at is None:
-            self._started_at = self._list_at = now
-        if now < self._list_at:
+            self._started_at = self._next_read_at = now
+        if now < self._next_read_at:
             return False
-        is_lonely = not self.table.member_by_id
-        self._lonely_reads = self._lonely_reads + 1 if is_lonely else 0
+        has_no_peers = not self.table.member_by_id
+        self._reads_without_peers = self._reads_without_peers + 1 if has_no_peers else 0
         is_early = now - self._started_at < EARLY_SECONDS
         pause = EARLY_LIST_SECONDS if is_early else LIST_SECONDS
-        if is_lonely:
-            pause = min(pause, LONELY_LIST_SECONDS * self._lonely_reads)
+        if has_no_peers:
+            pause = min(pause, NO_PEERS_LIST_SECONDS * self._reads_without_peers)
         if not self._has_list:
             # Who has not read the list yet has not been put on it either.
             pause = FIRST_LIST_SECONDS
-        self._list_at = now + pause * self.random.uniform(0.8, 1.2)
-        return is_gateway or is_lonely or is_early or not self._has_list
+        self._next_read_at = now + pause * self.random.uniform(0.8, 1.2)
+        return is_gateway or has_no_peers or is_early or not self._has_list
 
-    def learn(self, listed: Iterable[ListedInstance]) -> None:
+    def apply_list(self, listed: Iterable[ListedInstance]) -> None:
         """Take the platform's list over."""
         self._listed = tuple(listed)
         self._has_list = True
-        wanted = {*self.seeds, *(each.control_address for each in self._listed)}
-        for address in self.contact_by_address.keys() - wanted:
+        current = {*self.seeds, *(each.control_address for each in self._listed)}
+        for address in self.contact_by_address.keys() - current:
             del self.contact_by_address[address]
 
     def due(self, now: float) -> list[str]:
         """Return the addresses to try in this round."""
         known = {each.control_address for each in self.table.live()}
-        addresses = {*self.seeds, *self._unknown()} - known
+        addresses = {*self.seeds, *self._candidates()} - known
         due = [
             each
             for each in sorted(addresses)
-            if self.contact_by_address.setdefault(each, Contact()).next_at <= now
+            if self.contact_by_address.setdefault(each, Contact()).next_try_at <= now
         ]
         chosen = self.random.sample(due, min(CONTACTS_PER_ROUND, len(due)))
         for address in chosen:
             contact = self.contact_by_address[address]
-            contact.next_at = now + contact.pause
+            contact.next_try_at = now + contact.pause
             contact.pause = min(MAX_PAUSE_SECONDS, contact.pause * 2)
         return chosen
 
-    def _unknown(self) -> list[str]:
+    def _candidates(self) -> list[str]:
         return [
             each.control_address
             for each in self._listed
--- a/catkinslip/membership/exchange.py
+++ b/catkinslip/membership/exchange.py
@@ -64,7 +64,7 @@
         """Exchange with peers for ever, and learn of others from the list."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._gossip_when_requested)
-            nursery.start_soon(self._follow_list, read_list)
+            nursery.start_soon(self._read_list_when_due, read_list)
             while True:
                 await self.run_once()
                 await self._pause()
@@ -197,14 +197,14 @@
             await self.gossip()
             await trio.sleep(self.interval * GOSSIP_PAUSE_ROUNDS)
 
-    async def _follow_list(self, read_list: ListReader) -> None:
+    async def _read_list_when_due(self, read_list: ListReader) -> None:
         while True:
             now = self.clock.monotonic()
             is_gateway = self.protocol.detector.is_gateway(now)
-            if self.contacts.wants_list(now, is_gateway):
+            if self.contacts.is_list_due(now, is_gateway):
                 listed = await read_list()
                 if listed is not None:
-                    self.contacts.learn(listed)
+                    self.contacts.apply_list(listed)
             await self._pause()
 
     async def _pause(self) -> None:
--- a/tests/test_membership_contacts.py
+++ b/tests/test_membership_contacts.py
@@ -32,7 +32,7 @@
         return tries_by_address
 
     def test_listed_but_dead_instance_is_tried_ever_more_seldom(self):
-        self.contacts.learn([listed('dead')])
+        self.contacts.apply_list([listed('dead')])
         bound = HOUR / MAX_PAUSE_SECONDS + 10
         for address, tries in self.tries().items():
             with self.subTest(address):
@@ -42,25 +42,25 @@
         self.table.merge(member('known'))
         self.table.merge(member('failed', status=Status.FAILED))
         instances = [listed('known'), listed('failed'), listed('gone', leaving=True)]
-        self.contacts.learn([*instances, listed('fresh')])
+        self.contacts.apply_list([*instances, listed('fresh')])
         self.assertEqual(set(self.tries()), {'seed:90', 'fresh:90'})
 
     def reads(self, begin: int, is_gateway: bool, succeeds: bool = True) -> int:
         count = 0
         for second in range(begin, begin + HOUR):
-            if self.contacts.wants_list(float(second), is_gateway):
+            if self.contacts.is_list_due(float(second), is_gateway):
                 count += 1
                 if succeeds:
-                    self.contacts.learn([])
+                    self.contacts.apply_list([])
         return count
 
     def test_list_is_read_until_it_can_be_and_seldom_then(self):
         failing = self.reads(0, False, succeeds=False)
-        lonely = self.reads(HOUR, False)
+        without_peers = self.reads(HOUR, False)
         self.table.merge(member('known'))
         gateway = self.reads(2 * HOUR, True)
         other = self.reads(3 * HOUR, False)
         self.assertGreater(failing, HOUR / 3)
-        self.assertLessEqual(lonely, 62)
+        self.assertLessEqual(without_peers, 62)
         self.assertLessEqual(gateway, 40)
         self.assertEqual(other, 0)
