--- a/catkinslip/membership/protocol.py
+++ b/catkinslip/membership/protocol.py
@@ -152,10 +152,10 @@
                 )
                 self.has_urgent_updates |= is_gossiped and not record.is_usable
         for zone, age in message.age_by_zone.items():
-            self.zones.hear(zone, now, age)
+            self.zones.record_contact(zone, now, age)
         sender = self.table.find(message.sender)
         if sender is not None:
-            self.zones.hear(sender.zone, now)
+            self.zones.record_contact(sender.zone, now)
         for name, updates in message.news_by_topic.items():
             self._apply_topic_updates(name, updates)
 
--- a/catkinslip/membership/zones.py
+++ b/catkinslip/membership/zones.py
@@ -44,10 +44,10 @@
     """Derive the views of all zones from the member table."""
 
     table: MemberTable
-    heard_by_zone: dict[str, float] = Factory(dict)
+    contact_at_by_zone: dict[str, float] = Factory(dict)
     members_by_zone: dict[str, list[Member]] = Factory(dict)
     _hash_by_zone: dict[str, str] = Factory(dict)
-    _changed_by_zone: dict[str, float] = Factory(dict)
+    _changed_at_by_zone: dict[str, float] = Factory(dict)
     _version: int = -1
 
     def refresh(self, now: float) -> None:
@@ -61,9 +61,9 @@
         for zone, members in self.members_by_zone.items():
             value = hash_of_members(members)
             if self._hash_by_zone.get(zone) != value:
-                self._changed_by_zone[zone] = now
+                self._changed_at_by_zone[zone] = now
             self._hash_by_zone[zone] = value
-            self.heard_by_zone.setdefault(zone, now)
+            self.contact_at_by_zone.setdefault(zone, now)
 
     def hash_by_zone(self, now: float) -> dict[str, str]:
         """Return the hash of each zone, empty while its view is spreading."""
@@ -77,21 +77,23 @@
         """Return the seconds since each zone was heard of, rounded up."""
         self.refresh(now)
         ages = {
-            zone: round(now - heard + 0.05, 1)
-            for zone, heard in self.heard_by_zone.items()
+            zone: round(now - contact_at + 0.05, 1)
+            for zone, contact_at in self.contact_at_by_zone.items()
             if zone in self.members_by_zone
         }
         ages[self.table.own.zone] = 0.0
         return ages
 
-    def hear(self, zone: str, now: float, age: float = 0.0) -> None:
+    def record_contact(self, zone: str, now: float, age: float = 0.0) -> None:
         """Take note that a zone was heard of some seconds ago."""
-        self.heard_by_zone[zone] = max(self.heard_by_zone.get(zone, 0.0), now - age)
+        self.contact_at_by_zone[zone] = max(
+            self.contact_at_by_zone.get(zone, 0.0), now - age
+        )
 
     def shift(self, seconds: float) -> None:
         """Leave out a time in which this process did not run."""
-        for zone in self.heard_by_zone:
-            self.heard_by_zone[zone] += seconds
+        for zone in self.contact_at_by_zone:
+            self.contact_at_by_zone[zone] += seconds
 
     def silent(self, now: float) -> frozenset[str]:
         """Return the zones that were not heard of for long."""
@@ -109,4 +111,4 @@
         ]
 
     def _is_settled(self, zone: str, now: float) -> bool:
-        return now - self._changed_by_zone[zone] >= SETTLED_SECONDS
+        return now - self._changed_at_by_zone[zone] >= SETTLED_SECONDS
