--- a/catkinslip/control/app.py
+++ b/catkinslip/control/app.py
@@ -65,7 +65,7 @@
 
     async def _probe(self) -> Response:
         message = await read_message(ProbeRequest)
-        return json_response(await self.peers.reaches(message))
+        return json_response(await self.peers.probe_for_peer(message))
 
     async def _ping(self) -> str:
         return 'alive\n'
--- a/catkinslip/membership/detector.py
+++ b/catkinslip/membership/detector.py
@@ -48,7 +48,7 @@
             if now >= deadline:
                 del self._deadline_by_suspect[member_id]
                 self.table.mark(member_id, Status.FAILED, now)
-        self.table.forget_old(now)
+        self.table.remove_old_tombstones(now)
         self.table.silent_zones = self.zones.silent(now) - self.probe_group_zones(now)
 
     def probe_group(self, now: float) -> list[Member]:
--- a/catkinslip/membership/exchange.py
+++ b/catkinslip/membership/exchange.py
@@ -110,10 +110,10 @@
         answer = await self._post(control_address, PATH, request, ExchangeMessage)
         if answer is None:
             return False
-        lacking = self.protocol.conclude(request, answer, self.clock.monotonic())
+        missing = self.protocol.apply_answer(request, answer, self.clock.monotonic())
         self._gossip_urgent()
-        if lacking is not None:
-            await self._post(control_address, PATH, lacking, ExchangeMessage)
+        if missing is not None:
+            await self._post(control_address, PATH, missing, ExchangeMessage)
         return True
 
     def receive(self, message: ExchangeMessage) -> ExchangeMessage:
@@ -122,7 +122,7 @@
         self._gossip_urgent()
         return answer
 
-    async def reaches(self, request: ProbeRequest) -> ProbeAnswer:
+    async def probe_for_peer(self, request: ProbeRequest) -> ProbeAnswer:
         """Tell a peer whether this instance reaches a third one."""
         try:
             response = await self.client.get(
@@ -151,7 +151,7 @@
         request = ProbeRequest(target.control_address)
         answers: list[ProbeAnswer | None] = []
 
-        async def ask(helper: Member) -> None:
+        async def probe_through(helper: Member) -> None:
             answers.append(
                 await self._post(
                     helper.control_address, PROBE_PATH, request, ProbeAnswer
@@ -162,7 +162,7 @@
             for helper in self.protocol.detector.helpers(
                 target, self.clock.monotonic()
             ):
-                nursery.start_soon(ask, helper)
+                nursery.start_soon(probe_through, helper)
         return any(each is not None and each.reached for each in answers)
 
     def _was_paused(self, began: float) -> bool:
--- a/catkinslip/membership/members.py
+++ b/catkinslip/membership/members.py
@@ -160,7 +160,7 @@
         self.tombstone_by_id.pop(member_id, None)
         self.version += 1
 
-    def forget_old(self, now: float) -> None:
+    def remove_old_tombstones(self, now: float) -> None:
         """Forget members that failed long ago."""
         for member_id, tombstone in list(self.tombstone_by_id.items()):
             if now - tombstone.failed_at >= TOMBSTONE_SECONDS:
--- a/catkinslip/membership/protocol.py
+++ b/catkinslip/membership/protocol.py
@@ -51,7 +51,7 @@
         self._requests += 1
         own = self.table.own
         is_cross_zone = target is None or target.zone != own.zone
-        message = self._message(now, self._take_updates())
+        message = self._message(now, self._next_updates())
         message = evolve(message, digest_by_topic=self._digests())
         if is_cross_zone or self._requests % ROUNDS_PER_COMPARISON == 0:
             message = self._with_views(message, now)
@@ -61,9 +61,9 @@
     def answer(self, message: ExchangeMessage, now: float) -> ExchangeMessage:
         """Take a request over and return the answer."""
         known = self.table.find(message.sender)
-        self._take(message, now)
+        self._apply_message(message, now)
         sender = self.table.find(message.sender)
-        records = {each.member_id: each for each in self._take_updates()}
+        records = {each.member_id: each for each in self._next_updates()}
         records |= {each.member_id: each for each in self._corrections(message.words)}
         is_new = known is None or known.incarnation < message.incarnation
         repaired = self._zones_to_repair(message, now, is_new)
@@ -85,12 +85,15 @@
             news_by_topic=self._updates_for_digests(message.digest_by_topic),
         )
 
-    def conclude(
+    def apply_answer(
         self, request: ExchangeMessage, answer: ExchangeMessage, now: float
     ) -> ExchangeMessage | None:
         """Take an answer over; return what the other side still lacks, if anything."""
-        self._take(answer, now)
-        records = [*self._corrections(answer.words), *self._lacking(answer, now)]
+        self._apply_message(answer, now)
+        records = [
+            *self._corrections(answer.words),
+            *self._missing_records(answer, now),
+        ]
         if answer.is_sender_unknown and self.table.own not in records:
             records.append(self.table.own)
         updates = self._updates_for_digests(
@@ -133,7 +136,7 @@
             age_by_zone=self.zones.age_by_zone(now),
         )
 
-    def _take_updates(self) -> list[Member]:
+    def _next_updates(self) -> list[Member]:
         count = len(self.table.member_by_id)
         members = [
             self.table.find(each)
@@ -141,7 +144,7 @@
         ]
         return [each for each in members if each is not None]
 
-    def _take(self, message: ExchangeMessage, now: float) -> None:
+    def _apply_message(self, message: ExchangeMessage, now: float) -> None:
         for record in message.words:
             age = message.age_by_failed.get(record.member_id, 0.0)
             # What a repair teaches is known elsewhere, so it is not passed on.
@@ -205,14 +208,14 @@
             *(each for each in failed if each.zone == zone),
         ]
 
-    def _lacking(self, answer: ExchangeMessage, now: float) -> list[Member]:
+    def _missing_records(self, answer: ExchangeMessage, now: float) -> list[Member]:
         """Return words of repaired zones that the other side did not have."""
-        told = {each.member_id for each in answer.words}
+        sent_ids = {each.member_id for each in answer.words}
         return [
             each
             for zone in answer.repaired_zones
             for each in self._records_of(zone, now)
-            if each.member_id not in told and each.status is not Status.FAILED
+            if each.member_id not in sent_ids and each.status is not Status.FAILED
         ]
 
 
--- a/tests/test_membership_protocol.py
+++ b/tests/test_membership_protocol.py
@@ -51,9 +51,9 @@
         other = self.peer_by_id[other_id]
         request = peer.request(self.now, peer.table.find(other_id))
         answer = other.answer(request, self.now)
-        lacking = peer.conclude(request, answer, self.now)
-        if lacking is not None:
-            other.answer(lacking, self.now)
+        missing = peer.apply_answer(request, answer, self.now)
+        if missing is not None:
+            other.answer(missing, self.now)
         return True
 
     def run(self, rounds: int) -> None:
@@ -134,7 +134,7 @@
         request = joining.request(peers.now)
         self.assertEqual(request.words, (joining.table.own,))
         answer = peers.peer_by_id['zone-a-0'].answer(request, peers.now)
-        self.assertIsNone(joining.conclude(request, answer, peers.now))
+        self.assertIsNone(joining.apply_answer(request, answer, peers.now))
         self.assertEqual(len(joining.table.member_by_id), 12)
         self.assertLessEqual(joining.table.updates.sent_by_id.keys(), {'zone-a-new'})
 
@@ -172,9 +172,11 @@
             leaving = sorted(peers.usable('zone-b-0'))[0]
             peers.peer_by_id[leaving].table.leave()
             self.gossip_urgent(peers, leaving)
-        told = [name for name in peers.peer_by_id if leaving not in peers.usable(name)]
+        informed = [
+            name for name in peers.peer_by_id if leaving not in peers.usable(name)
+        ]
         # No round has run. The few that are left learn in the next ones.
-        self.assertGreater(len(told), 30)
+        self.assertGreater(len(informed), 30)
         peers.run_until(lambda: peers.all_see(peers.usable(leaving)), rounds=5)
 
     def gossip_urgent(self, peers: Peers, first: str) -> None:
@@ -206,18 +208,18 @@
         peers = fleet({'zone-a': 5})
         old = peers.peer_by_id['zone-a-1'].table.find('zone-a-4')
         peers.stopped.add('zone-a-4')
-        left = peers.peer_by_id.keys() - peers.stopped
-        peers.run_until(lambda: peers.all_see(left))
+        remaining = peers.peer_by_id.keys() - peers.stopped
+        peers.run_until(lambda: peers.all_see(remaining))
         peers.run_until(
             lambda: all(
                 'zone-a-4' in peers.peer_by_id[name].table.tombstone_by_id
-                for name in left
+                for name in remaining
             )
         )
         table = peers.peer_by_id['zone-a-1'].table
         self.assertFalse(table.merge(old, peers.now))
         self.assertNotIn('zone-a-4', table.member_by_id)
-        table.forget_old(peers.now + TOMBSTONE_SECONDS)
+        table.remove_old_tombstones(peers.now + TOMBSTONE_SECONDS)
         self.assertEqual(table.tombstone_by_id, {})
 
     def test_only_member_of_a_zone_is_found_failed(self):
