--- a/catkinslip/core.py
+++ b/catkinslip/core.py
@@ -40,7 +40,7 @@
         announce_ready(daemon.members.own, environment)
         lifecycle = make_lifecycle(daemon, stop)
         await lifecycle.run(daemon.callers.serve, listeners.callers)
-        await daemon.peers.end()
+        await daemon.peers.announce_stopped()
         nursery.cancel_scope.cancel()
 
 
@@ -79,7 +79,7 @@
 async def leave(daemon: Daemon) -> None:
     """Tell peers and the platform's list that this instance is leaving."""
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(daemon.peers.leave)
+        nursery.start_soon(daemon.peers.announce_leaving)
         nursery.start_soon(daemon.instances.announce)
 
 
--- a/catkinslip/membership/exchange.py
+++ b/catkinslip/membership/exchange.py
@@ -91,14 +91,14 @@
             for target in targets:
                 nursery.start_soon(self.exchange_with, target.control_address, target)
 
-    async def leave(self) -> None:
+    async def announce_leaving(self) -> None:
         """Tell several peers that this instance is leaving."""
-        self.members.leave()
+        self.members.mark_leaving()
         await self.gossip()
 
-    async def end(self) -> None:
+    async def announce_stopped(self) -> None:
         """Tell several peers that this instance is gone."""
-        self.members.end()
+        self.members.mark_stopped()
         with trio.move_on_after(self.timeout):
             await self.gossip()
 
--- a/catkinslip/membership/members.py
+++ b/catkinslip/membership/members.py
@@ -109,11 +109,11 @@
         tombstone = self.tombstone_by_id.get(member_id)
         return tombstone.member if tombstone else self.member_by_id.get(member_id)
 
-    def leave(self) -> None:
+    def mark_leaving(self) -> None:
         """Mark this instance as leaving."""
         self._replace_own(evolve(self.own, leaving=True))
 
-    def end(self) -> None:
+    def mark_stopped(self) -> None:
         """Mark this instance as gone."""
         self._replace_own(evolve(self.own, leaving=True, status=Status.FAILED))
 
--- a/tests/test_addresses_answers.py
+++ b/tests/test_addresses_answers.py
@@ -148,7 +148,7 @@
         self.table.mark(others[0], Status.SUSPECT, 0.0)
         self.table.mark(others[1], Status.FAILED, 0.0)
         self.table.silent_zones = frozenset({'zone-c'})
-        self.table.leave()
+        self.table.mark_leaving()
         after = self.answer()['instances']
         left_out = {*others[:2], self.table.own.member_id}
         self.assertFalse(left_out & {each['instance'] for each in after})
@@ -157,6 +157,6 @@
 
     def test_leaving_instance_is_named_when_it_is_the_only_one(self):
         table = MemberTable(member('zone-a-0'))
-        table.leave()
+        table.mark_leaving()
         answer = AddressResolver(table, 'zone-a', 7.0, ISSUER).answer('limits', '')
         self.assertEqual(answer.addresses, ('zone-a-0:80',))
--- a/tests/test_membership_protocol.py
+++ b/tests/test_membership_protocol.py
@@ -142,7 +142,7 @@
         peers = fleet({'zone-a': 3})
         table = peers.peer_by_id['zone-a-0'].table
         table.updates.sent_by_id.clear()
-        table.leave()
+        table.mark_leaving()
         sent = sum(len(table.updates.take(8, 50)) for _ in range(1000))
         self.assertEqual(sent, transmissions(50))
 
@@ -170,7 +170,7 @@
             peer.has_urgent_updates = False
         for _ in range(3):
             leaving = sorted(peers.usable('zone-b-0'))[0]
-            peers.peer_by_id[leaving].table.leave()
+            peers.peer_by_id[leaving].table.mark_leaving()
             self.gossip_urgent(peers, leaving)
         informed = [
             name for name in peers.peer_by_id if leaving not in peers.usable(name)
@@ -268,7 +268,7 @@
     def test_restart_replaces_the_earlier_process(self):
         peers = fleet({'zone-a': 4})
         old = peers.peer_by_id['zone-a-3'].table.own
-        peers.peer_by_id['zone-a-3'].table.leave()
+        peers.peer_by_id['zone-a-3'].table.mark_leaving()
         peers.run(5)
         peers.start(evolve(old, incarnation=2, address='new:80'), 'zone-a-0')
         peers.run_until(lambda: peers.all_see(set(peers.peer_by_id)))
@@ -303,7 +303,7 @@
         self.assertTrue(peers.all_see(others, others))
         for peer in peers.peer_by_id.values():
             self.assertEqual(peer.table.tombstone_by_id, {})
-        peers.peer_by_id['zone-b-1'].table.leave()
+        peers.peer_by_id['zone-b-1'].table.mark_leaving()
         peers.stopped.add('zone-a-2')
         restarted = evolve(peers.peer_by_id['zone-c-1'].table.own, incarnation=2)
         peers.start(restarted, 'zone-c-0')
