--- a/catkinslip/discovery/peers.py
+++ b/catkinslip/discovery/peers.py
@@ -87,7 +87,7 @@
         """Announce this instance, find the others, poll each."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._ask_seeds)
-            nursery.start_soon(self._read_list_when_due, nursery)
+            nursery.start_soon(self._follow_list, nursery)
             nursery.start_soon(self._end_start)
             while True:
                 leaders = self.instances.leaders()
@@ -172,7 +172,7 @@
         if not is_known and self.registration.is_due(None):
             await self.registration.announce()
 
-    async def _read_list_when_due(self, nursery: trio.Nursery) -> None:
+    async def _follow_list(self, nursery: trio.Nursery) -> None:
         delay = FIRST_LIST_SECONDS
         while True:
             if not self.instances.is_listed or self._reads_list():
