--- a/catkinslip/tickets/gate.py
+++ b/catkinslip/tickets/gate.py
@@ -17,7 +17,7 @@
 from catkinslip.proxy.wire import Wire
 from catkinslip.tickets import table as tickets
 from catkinslip.tickets.keys import AnchoredClock, TicketKey, parse_key
-from catkinslip.tickets.passing import HomePasser
+from catkinslip.tickets.passing import HomeForwarder
 from catkinslip.tickets.records import (
     Claim,
     OtherRequest,
@@ -41,13 +41,13 @@
 
 
 @define
-class AtMostOnce(CallForwarder):
+class AtMostOnceForwarder(CallForwarder):
     """Forward calls; run each key at most once over all instances."""
 
     forwarder: Forwarder
     table: tickets.TicketTable
     records: PlatformRecords
-    passer: HomePasser
+    home_forwarder: HomeForwarder
     config: ConfigHolder
     members: MemberTable
     clock: AnchoredClock
@@ -65,7 +65,7 @@
             return await self._forward_without_ticket(call, caller, text, recorded)
         if key.member_id == self.members.own.member_id:
             return await self._forward_at_home(call, caller, key)
-        return await self._pass_home(call, caller, key)
+        return await self._forward_to_home(call, caller, key)
 
     async def _forward_without_ticket(
         self, call: Call, caller: Wire, text: str, recorded: bool
@@ -97,7 +97,7 @@
         return REASON_BY_REFUSAL[decision]
 
     async def _run(self, call: Call, caller: Wire, key: TicketKey) -> Outcome:
-        if call.is_expired(self.passer.clock):
+        if call.is_expired(self.home_forwarder.clock):
             self.table.not_run(key)
             return NotRun(Reason.TOO_LATE)
         recorder = RecordingWire(caller.stream, caller.codec, caller.peer)
@@ -106,10 +106,10 @@
             outcome = await self.forwarder.forward(call, recorder)
         finally:
             # Also when the caller left or this instance stops.
-            self._settle(key, outcome, recorder)
+            self._record_outcome(key, outcome, recorder)
         return outcome
 
-    def _settle(self, key: TicketKey, outcome: Outcome, recorder) -> None:
+    def _record_outcome(self, key: TicketKey, outcome: Outcome, recorder) -> None:
         match outcome:
             case NotRun():
                 self.table.not_run(key)
@@ -118,13 +118,15 @@
             case _:
                 self.table.unknown(key)
 
-    async def _pass_home(self, call: Call, caller: Wire, key: TicketKey) -> Outcome:
+    async def _forward_to_home(
+        self, call: Call, caller: Wire, key: TicketKey
+    ) -> Outcome:
         home = self.members.member_by_id.get(key.member_id)
-        passed = names.find(call.headers, names.PASSED_BY) is not None
-        if passed or home is None or home.incarnation > key.incarnation:
+        is_passed_on = names.find(call.headers, names.PASSED_BY) is not None
+        if is_passed_on or home is None or home.incarnation > key.incarnation:
             return Unknown(Reason.HOME_GONE)
         log.info('tickets: %s passes home to %s.', call.request_id, home.member_id)
-        return await self.passer.send(call, home, caller)
+        return await self.home_forwarder.send(call, home, caller)
 
     async def _forward_recorded(self, call: Call, caller: Wire, text: str) -> Outcome:
         name = f'{call.service}\0{text}'
--- a/catkinslip/tickets/passing.py
+++ b/catkinslip/tickets/passing.py
@@ -64,7 +64,7 @@
 
 
 @define
-class HomePasser:
+class HomeForwarder:
     """Pass requests to other instances and their answers on."""
 
     own_id: str
--- a/catkinslip/wiring/callers.py
+++ b/catkinslip/wiring/callers.py
@@ -10,9 +10,9 @@
 from catkinslip.proxy.forwarder import Forwarder
 from catkinslip.proxy.hedges import HedgeTimer
 from catkinslip.settings.daemon import DaemonSettings
-from catkinslip.tickets.gate import AtMostOnce
+from catkinslip.tickets.gate import AtMostOnceForwarder
 from catkinslip.tickets.keys import AnchoredClock, KeyIssuer
-from catkinslip.tickets.passing import HomePasser
+from catkinslip.tickets.passing import HomeForwarder
 from catkinslip.tickets.records import PlatformRecords
 from catkinslip.tickets.table import TicketTable
 from catkinslip.wiring.shared import Shared
@@ -38,11 +38,11 @@
         guard=shared.guard,
     )
     own = shared.members.own
-    gate = AtMostOnce(
+    gate = AtMostOnceForwarder(
         forwarder=forwarder,
         table=make_table(settings, own, ticket_clock),
         records=PlatformRecords(shared.store, environment.random),
-        passer=HomePasser(own.member_id, shared.pool, environment.clock),
+        home_forwarder=HomeForwarder(own.member_id, shared.pool, environment.clock),
         config=shared.config,
         members=shared.members,
         clock=ticket_clock,
--- a/tests/test_tickets_gate.py
+++ b/tests/test_tickets_gate.py
@@ -17,9 +17,9 @@
 from catkinslip.proxy.pool import BackendPool
 from catkinslip.proxy.wire import server_wire
 from catkinslip.store.embedded import EmbeddedStore
-from catkinslip.tickets.gate import AtMostOnce
+from catkinslip.tickets.gate import AtMostOnceForwarder
 from catkinslip.tickets.keys import AnchoredClock
-from catkinslip.tickets.passing import HomePasser
+from catkinslip.tickets.passing import HomeForwarder
 from catkinslip.tickets.records import PlatformRecords
 from catkinslip.tickets.table import TicketTable
 from tests.builders import document_of, document_plain, ticket_key
@@ -72,11 +72,11 @@
         self.store = EmbeddedStore()
         self.members = MemberTable(OWN)
         self.members.merge(HOME)
-        self.gate = AtMostOnce(
+        self.gate = AtMostOnceForwarder(
             forwarder=self.forwarder,
             table=TicketTable('entry-2', 3, 60.0, 10, anchored.now()),
             records=PlatformRecords(self.store, Random(1)),
-            passer=HomePasser('entry-2', BackendPool(), self.clock),
+            home_forwarder=HomeForwarder('entry-2', BackendPool(), self.clock),
             config=config,
             members=self.members,
             clock=anchored,
