--- a/benchmarks/tickets.py
+++ b/benchmarks/tickets.py
@@ -75,7 +75,7 @@
 def answer_all(table: TicketTable, keys: list[TicketKey]) -> None:
     """Answer every key with a small body."""
     for key in keys:
-        table.answered(key, 200, KeptAnswer(200, (), bytes(ANSWER_BODY_BYTES)))
+        table.mark_answered(key, 200, KeptAnswer(200, (), bytes(ANSWER_BODY_BYTES)))
 
 
 def time_per_key(work: Callable[[], object]) -> float:
--- a/catkinslip/tickets/gate.py
+++ b/catkinslip/tickets/gate.py
@@ -98,7 +98,7 @@
 
     async def _run(self, call: Call, caller: Wire, key: TicketKey) -> Outcome:
         if call.is_expired(self.home_forwarder.clock):
-            self.table.not_run(key)
+            self.table.release(key)
             return NotRun(Reason.TOO_LATE)
         recorder = RecordingWire(caller.stream, caller.codec, caller.peer)
         outcome: Outcome = Unknown(Reason.BROKEN)
@@ -112,11 +112,11 @@
     def _record_outcome(self, key: TicketKey, outcome: Outcome, recorder) -> None:
         match outcome:
             case NotRun():
-                self.table.not_run(key)
+                self.table.release(key)
             case Answered(status):
-                self.table.answered(key, status, recorder.kept_answer())
+                self.table.mark_answered(key, status, recorder.kept_answer())
             case _:
-                self.table.unknown(key)
+                self.table.mark_unknown(key)
 
     async def _forward_to_home(
         self, call: Call, caller: Wire, key: TicketKey
--- a/catkinslip/tickets/keys.py
+++ b/catkinslip/tickets/keys.py
@@ -9,7 +9,7 @@
 from catkinslip.membership.members import Member
 
 #: Sets our keys apart from those that callers make up themselves.
-MARK = 'ck1'
+KEY_SCHEME = 'ck1'
 MAX_KEY_LENGTH = 255
 
 
@@ -25,22 +25,22 @@
 
 def key_prefix(member: Member, expiry: int) -> str:
     """Return the prefix that a caller completes with `.` and a random part."""
-    return f'{MARK}.{member.member_id}.{member.incarnation}.{expiry}'
+    return f'{KEY_SCHEME}.{member.member_id}.{member.incarnation}.{expiry}'
 
 
 def parse_key(text: str) -> TicketKey | None:
     """Parse a key; None for one that no address answer began."""
-    mark, _, rest = text.partition('.')
+    scheme, _, rest = text.partition('.')
     fields = rest.rsplit('.', 3)
-    if mark != MARK or len(fields) != 4 or len(text) > MAX_KEY_LENGTH:
+    if scheme != KEY_SCHEME or len(fields) != 4 or len(text) > MAX_KEY_LENGTH:
         return None
     member_id, incarnation, expiry, random = fields
-    if not (member_id and random and is_number(incarnation) and is_number(expiry)):
+    if not (member_id and random and is_decimal(incarnation) and is_decimal(expiry)):
         return None
     return TicketKey(text, member_id, int(incarnation), int(expiry))
 
 
-def is_number(text: str) -> bool:
+def is_decimal(text: str) -> bool:
     """Tell whether a text is a whole number in ASCII digits."""
     return text.isascii() and text.isdecimal()
 
--- a/catkinslip/tickets/passing.py
+++ b/catkinslip/tickets/passing.py
@@ -42,13 +42,13 @@
     async def _judge(
         self, wire: Wire, response: h11.Response
     ) -> AnswerHead | NotRun | Unknown:
-        told = names.find(response.headers, names.OUTCOME)
-        if told is None:
+        outcome = names.find(response.headers, names.OUTCOME)
+        if outcome is None:
             return await super()._judge(wire, response)
         problem = await read_problem(wire)
         reason = REASON_BY_TYPE.get(problem.get('type'))
         detail = str(problem.get('detail', ''))
-        if told == names.NOT_RUN and reason is not None:
+        if outcome == names.NOT_RUN and reason is not None:
             return NotRun(reason, detail)
         return Unknown(reason or Reason.BROKEN, detail)
 
--- a/catkinslip/tickets/records.py
+++ b/catkinslip/tickets/records.py
@@ -73,8 +73,8 @@
             return OtherRequest()
         if not released:
             return HeldByOther()
-        again = Claim(claim.key, outcome.version, attempt_id, claim.fingerprint)
-        outcome = await self._write(again)
+        renewed = Claim(claim.key, outcome.version, attempt_id, claim.fingerprint)
+        outcome = await self._write(renewed)
         return HeldByOther() if isinstance(outcome, StoredObject) else outcome
 
     async def release(self, claim: Claim) -> bool:
@@ -89,7 +89,7 @@
         result = await self.store.write(claim.key, value, claim.version)
         match result:
             case Success(written):
-                return held_at(claim, written.version)
+                return at_version(claim, written.version)
             case Failure(Conflict() | AnswerLost()):
                 return await self._read_back(claim)
             case Failure(error):
@@ -99,7 +99,7 @@
         match await self.store.read(claim.key):
             case Success(StoredObject() as stored):
                 if stored.value['attempt_id'] == claim.attempt_id:
-                    return held_at(claim, stored.version)
+                    return at_version(claim, stored.version)
                 return stored
             case Success(_):
                 return RecordUnavailable('the write has not been seen yet')
@@ -107,7 +107,7 @@
                 return RecordUnavailable(str(error))
 
 
-def held_at(claim: Claim, version: int) -> Claim:
+def at_version(claim: Claim, version: int) -> Claim:
     """Return a claim at the version of its object."""
     return Claim(claim.key, version, claim.attempt_id, claim.fingerprint)
 
--- a/catkinslip/tickets/table.py
+++ b/catkinslip/tickets/table.py
@@ -98,14 +98,14 @@
 
     def admit(self, key: TicketKey, fingerprint: bytes, now: float) -> Decision:
         """Decide on a request; call before its first byte leaves."""
-        self._forget_expired(now)
+        self._remove_expired(now)
         if (key.member_id, key.incarnation) != (self.member_id, self.incarnation):
             return Refusal.OTHER_INCARNATION
         if key.expiry <= now:
             return Refusal.EXPIRED
         entry = self.entry_by_key.get(key.text)
         if entry is not None:
-            return repeated(entry, fingerprint)
+            return decide_repeated(entry, fingerprint)
         if key.expiry > now + self.lifetime + SKEW_ALLOWANCE_SECONDS:
             return Refusal.TOO_FAR_AHEAD
         if len(self.entry_by_key) >= self.capacity:
@@ -114,7 +114,7 @@
         self.keys_by_expiry.setdefault(key.expiry, set()).add(key.text)
         return Admitted()
 
-    def not_run(self, key: TicketKey) -> None:
+    def release(self, key: TicketKey) -> None:
         """Take back an admitted key whose request did not run."""
         if self.entry_by_key.pop(key.text, None) is None:
             return
@@ -123,13 +123,15 @@
         if not keys:
             del self.keys_by_expiry[key.expiry]
 
-    def unknown(self, key: TicketKey) -> None:
+    def mark_unknown(self, key: TicketKey) -> None:
         """Note that an admitted request may have run."""
         entry = self.entry_by_key.get(key.text)
         if entry is not None:
             entry.state = EntryState.UNKNOWN
 
-    def answered(self, key: TicketKey, status: int, answer: KeptAnswer | None) -> None:
+    def mark_answered(
+        self, key: TicketKey, status: int, answer: KeptAnswer | None
+    ) -> None:
         """Note that an admitted request was answered; keep its answer if it fits."""
         entry = self.entry_by_key.get(key.text)
         if entry is None:
@@ -140,7 +142,7 @@
             entry.answer = answer
             self.kept_bytes += answer.size()
 
-    def _forget_expired(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         while self._next_expiry <= now:
             for text in self.keys_by_expiry.pop(self._next_expiry, ()):
                 entry = self.entry_by_key.pop(text)
@@ -149,7 +151,7 @@
             self._next_expiry += 1
 
 
-def repeated(entry: Entry, fingerprint: bytes) -> Decision:
+def decide_repeated(entry: Entry, fingerprint: bytes) -> Decision:
     """Decide on a request whose key is in the table."""
     if entry.fingerprint != fingerprint:
         return Refusal.OTHER_REQUEST
--- a/model/replay/tickets.py
+++ b/model/replay/tickets.py
@@ -102,10 +102,10 @@
                 sending.is_in_flight = False
                 sending.has_run = True
             case ('lose_answer', Place.SENT):
-                self.table.unknown(self.key)
+                self.table.mark_unknown(self.key)
                 sending.place = Place.ENDED
             case ('hear_answer', Place.SENT) if sending.has_run:
-                self.table.answered(self.key, 200, None)
+                self.table.mark_answered(self.key, 200, None)
                 sending.place = Place.ENDED
 
     def _admit(self, sending: SendingReplay) -> None:
@@ -119,7 +119,7 @@
             sending.place = Place.ENDED
 
     def _tell_not_run(self, sending: SendingReplay) -> None:
-        self.table.not_run(self.key)
+        self.table.release(self.key)
         sending.told_not_run_after = self.runs
         sending.place = Place.ENDED
 
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -18,7 +18,7 @@
 from catkinslip.proxy.outcomes import Outcome
 from catkinslip.proxy.pool import BackendPool
 from catkinslip.proxy.wire import Wire
-from catkinslip.tickets.keys import MARK, AnchoredClock, KeyIssuer, TicketKey
+from catkinslip.tickets.keys import KEY_SCHEME, AnchoredClock, KeyIssuer, TicketKey
 from standins.registers import many_workers
 
 
@@ -49,7 +49,7 @@
     name: str = 'a', expiry: int = 100, incarnation: int = 7, member_id: str = 'entry-1'
 ) -> TicketKey:
     """Return a key whose home is an instance."""
-    text = f'{MARK}.{member_id}.{incarnation}.{expiry}.{name}'
+    text = f'{KEY_SCHEME}.{member_id}.{incarnation}.{expiry}.{name}'
     return TicketKey(text, member_id, incarnation, expiry)
 
 
--- a/tests/test_tickets_table.py
+++ b/tests/test_tickets_table.py
@@ -66,7 +66,7 @@
         self.assertEqual(self.admit(ticket_key(expiry=59)), Admitted())
         key = ticket_key(expiry=59)
         self.assertEqual(self.admit(key), AlreadySent(EntryState.RUNNING, None))
-        self.table.unknown(key)
+        self.table.mark_unknown(key)
         self.assertEqual(self.admit(key), AlreadySent(EntryState.UNKNOWN, None))
         self.assertEqual(self.admit(key, OTHER), Refusal.OTHER_REQUEST)
 
@@ -75,7 +75,7 @@
         large = KeptAnswer(200, (), bytes(MAX_KEPT_BYTES))
         for name, answer in (('a', large), ('b', small)):
             self.admit(ticket_key(name))
-            self.table.answered(ticket_key(name), 200, answer)
+            self.table.mark_answered(ticket_key(name), 200, answer)
         self.assertEqual(self.admit(ticket_key('a')), Replay(large))
         sent = AlreadySent(EntryState.ANSWERED, 200)
         self.assertEqual(self.admit(ticket_key('b')), sent)
@@ -93,7 +93,7 @@
         for number in range(CAPACITY):
             self.assertEqual(self.admit(ticket_key(str(number), last)), Admitted())
         self.assertEqual(self.admit(), Refusal.FULL)
-        self.table.not_run(ticket_key('0', last))
+        self.table.release(ticket_key('0', last))
         self.assertEqual(self.admit(), Admitted())
 
 
@@ -123,13 +123,13 @@
         key = min(self.running, key=lambda each: each.text)
         self.running.remove(key)
         if outcome == 'not_run':
-            self.table.not_run(key)
+            self.table.release(key)
             return
         self.may_have_run[key.text] = key
         if outcome == 'unknown':
-            self.table.unknown(key)
+            self.table.mark_unknown(key)
         else:
-            self.table.answered(key, 200, KeptAnswer(200, (), b'x'))
+            self.table.mark_answered(key, 200, KeptAnswer(200, (), b'x'))
 
     @rule(seconds=strategies.floats(0, 30))
     def wait(self, seconds):
