--- a/catkinslip/membership/__init__.py
+++ b/catkinslip/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which instances are members of the system."""
+"""Group membership: instances, failure detection and the exchange between peers."""
--- a/catkinslip/membership/contacts.py
+++ b/catkinslip/membership/contacts.py
@@ -1,4 +1,4 @@
-"""Addresses to try besides known members: seeds and the platform's list."""
+"""Contact addresses besides those of known members: seeds and listed instances."""
 
 from collections.abc import Iterable
 from random import Random
@@ -12,18 +12,20 @@
 MAX_PAUSE_SECONDS = 300.0
 CONTACTS_PER_ROUND = 2
 
-#: Seconds between two reads of the list: until one succeeds, without peers, soon
-#: after the start, and later.
+#: Seconds between two reads of the platform's instance list: until a read succeeds,
+#: while no peers are known, soon after the start, and later. The pause without peers
+#: grows by this value with each such read.
 FIRST_LIST_SECONDS = 1.0
 NO_PEERS_LIST_SECONDS = 2.0
 EARLY_LIST_SECONDS = 10.0
 LIST_SECONDS = 120.0
+#: Seconds after the start during which the list is read more often.
 EARLY_SECONDS = 60.0
 
 
 @define
 class Contact:
-    """One address, and when to try it again; seconds on the monotonic clock."""
+    """One address and the time of its next try, in seconds on the monotonic clock."""
 
     pause: float = FIRST_PAUSE_SECONDS
     next_try_at: float = 0.0
@@ -31,7 +33,7 @@
 
 @define
 class Contacts:
-    """Say which addresses to try now; those that do not answer wait ever longer."""
+    """The contact addresses and the backoff between tries of each."""
 
     table: MemberTable
     seeds: tuple[str, ...]
@@ -44,7 +46,7 @@
     _reads_without_peers: int = 0
 
     def is_list_due(self, now: float, is_gateway: bool) -> bool:
-        """Tell whether to read the platform's list now."""
+        """Return whether this instance has to read the platform's list now."""
         if self._started_at is None:
             self._started_at = self._next_read_at = now
         if now < self._next_read_at:
@@ -56,13 +58,13 @@
         if has_no_peers:
             pause = min(pause, NO_PEERS_LIST_SECONDS * self._reads_without_peers)
         if not self._has_list:
-            # Who has not read the list yet has not been put on it either.
+            # An instance that has not read the list is not yet on the list either.
             pause = FIRST_LIST_SECONDS
         self._next_read_at = now + pause * self.random.uniform(0.8, 1.2)
         return is_gateway or has_no_peers or is_early or not self._has_list
 
     def apply_list(self, listed: Iterable[ListedInstance]) -> None:
-        """Take the platform's list over."""
+        """Replace the listed instances with those of the platform's list."""
         self._listed = tuple(listed)
         self._has_list = True
         current = {*self.seeds, *(each.control_address for each in self._listed)}
@@ -70,7 +72,7 @@
             del self.contact_by_address[address]
 
     def due(self, now: float) -> list[str]:
-        """Return the addresses to try in this round."""
+        """Return the contact addresses to try in this round."""
         known = {each.control_address for each in self.table.live()}
         addresses = {*self.seeds, *self._candidates()} - known
         due = [
--- a/catkinslip/membership/detector.py
+++ b/catkinslip/membership/detector.py
@@ -1,6 +1,6 @@
-"""Detect failed members: whom to probe, whom to suspect, when a suspect has failed.
+"""Failure detection: the members to probe and the deadlines of suspected ones.
 
-After SWIM, https://www.cs.cornell.edu/projects/Quicksilver/public_pdfs/SWIM.pdf
+Based on SWIM: https://www.cs.cornell.edu/projects/Quicksilver/public_pdfs/SWIM.pdf
 """
 
 import math
@@ -11,25 +11,27 @@
 from catkinslip.membership.members import Member, MemberTable, Status
 from catkinslip.membership.zones import ZoneViews, gateways
 
-#: Zones with fewer members are probed by the members of all zones of their region.
+#: Zones with fewer members are in the probe groups of all members of their region.
 MIN_PROBE_GROUP_MEMBERS = 8
 INDIRECT_PROBES = 3
-#: A suspect has this many rounds to refute, times the logarithm of the cell's size.
+#: A suspect has this many rounds to refute the suspicion, times the binary logarithm
+#: of the size of the probe group.
 SUSPICION_FACTOR = 2
 MIN_SUSPICION_ROUNDS = 3
-#: One failed member is asked now and then, so that both sides of a partition meet.
+#: One failed member is contacted once in so many rounds, so that both sides of a
+#: partition merge after it ends.
 RECONNECT_ROUNDS = 10
-#: Rounds that did not run for so long: this process was paused.
+#: Rounds without a tick after which this process is assumed to have been paused.
 PAUSED_ROUNDS = 3
-#: A gateway talks to another zone in one round of so many.
+#: A gateway exchanges with another zone once in so many rounds.
 ROUNDS_PER_CROSS_ZONE_EXCHANGE = 2
-#: Peers of the cell told at once of news that cannot wait for the next round.
+#: Number of peers of the probe group to which an urgent update is sent at once.
 GOSSIP_FANOUT = 3
 
 
 @define
 class FailureDetector:
-    """Choose probes and judge their outcome; durations are in seconds."""
+    """The failure detector of one instance; durations are in seconds."""
 
     table: MemberTable
     zones: ZoneViews
@@ -41,7 +43,10 @@
     _ticked_at: float | None = None
 
     def tick(self, now: float) -> None:
-        """Let time pass: suspects that did not refute have failed."""
+        """Mark suspects as failed whose time to refute the suspicion has passed.
+
+        Also removes old tombstones and determines the silent zones.
+        """
         self._compensate_pause(now)
         self._update_suspect_deadlines(now)
         for member_id, deadline in list(self._deadline_by_suspect.items()):
@@ -52,7 +57,7 @@
         self.table.silent_zones = self.zones.silent(now) - self.probe_group_zones(now)
 
     def probe_group(self, now: float) -> list[Member]:
-        """Return the members of this instance's cell."""
+        """Return the members that this instance probes."""
         zones = self.probe_group_zones(now)
         return [each for each in self.table.member_by_id.values() if each.zone in zones]
 
@@ -69,7 +74,7 @@
         return small | {own.zone}
 
     def next_targets(self, now: float) -> list[Member]:
-        """Return whom to exchange with in this round."""
+        """Return the members to exchange with in this round."""
         self._rounds += 1
         chosen = [self._next_in_probe_group(now)]
         if self._rounds % ROUNDS_PER_CROSS_ZONE_EXCHANGE == 0:
@@ -79,10 +84,10 @@
         return [each for each in chosen if each is not None]
 
     def gossip_targets(self, now: float) -> list[Member]:
-        """Return whom to tell urgent news at once.
+        """Return the members to send an urgent update at once.
 
-        A gateway also tells a member of each other zone of its region, as those
-        zones' address answers name members of this one.
+        A gateway also sends the update to a member of each other zone of its region,
+        because address answers of those zones name members of this zone.
         """
         group = [each for each in self.probe_group(now) if each.status is Status.ALIVE]
         chosen = self.random.sample(group, min(GOSSIP_FANOUT, len(group)))
@@ -97,7 +102,7 @@
         return chosen
 
     def helpers(self, target: Member, now: float) -> list[Member]:
-        """Return the members to ask whether they reach a target."""
+        """Return the members that probe a target on behalf of this instance."""
         others = [
             each
             for each in self.probe_group(now)
@@ -106,11 +111,11 @@
         return self.random.sample(others, min(INDIRECT_PROBES, len(others)))
 
     def suspect(self, target: Member, now: float) -> bool:
-        """Suspect a member that nobody reached; tell whether that is new."""
+        """Mark an unreached member as suspect; return whether the table changed."""
         return self.table.mark(target.member_id, Status.SUSPECT, now)
 
     def is_gateway(self, now: float) -> bool:
-        """Tell whether this instance talks to other zones."""
+        """Return whether this instance exchanges with other zones."""
         self.zones.refresh(now)
         own = self.table.own
         return own in gateways(self.zones.members_by_zone[own.zone])
--- a/catkinslip/membership/exchange.py
+++ b/catkinslip/membership/exchange.py
@@ -1,4 +1,4 @@
-"""Exchange members and the news of all topics with peers over HTTP."""
+"""The exchange of member records and topic updates with peers over HTTP."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -27,9 +27,11 @@
 PING_PATH = '/v1/ping'
 JSON_HEADERS = {'Content-Type': 'application/json'}
 
-#: Urgent news that come together are passed on together.
+#: Pause after each gossip, in rounds: urgent updates that arrive within this time are
+#: sent together.
 GOSSIP_PAUSE_ROUNDS = 0.2
-#: An outcome that took so much longer than the timeout was seen by a paused process.
+#: Seconds beyond the timeouts after which this process is assumed to have been paused
+#: during a probe, so that the outcome of the probe is ignored.
 PAUSE_SLACK_SECONDS = 1.0
 
 ListReader = Callable[[], Awaitable[list[ListedInstance] | None]]
@@ -39,7 +41,7 @@
 
 @define
 class PeerExchange:
-    """Tell peers what this instance knows, learn what they know, find failures."""
+    """The peer exchange: gossips with peers, probes them and follows the list."""
 
     members: MemberTable
     topic_by_name: dict[str, PeerTopic]
@@ -61,7 +63,7 @@
     _gossip_requested: trio.Event = Factory(trio.Event)
 
     async def run(self, read_list: ListReader) -> None:
-        """Exchange with peers for ever, and learn of others from the list."""
+        """Exchange with peers and read the instance list until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._gossip_when_requested)
             nursery.start_soon(self._read_list_when_due, read_list)
@@ -70,7 +72,7 @@
                 await self._pause()
 
     async def run_once(self) -> None:
-        """Run one round: exchange with peers and with addresses not known yet."""
+        """Run one round of exchanges with peers and with due contact addresses."""
         now = self.clock.monotonic()
         detector = self.protocol.detector
         detector.tick(now)
@@ -81,23 +83,23 @@
                 nursery.start_soon(self.exchange_with, control_address)
 
     def gossip_soon(self) -> None:
-        """Tell several peers at once; for news that must be in force within seconds."""
+        """Request gossip before the next round, for updates due within seconds."""
         self._gossip_requested.set()
 
     async def gossip(self) -> None:
-        """Exchange with several peers now."""
+        """Exchange with several random peers now."""
         targets = self.protocol.detector.gossip_targets(self.clock.monotonic())
         async with trio.open_nursery() as nursery:
             for target in targets:
                 nursery.start_soon(self.exchange_with, target.control_address, target)
 
     async def announce_leaving(self) -> None:
-        """Tell several peers that this instance is leaving."""
+        """Notify several peers that this instance is leaving."""
         self.members.mark_leaving()
         await self.gossip()
 
     async def announce_stopped(self) -> None:
-        """Tell several peers that this instance is gone."""
+        """Notify several peers that this instance has stopped."""
         self.members.mark_stopped()
         with trio.move_on_after(self.timeout):
             await self.gossip()
@@ -105,7 +107,7 @@
     async def exchange_with(
         self, control_address: str, target: Member | None = None
     ) -> bool:
-        """Exchange with one peer; tell whether it answered."""
+        """Exchange with one peer; return whether the peer answered."""
         request = self.protocol.request(self.clock.monotonic(), target)
         answer = await self._post(control_address, PATH, request, ExchangeMessage)
         if answer is None:
@@ -117,13 +119,13 @@
         return True
 
     def receive(self, message: ExchangeMessage) -> ExchangeMessage:
-        """Take a peer's message over and return this instance's answer."""
+        """Apply a peer's message and return the answer to it."""
         answer = self.protocol.answer(message, self.clock.monotonic())
         self._gossip_urgent()
         return answer
 
     async def probe_for_peer(self, request: ProbeRequest) -> ProbeAnswer:
-        """Tell a peer whether this instance reaches a third one."""
+        """Ping an instance on behalf of a peer; return whether it was reached."""
         try:
             response = await self.client.get(
                 f'http://{request.control_address}{PING_PATH}', timeout=self.timeout / 2
@@ -144,7 +146,10 @@
         if await self._is_reached_by_others(target) or self._was_paused(now):
             return
         if self.protocol.detector.suspect(target, self.clock.monotonic()):
-            log.warning('membership: suspects %s, nobody reaches it.', target.member_id)
+            log.warning(
+                'membership: member suspected, no probe reached it. member=%s',
+                target.member_id,
+            )
             self.gossip_soon()
 
     async def _is_reached_by_others(self, target: Member) -> bool:
@@ -179,10 +184,10 @@
             response.raise_for_status()
             return converter.structure(orjson.loads(response.content), answer_type)
         except (httpx.HTTPError, httpx.InvalidURL) as error:
-            log.debug('membership: %s did not answer, %r.', control_address, error)
+            log.debug('membership: no answer. peer=%s error=%r', control_address, error)
         except Exception:
-            # A malformed answer is as good as none.
-            log.exception('membership: the answer of %s is malformed.', control_address)
+            # A malformed answer is treated like a missing one.
+            log.exception('membership: malformed answer. peer=%s', control_address)
         return None
 
     def _gossip_urgent(self) -> None:
--- a/catkinslip/membership/members.py
+++ b/catkinslip/membership/members.py
@@ -1,7 +1,7 @@
-"""The members known to one instance, and how words on them merge.
+"""The members known to one instance, and the merge of member records.
 
-Words on one member form a join semilattice: merging is commutative, associative and
-idempotent, so views that were apart come together in any order of messages.
+Records of one member form a join semilattice: merging is commutative, associative and
+idempotent, so diverged views converge whatever the order of messages.
 """
 
 import logging
@@ -12,7 +12,8 @@
 
 from catkinslip.membership.updates import UpdateQueue
 
-#: Longer than regions lose each other, so that no old word revives a dead member.
+#: Seconds for which a failed member is kept. Longer than regions are cut off from each
+#: other, so that no old record restores a failed member.
 TOMBSTONE_SECONDS = 2 * 3600.0
 
 log = logging.getLogger('membership')
@@ -20,7 +21,7 @@
 
 @unique
 class Status(StrEnum):
-    """What the failure detector holds of a member, in rising rank."""
+    """The status of a member in the failure detector, in rising rank."""
 
     ALIVE = 'alive'
     SUSPECT = 'suspect'
@@ -32,10 +33,10 @@
 
 @frozen
 class Member:
-    """One word on one instance.
+    """One record of one instance.
 
-    The incarnation names the process. The revision rises within it when the
-    member refutes a suspicion.
+    The incarnation identifies the process. The revision rises within one incarnation
+    each time the member refutes a suspicion.
     """
 
     member_id: str
@@ -50,25 +51,25 @@
 
     @property
     def is_usable(self) -> bool:
-        """Tell whether callers may be sent to it."""
+        """Return whether callers may be sent to this member."""
         return self.status is Status.ALIVE and not self.leaving
 
     @property
     def precedence(self) -> tuple[int, int]:
-        """Return the order of words within one incarnation."""
+        """Return the sort key of records within one incarnation."""
         return self.revision, RANK_BY_STATUS[self.status]
 
 
 @frozen
 class Tombstone:
-    """A failed member, kept for a while; seconds on the monotonic clock."""
+    """A failed member and its failure time, in seconds on the monotonic clock."""
 
     member: Member
     failed_at: float
 
 
 def join(record: Member, known: Member) -> Member:
-    """Return what two words on one member say together; leaving wins."""
+    """Return the merge of two records of one member; leaving takes precedence."""
     if record.incarnation != known.incarnation:
         return max(record, known, key=lambda each: each.incarnation)
     newer = max(record, known, key=lambda each: each.precedence)
@@ -77,14 +78,15 @@
 
 @define
 class MemberTable:
-    """Hold the merged word on each member."""
+    """The merged record of each member."""
 
     own: Member
     member_by_id: dict[str, Member] = Factory(dict)
     tombstone_by_id: dict[str, Tombstone] = Factory(dict)
     updates: UpdateQueue = Factory(UpdateQueue)
     silent_zones: frozenset[str] = frozenset()
-    #: Rises with each change, so that others can keep what they derived.
+    #: Number of changes to the table; a cache of derived values is valid while it is
+    #: the same.
     version: int = field(default=0, init=False)
 
     def __attrs_post_init__(self) -> None:
@@ -103,7 +105,7 @@
         ]
 
     def find(self, member_id: str) -> Member | None:
-        """Return the word on a member, failed ones included."""
+        """Return the record of a member, also of a failed one; None if unknown."""
         if member_id == self.own.member_id:
             return self.own
         tombstone = self.tombstone_by_id.get(member_id)
@@ -114,7 +116,7 @@
         self._replace_own(evolve(self.own, leaving=True))
 
     def mark_stopped(self) -> None:
-        """Mark this instance as gone."""
+        """Mark this instance as leaving and failed, because its process stops."""
         self._replace_own(evolve(self.own, leaving=True, status=Status.FAILED))
 
     def merge(
@@ -125,9 +127,11 @@
         *,
         is_gossiped: bool = True,
     ) -> bool:
-        """Take a word over; tell whether it said something new.
+        """Merge a member record into the table; return whether the table changed.
 
-        `age` is the time since a failed member was found to have failed.
+        A record of this instance itself changes only the own record, to refute it,
+        and returns False. `age` is the number of seconds since a failed member was
+        marked as failed.
         """
         if record.member_id == self.own.member_id:
             self._refute(record)
@@ -150,24 +154,24 @@
         return True
 
     def mark(self, member_id: str, status: Status, now: float) -> bool:
-        """Hold a status of a member; tell whether it is new."""
+        """Set the status of a member; return whether the table changed."""
         known = self.member_by_id.get(member_id)
         return known is not None and self.merge(evolve(known, status=status), now)
 
     def remove(self, member_id: str) -> None:
-        """Forget a member."""
+        """Remove a member from the table, failed or not."""
         self.member_by_id.pop(member_id, None)
         self.tombstone_by_id.pop(member_id, None)
         self.version += 1
 
     def remove_old_tombstones(self, now: float) -> None:
-        """Forget members that failed long ago."""
+        """Remove members that failed at least TOMBSTONE_SECONDS ago."""
         for member_id, tombstone in list(self.tombstone_by_id.items()):
             if now - tombstone.failed_at >= TOMBSTONE_SECONDS:
                 del self.tombstone_by_id[member_id]
 
     def age_by_failed(self, records: Iterable[Member], now: float) -> dict[str, float]:
-        """Return the seconds since each failed member among words failed."""
+        """Return the seconds since each failed member among records failed."""
         return {
             each.member_id: round(now - tombstone.failed_at, 1)
             for each in records
@@ -179,12 +183,14 @@
         if own.status is Status.FAILED:
             return
         if record.incarnation > own.incarnation:
-            log.error('membership: another process uses the name %s.', own.member_id)
+            log.error(
+                'membership: another process uses this name. member=%s', own.member_id
+            )
             self._replace_own(evolve(own, incarnation=record.incarnation + 1))
         elif (
             record.incarnation == own.incarnation and record.precedence > own.precedence
         ):
-            log.warning('membership: refutes that it is %s.', record.status)
+            log.warning('membership: own status refuted. status=%s', record.status)
             self._replace_own(evolve(own, revision=record.revision + 1))
 
     def _replace_own(self, own: Member) -> None:
--- a/catkinslip/membership/messages.py
+++ b/catkinslip/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages between peers."""
+"""Messages of the peer exchange and of indirect probes."""
 
 from typing import Any
 
@@ -11,12 +11,13 @@
 
 @frozen
 class ExchangeMessage:
-    """What one peer tells another; topics are named by `PeerTopic.name`.
+    """A message of the peer exchange; topics are named by `PeerTopic.name`.
 
-    `hash_by_zone` summarises the sender's view, with an empty hash for a zone
-    whose view changed a moment ago. `age_by_zone` gives the seconds since the
-    sender's side heard of each zone. In an answer, a topic without a digest has
-    that of the request.
+    `words` are member records, `news_by_topic` are topic updates. `hash_by_zone`
+    summarises the sender's view, with an empty hash for a zone whose view changed
+    recently. `age_by_zone` gives the seconds since the last contact with each zone,
+    direct or through peers. In an answer, a topic without a digest has the same digest
+    as in the request.
     """
 
     sender: str
@@ -33,14 +34,14 @@
 
 @frozen
 class ProbeRequest:
-    """Ask a peer whether it reaches a third one."""
+    """A request to probe a third instance on behalf of the sender."""
 
     control_address: str
 
 
 @frozen
 class ProbeAnswer:
-    """Tell whether a third peer was reached."""
+    """The result of a probe of a third instance."""
 
     reached: bool
 
--- a/catkinslip/membership/protocol.py
+++ b/catkinslip/membership/protocol.py
@@ -1,7 +1,7 @@
-"""What two peers tell each other in one exchange, without any I/O.
+"""The protocol of an exchange between two peers, without any I/O.
 
-An exchange is a request and its answer. When the answer shows that the other
-side lacks something, one more message carries it.
+An exchange is a request and its answer. If the answer shows that the other side
+misses records or updates, one more message carries them.
 """
 
 import logging
@@ -17,11 +17,11 @@
 from catkinslip.membership.topics import PeerTopic
 from catkinslip.membership.zones import ZoneViews
 
-#: Updates that one message carries along.
+#: Maximum number of queued member updates in one message.
 MAX_UPDATES = 8
-#: Words after which an answer repairs no further zone.
+#: Number of records after which an answer repairs no further zone.
 MAX_REPAIR_RECORDS = 64
-#: One exchange in so many compares views; those across zones always do.
+#: Views are compared once in so many exchanges; always in those between zones.
 ROUNDS_PER_COMPARISON = 3
 
 log = logging.getLogger('membership')
@@ -29,7 +29,7 @@
 
 @define
 class PeerProtocol:
-    """Make and take the messages of one instance."""
+    """The peer protocol of one instance: creates and applies its messages."""
 
     table: MemberTable
     topic_by_name: dict[str, PeerTopic]
@@ -42,12 +42,12 @@
         ),
         takes_self=True,
     )
-    #: Whether updates wait that peers must hear of before the next round.
+    #: Whether updates wait that must be sent to peers before the next round.
     has_urgent_updates: bool = False
     _requests: int = 0
 
     def request(self, now: float, target: Member | None = None) -> ExchangeMessage:
-        """Return the message that opens an exchange."""
+        """Return the request that opens an exchange with a peer."""
         self._requests += 1
         own = self.table.own
         is_cross_zone = target is None or target.zone != own.zone
@@ -59,7 +59,7 @@
         return evolve(message, news_by_topic=without_none(updates))
 
     def answer(self, message: ExchangeMessage, now: float) -> ExchangeMessage:
-        """Take a request over and return the answer."""
+        """Apply a peer's request and return the answer to it."""
         known = self.table.find(message.sender)
         self._apply_message(message, now)
         sender = self.table.find(message.sender)
@@ -88,7 +88,7 @@
     def apply_answer(
         self, request: ExchangeMessage, answer: ExchangeMessage, now: float
     ) -> ExchangeMessage | None:
-        """Take an answer over; return what the other side still lacks, if anything."""
+        """Apply an answer; return the message with what the peer misses, if any."""
         self._apply_message(answer, now)
         records = [
             *self._corrections(answer.words),
@@ -147,11 +147,13 @@
     def _apply_message(self, message: ExchangeMessage, now: float) -> None:
         for record in message.words:
             age = message.age_by_failed.get(record.member_id, 0.0)
-            # What a repair teaches is known elsewhere, so it is not passed on.
+            # Other members already have the records of a repair: no gossip needed.
             is_gossiped = record.zone not in message.repaired_zones
             if self.table.merge(record, now, age, is_gossiped=is_gossiped):
                 log.info(
-                    'membership: %s is %s.', record.member_id, describe_status(record)
+                    'membership: status changed. member=%s status=%s',
+                    record.member_id,
+                    describe_status(record),
                 )
                 self.has_urgent_updates |= is_gossiped and not record.is_usable
         for zone, age in message.age_by_zone.items():
@@ -169,11 +171,11 @@
         try:
             topic.receive(updates)
         except Exception:
-            # One topic's malformed news must not stop the others.
-            log.exception('membership: news of %s are malformed.', name)
+            # Malformed updates of one topic must not stop the other topics.
+            log.exception('membership: malformed updates. topic=%s', name)
 
     def _corrections(self, records: Iterable[Member]) -> list[Member]:
-        """Return this instance's words on members that a peer holds older ones of."""
+        """Return the records of this instance that differ from those of a peer."""
         known = [(record, self.table.find(record.member_id)) for record in records]
         return [own for record, own in known if own is not None and own != record]
 
@@ -209,7 +211,7 @@
         ]
 
     def _missing_records(self, answer: ExchangeMessage, now: float) -> list[Member]:
-        """Return words of repaired zones that the other side did not have."""
+        """Return the records of repaired zones that the other side does not have."""
         sent_ids = {each.member_id for each in answer.words}
         return [
             each
@@ -220,14 +222,14 @@
 
 
 def without_none(news_by_topic: dict[str, Any]) -> dict[str, Any]:
-    """Return the topics that have news."""
+    """Return the topics that have updates."""
     return {
         name: updates for name, updates in news_by_topic.items() if updates is not None
     }
 
 
 def describe_status(record: Member) -> str:
-    """Return what a log line says of a member."""
+    """Return the status of a member for log lines: leaving, or its status value."""
     return (
         'leaving'
         if record.leaving and record.status is Status.ALIVE
--- a/catkinslip/membership/topics.py
+++ b/catkinslip/membership/topics.py
@@ -1,23 +1,23 @@
-"""What slices tell peers: each slice adds a topic to the peer exchange."""
+"""The interface of topics: parts that other packages add to the peer exchange."""
 
 from abc import ABC, abstractmethod
 from typing import Any
 
 
 class PeerTopic(ABC):
-    """One slice's part of the peer exchange, as plain data for JSON."""
+    """The part of the peer exchange of one package, as plain data for JSON."""
 
     #: Name of the topic, the same on all instances.
     name: str
 
     @abstractmethod
     def digest(self) -> Any:
-        """Return a short summary of what this instance knows."""
+        """Return a short summary of the data of this instance on the topic."""
 
     @abstractmethod
     def updates_for(self, digest: Any | None) -> Any | None:
-        """Return what a peer lacks; recent news when its digest is not known."""
+        """Return the updates that a peer misses; recent ones if its digest is None."""
 
     @abstractmethod
     def receive(self, updates: Any) -> None:
-        """Take a peer's news over; raise ValueError when it is malformed."""
+        """Apply a peer's updates; raise ValueError if they are malformed."""
--- a/catkinslip/membership/zones.py
+++ b/catkinslip/membership/zones.py
@@ -1,4 +1,4 @@
-"""What an instance knows of each zone: a hash of its members, and how old it is."""
+"""The view of each zone: its members, their hash and the last contact."""
 
 from collections.abc import Iterable
 
@@ -7,15 +7,17 @@
 
 from catkinslip.membership.members import Member, MemberTable
 
-#: A view that changed so recently is still spreading, so it is not repaired yet.
+#: Seconds after a change during which a view is not repaired, because gossip still
+#: carries the change.
 SETTLED_SECONDS = 10.0
-#: A zone that no side heard of for so long is left out of address answers.
+#: Seconds without contact, direct or through peers, after which a zone is left out of
+#: address answers.
 SILENT_SECONDS = 30.0
 GATEWAYS_PER_ZONE = 3
 
 
 def hash_of_members(members: Iterable[Member]) -> str:
-    """Return a short hash of words, whatever their order."""
+    """Return a short hash of member records that does not depend on their order."""
     total = 0
     for each in members:
         total ^= hash_of(
@@ -25,12 +27,12 @@
 
 
 def hash_of(*parts: object) -> int:
-    """Return a 64-bit hash of some parts."""
+    """Return a 64-bit hash of the text of several values."""
     return xxhash.xxh3_64_intdigest('\0'.join(map(str, parts)).encode())
 
 
 def gateways(members: Iterable[Member]) -> list[Member]:
-    """Return the members of one zone that talk to other zones."""
+    """Return the members of one zone that exchange with other zones."""
     ranked = sorted(
         (each for each in members if each.is_usable),
         key=lambda each: hash_of('gateway', each.member_id),
@@ -41,7 +43,7 @@
 
 @define
 class ZoneViews:
-    """Derive the views of all zones from the member table."""
+    """The views of all zones, derived from the member table."""
 
     table: MemberTable
     contact_at_by_zone: dict[str, float] = Factory(dict)
@@ -51,7 +53,7 @@
     _version: int = -1
 
     def refresh(self, now: float) -> None:
-        """Derive the views again if the table changed."""
+        """Rebuild the views of all zones if the member table changed."""
         if self._version == self.table.version:
             return
         self._version = self.table.version
@@ -66,7 +68,7 @@
             self.contact_at_by_zone.setdefault(zone, now)
 
     def hash_by_zone(self, now: float) -> dict[str, str]:
-        """Return the hash of each zone, empty while its view is spreading."""
+        """Return the hash of each zone, empty if its view changed recently."""
         self.refresh(now)
         return {
             zone: self._hash_by_zone[zone] if self._is_settled(zone, now) else ''
@@ -74,7 +76,7 @@
         }
 
     def age_by_zone(self, now: float) -> dict[str, float]:
-        """Return the seconds since each zone was heard of, rounded up."""
+        """Return the seconds since the last contact with each zone, rounded up."""
         self.refresh(now)
         ages = {
             zone: round(now - contact_at + 0.05, 1)
@@ -85,23 +87,23 @@
         return ages
 
     def record_contact(self, zone: str, now: float, age: float = 0.0) -> None:
-        """Take note that a zone was heard of some seconds ago."""
+        """Record contact with a zone `age` seconds ago, direct or through peers."""
         self.contact_at_by_zone[zone] = max(
             self.contact_at_by_zone.get(zone, 0.0), now - age
         )
 
     def shift(self, seconds: float) -> None:
-        """Leave out a time in which this process did not run."""
+        """Move all contact times forward by a pause of this process, in seconds."""
         for zone in self.contact_at_by_zone:
             self.contact_at_by_zone[zone] += seconds
 
     def silent(self, now: float) -> frozenset[str]:
-        """Return the zones that were not heard of for long."""
+        """Return the zones without contact for more than SILENT_SECONDS."""
         ages = self.age_by_zone(now)
         return frozenset(zone for zone, age in ages.items() if age > SILENT_SECONDS)
 
     def zones_to_repair(self, hash_by_zone: dict[str, str], now: float) -> list[str]:
-        """Return the zones on which a peer's view lacks or contradicts this one."""
+        """Return the zones that a peer's view lacks or has with another hash."""
         own = self.hash_by_zone(now)
         return [
             zone
