--- a/catkinslip/tickets/__init__.py
+++ b/catkinslip/tickets/__init__.py
@@ -1,1 +1,1 @@
-"""At most once: keys, the home instance's table, records in the platform."""
+"""At-most-once delivery: keys, the table of the home instance, platform records."""
--- a/catkinslip/tickets/gate.py
+++ b/catkinslip/tickets/gate.py
@@ -1,4 +1,4 @@
-"""Let a request that must not run twice reach a backend server at most once."""
+"""At-most-once forwarding of requests that must not run twice."""
 
 import logging
 from hashlib import blake2b
@@ -27,6 +27,7 @@
 from catkinslip.tickets.replay import RecordingWire, send_replay
 
 FINGERPRINT_BYTES = 16
+#: Timeout for the release of a platform record, in seconds.
 RELEASE_SECONDS = 5.0
 
 REASON_BY_REFUSAL = {
@@ -42,7 +43,7 @@
 
 @define
 class AtMostOnceForwarder(CallForwarder):
-    """Forward calls; run each key at most once over all instances."""
+    """A call forwarder that runs each key at most once over all instances."""
 
     forwarder: Forwarder
     table: tickets.TicketTable
@@ -53,7 +54,7 @@
     clock: AnchoredClock
 
     async def forward(self, call: Call, caller: Wire) -> Outcome:
-        """Forward one call within its deadline."""
+        """Forward one call within its deadline and return its outcome."""
         if call.repeatable:
             return await self.forwarder.forward(call, caller)
         text = (names.find(call.headers, names.IDEMPOTENCY_KEY) or b'').decode(
@@ -84,7 +85,11 @@
         self, call: Call, caller: Wire, key: TicketKey
     ) -> Outcome:
         decision = self.table.admit(key, fingerprint(call), self.clock.now())
-        log.info('tickets: %s %s.', call.request_id, describe(decision))
+        log.info(
+            'tickets: key looked up. request=%s decision=%s',
+            call.request_id,
+            describe(decision),
+        )
         match decision:
             case tickets.Admitted():
                 return await self._run(call, caller, key)
@@ -105,7 +110,7 @@
         try:
             outcome = await self.forwarder.forward(call, recorder)
         finally:
-            # Also when the caller left or this instance stops.
+            # Also runs if the caller has closed the connection or this instance stops.
             self._record_outcome(key, outcome, recorder)
         return outcome
 
@@ -125,7 +130,11 @@
         is_passed_on = names.find(call.headers, names.PASSED_BY) is not None
         if is_passed_on or home is None or home.incarnation > key.incarnation:
             return Unknown(Reason.HOME_GONE)
-        log.info('tickets: %s passes home to %s.', call.request_id, home.member_id)
+        log.info(
+            'tickets: request forwarded to its home. request=%s home=%s',
+            call.request_id,
+            home.member_id,
+        )
         return await self.home_forwarder.send(call, home, caller)
 
     async def _forward_recorded(self, call: Call, caller: Wire, text: str) -> Outcome:
@@ -133,7 +142,7 @@
         claim = await self.records.claim(name, fingerprint(call))
         match claim:
             case Claim():
-                log.info('tickets: %s has its record.', call.request_id)
+                log.info('tickets: record claimed. request=%s', call.request_id)
             case OtherRequest():
                 return NotRun(Reason.KEY_OF_OTHER_REQUEST)
             case RecordUnavailable(reason):
@@ -155,7 +164,7 @@
 
 
 def fingerprint(call: Call) -> bytes:
-    """Return a digest of what a request asks for."""
+    """Return a digest of the service, method, target and body of a request."""
     digest = blake2b(digest_size=FINGERPRINT_BYTES)
     for part in (call.service.encode(), call.method, call.target, call.body):
         digest.update(b'%d:' % len(part))
@@ -164,12 +173,12 @@
 
 
 def describe(decision: tickets.Decision) -> str:
-    """Return what was decided, for the log."""
+    """Return the text of a decision for log lines."""
     match decision:
         case tickets.Admitted():
-            return 'is admitted, its key is new'
+            return 'admitted, the key is new'
         case tickets.Replay():
-            return 'gets its kept answer'
+            return 'answered from the kept answer'
         case tickets.AlreadySent(state):
-            return f'is refused, its key is {state.value}'
-    return f'is refused, its key is {decision.value}'
+            return f'refused, the key is {state.value}'
+    return f'refused, the key is {decision.value}'
--- a/catkinslip/tickets/keys.py
+++ b/catkinslip/tickets/keys.py
@@ -1,6 +1,6 @@
 """Keys of requests that must not run twice.
 
-A key names its home: the one instance, in one incarnation, that may run it.
+A key names its home: the only instance, in one incarnation, that may run the request.
 """
 
 from attrs import define, frozen
@@ -8,14 +8,16 @@
 from catkinslip.clock import Clock
 from catkinslip.membership.members import Member
 
-#: Sets our keys apart from those that callers make up themselves.
+#: First field of keys that an instance issued; sets them apart from keys that callers
+#: generate themselves.
 KEY_SCHEME = 'ck1'
+#: Maximum length of a key, in characters.
 MAX_KEY_LENGTH = 255
 
 
 @frozen
 class TicketKey:
-    """A key that an address answer began; `expiry` is in Unix seconds."""
+    """A key with a prefix from an address answer; `expiry` is in Unix seconds."""
 
     text: str
     member_id: str
@@ -24,12 +26,12 @@
 
 
 def key_prefix(member: Member, expiry: int) -> str:
-    """Return the prefix that a caller completes with `.` and a random part."""
+    """Return the prefix of a key, to which a caller adds `.` and a random part."""
     return f'{KEY_SCHEME}.{member.member_id}.{member.incarnation}.{expiry}'
 
 
 def parse_key(text: str) -> TicketKey | None:
-    """Parse a key; None for one that no address answer began."""
+    """Parse a key; return None if its prefix is not from an address answer."""
     scheme, _, rest = text.partition('.')
     fields = rest.rsplit('.', 3)
     if scheme != KEY_SCHEME or len(fields) != 4 or len(text) > MAX_KEY_LENGTH:
@@ -41,14 +43,14 @@
 
 
 def is_decimal(text: str) -> bool:
-    """Tell whether a text is a whole number in ASCII digits."""
+    """Return whether a text is a whole number in ASCII digits."""
     return text.isascii() and text.isdecimal()
 
 
 class AnchoredClock:
-    """Tell Unix seconds that never go back within one process.
+    """A clock of Unix seconds that never go back within one process.
 
-    The wall clock is read once, at the start; the monotonic clock moves it on.
+    The wall clock is read once, at the start; the monotonic clock advances the time.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -56,17 +58,17 @@
         self._offset = clock.wall() - clock.monotonic()
 
     def now(self) -> float:
-        """Return Unix seconds."""
+        """Return the current time in Unix seconds."""
         return self._clock.monotonic() + self._offset
 
 
 @define
 class KeyIssuer:
-    """Begin keys for callers; the lifetime is in seconds."""
+    """The issuer of key prefixes for callers; the lifetime is in seconds."""
 
     clock: AnchoredClock
     lifetime: float
 
     def prefix(self, member: Member) -> str:
-        """Return the prefix of keys whose home is a member."""
+        """Return a key prefix whose home is the given member."""
         return key_prefix(member, int(self.clock.now() + self.lifetime))
--- a/catkinslip/tickets/passing.py
+++ b/catkinslip/tickets/passing.py
@@ -1,4 +1,4 @@
-"""Pass a request to the home of its key, at most one hop."""
+"""Forwarding of a request to the home of its key, over at most one hop."""
 
 import h11
 import orjson
@@ -16,22 +16,26 @@
 from catkinslip.proxy.problems import TYPE_PREFIX
 from catkinslip.proxy.wire import Wire
 
+#: Size in bytes beyond which no more of a problem document is read.
 MAX_PROBLEM_BYTES = 16 << 10
 REASON_BY_TYPE = {TYPE_PREFIX + reason.slug: reason for reason in Reason}
 
 
 @define
 class HomeAttempt(Attempt):
-    """A call passed to the home of its key; the home says how it ended.
+    """An attempt at the home of the key; the answer of the home has the outcome.
 
-    Without a word of the home the outcome is unknown: an earlier request with the
+    Without an answer of the home the outcome is unknown: an earlier request with the
     same key may have run there.
     """
 
     own_id: str = ''
 
     async def start(self) -> AnswerHead | NotRun | Unknown:
-        """Send the request on a new connection and wait for the answer's head."""
+        """Send the request on a new connection and wait for the answer's head.
+
+        Returns Unknown instead of NotRun if no byte was sent to the home.
+        """
         result = await self._start(0.0)
         if isinstance(result, NotRun) and not self.is_sent:
             return Unknown(
@@ -65,14 +69,14 @@
 
 @define
 class HomeForwarder:
-    """Pass requests to other instances and their answers on."""
+    """The forwarder of requests to their home and of answers to the caller."""
 
     own_id: str
     pool: BackendPool
     clock: Clock
 
     async def send(self, call: Call, home: Member, caller: Wire) -> Outcome:
-        """Pass one request home within its deadline."""
+        """Forward one request to its home within its deadline."""
         attempt = HomeAttempt(
             call,
             Address.parse(home.address),
@@ -87,7 +91,7 @@
 
 
 async def read_problem(wire: Wire) -> dict:
-    """Read a problem document; empty when it is none."""
+    """Read a problem document; return an empty dict if the body is not one."""
     data = b''
     while len(data) <= MAX_PROBLEM_BYTES:
         event = await wire.receive()
--- a/catkinslip/tickets/records.py
+++ b/catkinslip/tickets/records.py
@@ -1,8 +1,8 @@
-"""Records of keys in the platform, for rules that ask for them.
+"""Records of keys in the platform, for rules that require them.
 
-A record is created before the first byte leaves. Whoever created it is the only
-one that may run the request; a record that was released after "not run" may be
-taken over. Both are conditional writes.
+A record is created before the first byte of the request is sent. Only the attempt
+that created the record may run the request; a record that was released after "not
+run" may be claimed again. Both are conditional writes.
 """
 
 from hashlib import blake2b
@@ -20,12 +20,13 @@
 )
 
 RECORD_KIND = 'request-records'
+#: Size of the digest that names the object of a record, in bytes.
 NAME_BYTES = 20
 
 
 @frozen
 class Claim:
-    """A record that only this attempt holds, at a version of its object."""
+    """A record held by one attempt, with the version of its object."""
 
     key: ObjectKey
     version: int
@@ -35,17 +36,17 @@
 
 @frozen
 class HeldByOther:
-    """Another attempt has the record, so the request may have run."""
+    """The outcome if another attempt holds the record: the request may have run."""
 
 
 @frozen
 class OtherRequest:
-    """The key belongs to a request of another content."""
+    """The outcome if the key belongs to a request with other content."""
 
 
 @frozen
 class RecordUnavailable:
-    """The platform does not tell who has the record."""
+    """The outcome if the platform does not return the holder of the record."""
 
     reason: str
 
@@ -56,13 +57,13 @@
 
 @define
 class PlatformRecords:
-    """Claim and release records of keys."""
+    """Claims and releases of key records in the object store."""
 
     store: ObjectStore
     random: Random
 
     async def claim(self, name: str, fingerprint: bytes) -> ClaimOutcome:
-        """Claim the record of a key; call before the first byte leaves."""
+        """Claim the record of a key; call before the first byte of a request is sent."""
         attempt_id = f'{self.random.getrandbits(128):032x}'
         claim = Claim(record_key(name), 0, attempt_id, fingerprint.hex())
         outcome = await self._write(claim)
@@ -78,13 +79,13 @@
         return HeldByOther() if isinstance(outcome, StoredObject) else outcome
 
     async def release(self, claim: Claim) -> bool:
-        """Release a record whose request did not run; tell whether it is certain."""
+        """Release a record whose request did not run; return whether this succeeded."""
         value = record_value(claim, held=False)
         result = await self.store.write(claim.key, value, claim.version)
         return isinstance(result, Success)
 
     async def _write(self, claim: Claim) -> WriteOutcome:
-        """Return the claim if it took effect, else the record that stands."""
+        """Write a claim; return the claim if it took effect, else the stored record."""
         value = record_value(claim, held=True)
         result = await self.store.write(claim.key, value, claim.version)
         match result:
@@ -108,18 +109,18 @@
 
 
 def at_version(claim: Claim, version: int) -> Claim:
-    """Return a claim at the version of its object."""
+    """Return a copy of a claim with another version of its object."""
     return Claim(claim.key, version, claim.attempt_id, claim.fingerprint)
 
 
 def record_key(name: str) -> ObjectKey:
-    """Return the object that holds the record of a key."""
+    """Return the object key of the record of a request key."""
     digest = blake2b(name.encode(), digest_size=NAME_BYTES)
     return ObjectKey(RECORD_KIND, digest.hexdigest())
 
 
 def record_value(claim: Claim, *, held: bool) -> dict:
-    """Return the record as plain data."""
+    """Return the record of a claim as plain data."""
     return {
         'attempt_id': claim.attempt_id,
         'fingerprint': claim.fingerprint,
--- a/catkinslip/tickets/replay.py
+++ b/catkinslip/tickets/replay.py
@@ -1,4 +1,4 @@
-"""Keep small whole answers and give them to callers that ask again."""
+"""Storage of small complete answers and their replay to repeated requests."""
 
 from typing import Any
 
@@ -9,14 +9,16 @@
 from catkinslip.proxy.wire import Wire
 from catkinslip.tickets.table import KeptAnswer
 
+#: Maximum size of a kept answer, in bytes.
 MAX_KEPT_ANSWER_BYTES = 4096
 NO_CONTENT = 204
+#: Headers of an answer that are not kept: hop-by-hop ones and those that a replay sets.
 REPLACED = names.REPLACED_IN_ANSWERS | {b'content-length'}
 
 
 @define(eq=False)
 class RecordingWire(Wire):
-    """A caller's connection that keeps the answer sent on it, if it is small."""
+    """A caller's connection that keeps the answer sent over it, if it is small."""
 
     response: h11.Response | None = None
     chunks: list[bytes] = Factory(list)
@@ -24,13 +26,13 @@
     ended: bool = False
 
     async def send(self, *events: Any) -> None:
-        """Send events and keep them."""
+        """Keep the events of an answer and send them to the caller."""
         for event in events:
             self._keep(event)
         await Wire.send(self, *events)
 
     def kept_answer(self) -> KeptAnswer | None:
-        """Return the answer if it was whole and small."""
+        """Return the answer if it is complete and small, else None."""
         if self.response is None or not self.ended:
             return None
         headers = tuple(names.end_to_end(self.response.headers, REPLACED))
@@ -50,7 +52,7 @@
 
 
 async def send_replay(answer: KeptAnswer, caller: Wire, request_id: str) -> None:
-    """Send a kept answer."""
+    """Send a kept answer to a caller, marked as replayed."""
     headers = [
         *answer.headers,
         (names.REQUEST_ID, request_id.encode()),
--- a/catkinslip/tickets/table.py
+++ b/catkinslip/tickets/table.py
@@ -1,6 +1,6 @@
-"""The keys that this instance has run: the home's side of at most once.
+"""The table of keys that this instance has admitted as their home.
 
-Pure: the time comes in as Unix seconds that never go back (`AnchoredClock`).
+Without I/O: callers pass the time in Unix seconds that never go back (`AnchoredClock`).
 """
 
 from enum import Enum, unique
@@ -10,14 +10,15 @@
 from catkinslip.proxy.headers import Header
 from catkinslip.tickets.keys import TicketKey
 
-#: How much further ahead than the lifetime a key may expire, for clock skew.
+#: Seconds beyond the lifetime by which a key may expire later, for clock skew.
 SKEW_ALLOWANCE_SECONDS = 60
+#: Maximum total size of kept answers, in bytes.
 MAX_KEPT_BYTES = 8 << 20
 
 
 @unique
 class EntryState(Enum):
-    """What is known of a request that was admitted."""
+    """The state of an admitted request."""
 
     RUNNING = 'running'
     ANSWERED = 'answered'
@@ -26,20 +27,20 @@
 
 @frozen
 class KeptAnswer:
-    """A whole answer, kept for a caller that asks again."""
+    """A complete answer, kept for repeated requests with the same key."""
 
     status: int
     headers: tuple[Header, ...]
     body: bytes
 
     def size(self) -> int:
-        """Return about how many bytes the answer takes."""
+        """Return the approximate size of the answer in bytes."""
         return len(self.body) + sum(len(n) + len(v) for n, v in self.headers)
 
 
 @define
 class Entry:
-    """One admitted key; `status` is that of the answer."""
+    """The entry of one admitted key; `status` is that of the answer."""
 
     key: TicketKey
     fingerprint: bytes
@@ -50,12 +51,12 @@
 
 @frozen
 class Admitted:
-    """The request may run now; nobody else may run its key."""
+    """The decision that the request may run now, as the only one with its key."""
 
 
 @frozen
 class AlreadySent:
-    """The key was admitted before, so the request must not run."""
+    """The decision that the key was admitted before, so the request must not run."""
 
     state: EntryState
     status: int | None
@@ -63,14 +64,14 @@
 
 @frozen
 class Replay:
-    """The key was answered, and the whole answer is still here."""
+    """The decision to answer the request with the kept answer."""
 
     answer: KeptAnswer
 
 
 @unique
 class Refusal(Enum):
-    """Why a key was not looked up or not admitted."""
+    """The reasons for which a key is not looked up or not admitted."""
 
     OTHER_INCARNATION = 'other-incarnation'
     EXPIRED = 'expired'
@@ -84,7 +85,7 @@
 
 @define
 class TicketTable:
-    """Admit each key at most once; the lifetime of keys is in seconds."""
+    """A table that admits each key at most once; the key lifetime is in seconds."""
 
     member_id: str
     incarnation: int
@@ -97,7 +98,7 @@
     _next_expiry: int = Factory(lambda self: int(self.started_at), takes_self=True)
 
     def admit(self, key: TicketKey, fingerprint: bytes, now: float) -> Decision:
-        """Decide on a request; call before its first byte leaves."""
+        """Decide whether a request may run; call before its first byte is sent."""
         self._remove_expired(now)
         if (key.member_id, key.incarnation) != (self.member_id, self.incarnation):
             return Refusal.OTHER_INCARNATION
@@ -115,7 +116,7 @@
         return Admitted()
 
     def release(self, key: TicketKey) -> None:
-        """Take back an admitted key whose request did not run."""
+        """Remove an admitted key whose request did not run."""
         if self.entry_by_key.pop(key.text, None) is None:
             return
         keys = self.keys_by_expiry[key.expiry]
@@ -124,7 +125,7 @@
             del self.keys_by_expiry[key.expiry]
 
     def mark_unknown(self, key: TicketKey) -> None:
-        """Note that an admitted request may have run."""
+        """Mark an admitted request as one that may have run."""
         entry = self.entry_by_key.get(key.text)
         if entry is not None:
             entry.state = EntryState.UNKNOWN
@@ -132,7 +133,7 @@
     def mark_answered(
         self, key: TicketKey, status: int, answer: KeptAnswer | None
     ) -> None:
-        """Note that an admitted request was answered; keep its answer if it fits."""
+        """Mark an admitted request as answered; keep its answer if there is room."""
         entry = self.entry_by_key.get(key.text)
         if entry is None:
             return
@@ -152,7 +153,7 @@
 
 
 def decide_repeated(entry: Entry, fingerprint: bytes) -> Decision:
-    """Decide on a request whose key is in the table."""
+    """Decide on a repeated request, whose key is in the table."""
     if entry.fingerprint != fingerprint:
         return Refusal.OTHER_REQUEST
     if entry.answer is not None:
