--- a/tests/test_membership_contacts.py
+++ b/tests/test_membership_contacts.py
@@ -1,4 +1,4 @@
-"""Tries of seeds and listed instances, and reads of the list, are bounded."""
+"""Tests that tries of contact addresses and reads of the instance list are bounded."""
 
 import unittest
 from random import Random
@@ -18,7 +18,7 @@
 
 
 class ContactsTest(unittest.TestCase):
-    """One instance with a few known members."""
+    """Contact addresses of one instance that has a few known members."""
 
     def setUp(self):
         self.table = MemberTable(member('zone-a-0'))
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -1,4 +1,4 @@
-"""Instances that are killed or paused, as processes under load."""
+"""Tests of killed or paused instances, as processes under load."""
 
 import signal
 import unittest
@@ -20,7 +20,7 @@
 
 
 class FailedInstanceTest(unittest.TestCase):
-    """Three instances in three zones."""
+    """Failures of instances among three in three zones."""
 
     def setUp(self):
         self.group = new_process_group(self)
--- a/tests/test_membership_protocol.py
+++ b/tests/test_membership_protocol.py
@@ -1,4 +1,4 @@
-"""The peer protocol between a few instances, on a virtual clock."""
+"""Tests of the peer protocol between a few instances, on a virtual clock."""
 
 import unittest
 from random import Random
@@ -24,7 +24,7 @@
 
 @define
 class Peers:
-    """Instances that exchange in memory; messages of cut pairs are lost."""
+    """Simulated instances that exchange in memory; messages of cut pairs are lost."""
 
     random: Random = Factory(lambda: Random(7))
     now: float = 100.0
@@ -85,7 +85,7 @@
             if condition():
                 return count
             self.run(1)
-        raise AssertionError('the condition did not come true')
+        raise AssertionError('the condition did not become true within the rounds')
 
     def cut(self, group: set[str]) -> None:
         others = self.peer_by_id.keys() - group
@@ -100,7 +100,7 @@
 
 
 def fleet(size_by_zone: dict[str, int]) -> Peers:
-    """Return peers that all know each other."""
+    """Return peers that all have each other in their member tables."""
     peers = Peers()
     seed = ''
     for zone, size in size_by_zone.items():
@@ -114,7 +114,7 @@
 
 
 class GossipTest(unittest.TestCase):
-    """Words reach all members, a bounded number of times."""
+    """Member updates reach all members and are sent a bounded number of times."""
 
     def test_one_seed_is_enough_and_updates_stop(self):
         peers = fleet({'zone-a': 20})
@@ -175,7 +175,7 @@
         informed = [
             name for name in peers.peer_by_id if leaving not in peers.usable(name)
         ]
-        # No round has run. The few that are left learn in the next ones.
+        # No round has run. The few remaining members receive the update in the next rounds.
         self.assertGreater(len(informed), 30)
         peers.run_until(lambda: peers.all_see(peers.usable(leaving)), rounds=5)
 
@@ -202,7 +202,7 @@
 
 
 class FailureTest(unittest.TestCase):
-    """Failed members are found, and live ones are not lost."""
+    """Failed members are detected, and live ones are not removed."""
 
     def test_dead_member_fails_and_old_words_do_not_revive_it(self):
         peers = fleet({'zone-a': 5})
@@ -278,7 +278,7 @@
 
 
 class PartitionTest(unittest.TestCase):
-    """Both sides go on, and merge when they meet again."""
+    """Both sides of a partition continue, and merge after the partition ends."""
 
     def test_small_fleet_split_in_two_merges(self):
         peers = fleet({'zone-a': 3, 'zone-b': 3})
@@ -298,7 +298,7 @@
         others = everyone - group
         peers.cut(group)
         peers.run(int(SILENT_SECONDS / ROUND_SECONDS) + 40)
-        # Nobody across the cut counts as failed; the zones are only left out.
+        # No member across the cut is marked as failed; only its zone is left out.
         self.assertTrue(peers.all_see(group, group))
         self.assertTrue(peers.all_see(others, others))
         for peer in peers.peer_by_id.values():
@@ -327,7 +327,7 @@
 
 
 class MergeTest(unittest.TestCase):
-    """Words merge alike in any order."""
+    """Member records merge to the same result in any order."""
 
     @settings(derandomize=True, database=None, deadline=None)
     @given(st.lists(MEMBER_RECORDS, min_size=1, max_size=5), st.randoms())
--- a/tests/test_tickets_gate.py
+++ b/tests/test_tickets_gate.py
@@ -1,4 +1,4 @@
-"""The gate: what runs here, what passes home, what callers are told."""
+"""Tests of at-most-once forwarding: local runs, forwarding to the home, outcomes."""
 
 import unittest
 from random import Random
@@ -25,7 +25,7 @@
 from tests.builders import document_of, document_plain, ticket_key
 
 OWN = Member('entry-2', 3, 'zone-a', '127.0.0.1:1', '127.0.0.1:1')
-#: Nothing listens on port 1, so this home cannot be reached.
+#: No process listens on port 1, so this home is unreachable.
 HOME = Member('entry-1', 7, 'zone-a', '127.0.0.1:1', '127.0.0.1:1')
 RULES = [
     {'service': '*', 'path': path, 'methods': ['POST'], 'repeatable': False, **more}
@@ -35,7 +35,7 @@
 
 @define
 class ScriptedForwarder:
-    """Count calls and end each as told."""
+    """A forwarder that records calls and ends each with a set outcome."""
 
     outcome: Outcome = Answered(201)
     answers: bool = True
@@ -53,7 +53,7 @@
 
 
 class GateTest(unittest.TestCase):
-    """One instance's gate before a scripted forwarder."""
+    """The at-most-once forwarder of one instance before a scripted forwarder."""
 
     def setUp(self):
         self.clock = SystemClock()
--- a/tests/test_tickets_processes.py
+++ b/tests/test_tickets_processes.py
@@ -1,4 +1,4 @@
-"""At most once over real processes: what callers were told against the ledger."""
+"""Tests of at-most-once over processes: outcomes compared with the ledger of runs."""
 
 import json
 import signal
@@ -24,7 +24,7 @@
 
 
 class AtMostOnceProcessesTest(unittest.TestCase):
-    """Two instances, one backend server and the platform."""
+    """At-most-once over two instances, one backend server and the platform."""
 
     @classmethod
     def setUpClass(cls):
--- a/tests/test_tickets_table.py
+++ b/tests/test_tickets_table.py
@@ -1,4 +1,4 @@
-"""The table of keys, the keys, and random runs against what must hold."""
+"""Tests of keys and of the ticket table, with random runs against its invariants."""
 
 import unittest
 
@@ -32,7 +32,7 @@
 
 
 class KeyTest(unittest.TestCase):
-    """Keys that address answers begin, and others."""
+    """Keys with a prefix from an address answer, and other keys."""
 
     def test_prefix_names_home_incarnation_and_expiry(self):
         member = Member('entry.1', 9, 'zone-a', '127.0.0.1:1', '127.0.0.1:2')
@@ -53,7 +53,7 @@
 
 
 class TableTest(unittest.TestCase):
-    """Decisions on one key."""
+    """Decisions of the ticket table on one key."""
 
     def setUp(self):
         self.table = new_table()
@@ -98,7 +98,7 @@
 
 
 class TableMachine(RuleBasedStateMachine):
-    """Sendings of a few keys in any order, with crashes and time."""
+    """Random requests with a few keys, with crashes and the passing of time."""
 
     def __init__(self):
         super().__init__()
