--- a/catkinslip/tickets/records.py
+++ b/catkinslip/tickets/records.py
@@ -63,7 +63,7 @@
     random: Random
 
     async def claim(self, name: str, fingerprint: bytes) -> ClaimOutcome:
-        """Claim the record of a key; call before the first byte of a request is sent."""
+        """Claim the record of a key; call before the first request byte is sent."""
         attempt_id = f'{self.random.getrandbits(128):032x}'
         claim = Claim(record_key(name), 0, attempt_id, fingerprint.hex())
         outcome = await self._write(claim)
--- a/tests/test_membership_protocol.py
+++ b/tests/test_membership_protocol.py
@@ -175,7 +175,7 @@
         informed = [
             name for name in peers.peer_by_id if leaving not in peers.usable(name)
         ]
-        # No round has run. The few remaining members receive the update in the next rounds.
+        # No round has run. The other members receive the update in the next rounds.
         self.assertGreater(len(informed), 30)
         peers.run_until(lambda: peers.all_see(peers.usable(leaving)), rounds=5)
 
