--- a/tests/test_membership_protocol.py
+++ b/tests/test_membership_protocol.py
@@ -146,7 +146,7 @@
         sent = sum(len(table.updates.take(8, 50)) for _ in range(1000))
         self.assertEqual(sent, transmissions(50))
 
-    def test_one_repair_teaches_both_sides(self):
+    def test_one_repair_updates_both_sides(self):
         peers = Peers()
         one = peers.start(member('zone-a-0'))
         other = peers.start(member('zone-a-1'), 'zone-a-0')
@@ -204,7 +204,7 @@
 class FailureTest(unittest.TestCase):
     """Failed members are detected, and live ones are not removed."""
 
-    def test_dead_member_fails_and_old_words_do_not_revive_it(self):
+    def test_stopped_member_fails_and_old_records_do_not_restore_it(self):
         peers = fleet({'zone-a': 5})
         old = peers.peer_by_id['zone-a-1'].table.find('zone-a-4')
         peers.stopped.add('zone-a-4')
@@ -229,7 +229,7 @@
             table = peers.peer_by_id[name].table
             peers.run_until(lambda t=table: 'zone-c-0' in t.tombstone_by_id)
 
-    def test_old_tombstone_is_not_taken_over(self):
+    def test_old_tombstone_is_not_merged(self):
         table = MemberTable(member('zone-a-0'))
         failed = member('zone-a-1', status=Status.FAILED)
         self.assertFalse(table.merge(failed, 0.0, age=TOMBSTONE_SECONDS))
@@ -243,19 +243,19 @@
 
     def test_paused_member_is_left_out_and_refutes(self):
         peers = fleet({'zone-a': 5})
-        everyone = set(peers.peer_by_id)
+        all_ids = set(peers.peer_by_id)
         for rounds_after in (0, 20):
             peers.stopped.add('zone-a-2')
-            peers.run_until(lambda: peers.all_see(everyone - {'zone-a-2'}))
+            peers.run_until(lambda: peers.all_see(all_ids - {'zone-a-2'}))
             peers.run(rounds_after)
             before = peers.peer_by_id['zone-a-2'].table.own
             peers.stopped.clear()
-            peers.run_until(lambda: peers.all_see(everyone))
+            peers.run_until(lambda: peers.all_see(all_ids))
             after = peers.peer_by_id['zone-a-2'].table.own
             self.assertGreater(after.revision, before.revision)
             self.assertEqual(after.incarnation, before.incarnation)
 
-    def test_process_that_was_paused_fails_nobody_when_it_wakes(self):
+    def test_process_that_was_paused_marks_no_member_as_failed(self):
         peers = fleet({'zone-a': 5})
         peer = peers.peer_by_id['zone-a-0']
         target = peer.table.member_by_id['zone-a-1']
@@ -294,8 +294,8 @@
     def test_regions_cut_off_go_on_and_merge(self):
         peers = fleet({'zone-a': 9, 'zone-b': 9, 'zone-c': 9})
         group = {name for name in peers.peer_by_id if name.startswith('zone-a')}
-        everyone = set(peers.peer_by_id)
-        others = everyone - group
+        all_ids = set(peers.peer_by_id)
+        others = all_ids - group
         peers.cut(group)
         peers.run(int(SILENT_SECONDS / ROUND_SECONDS) + 40)
         # No member across the cut is marked as failed; only its zone is left out.
@@ -309,7 +309,7 @@
         peers.start(restarted, 'zone-c-0')
         peers.run(40)
         peers.cut_pairs.clear()
-        expected = everyone - {'zone-b-1', 'zone-a-2'}
+        expected = all_ids - {'zone-b-1', 'zone-a-2'}
         peers.run_until(lambda: peers.all_see(expected))
         for name in expected:
             found = peers.peer_by_id[name].table.find('zone-c-1')
--- a/tests/test_tickets_gate.py
+++ b/tests/test_tickets_gate.py
@@ -131,17 +131,17 @@
         self.assertEqual(len(self.forwarder.calls), 1)
         self.forwarder.answers = False
         self.forward(self.other_own_key)
-        told = self.forward(self.other_own_key)
-        self.assertEqual(told, Unknown(Reason.ALREADY_SENT, 'answered 201'))
+        repeated = self.forward(self.other_own_key)
+        self.assertEqual(repeated, Unknown(Reason.ALREADY_SENT, 'answered 201'))
 
     def test_cancelled_request_may_have_run(self):
         self.forwarder.outcome = None
 
-        async def leave():
+        async def cancel():
             with trio.move_on_after(0.01):
                 await self.forward_async(self.own_key, b'/claim', {})
 
-        trio.run(leave)
+        trio.run(cancel)
         self.forwarder.outcome = Answered(201)
         self.assertEqual(self.forward(self.own_key).reason, Reason.ALREADY_SENT)
         self.assertEqual(len(self.forwarder.calls), 1)
--- a/tests/test_tickets_processes.py
+++ b/tests/test_tickets_processes.py
@@ -13,7 +13,7 @@
 from standins.processes import ProcessGroup, wait_until
 from tests.builders import document_plain
 
-ASK = '/.well-known/catkinslip/addresses/claims'
+ADDRESSES_PATH = '/.well-known/catkinslip/addresses/claims'
 RECORDED = {
     'service': 'claims',
     'path': '/recorded/*',
@@ -65,7 +65,7 @@
 
     @classmethod
     def prefixes(cls, name: str) -> dict[str, str]:
-        return cls.get(name, ASK).json()['key_prefix_by_address']
+        return cls.get(name, ADDRESSES_PATH).json()['key_prefix_by_address']
 
     def key(self, home: str) -> str:
         prefix = self.prefixes('entry-2')[self.address(home)]
@@ -81,31 +81,31 @@
         url = f'http://{self.address(name)}{path}'
         return httpx.post(url, headers=headers, content=b'claim', timeout=20)
 
-    def order(self, **behaviour):
+    def set_behaviour(self, **behaviour):
         url = f'http://{self.backend}/standin/behaviour'
         httpx.post(url, json=behaviour, timeout=10)
 
-    def faults(self, **faults):
+    def set_faults(self, **faults):
         url = f'http://{self.platform}/standin/faults'
         httpx.post(url, json=faults, timeout=10)
 
-    def ran(self, key: str) -> int:
+    def run_count(self, key: str) -> int:
         return self.ledger()['by_key'].get(key, 0)
 
     def ledger(self) -> dict:
         return httpx.get(f'http://{self.backend}/standin/ledger', timeout=10).json()
 
-    def assert_told(self, answer: httpx.Response, outcome: str, problem: str):
+    def assert_outcome(self, answer: httpx.Response, outcome: str, problem: str):
         self.assertEqual(answer.headers.get('catkinslip-outcome'), outcome, answer.text)
         self.assertEqual(answer.json()['type'], f'urn:catkinslip:problem:{problem}')
 
     def test_killed_home_loses_the_answer_but_never_runs_twice(self):
         key = self.key('entry-1')
-        self.order(service_time=1.0)
-        self.addCleanup(self.order, service_time=0.0)
+        self.set_behaviour(service_time=1.0)
+        self.addCleanup(self.set_behaviour, service_time=0.0)
         with ThreadPoolExecutor() as threads:
             first = threads.submit(self.post, 'entry-1', key, 'kill-1')
-            wait_until(lambda: self.ran(key) == 1)
+            wait_until(lambda: self.run_count(key) == 1)
             self.group.process_by_name['entry-1'].kill()
             self.assertIsInstance(first.exception(), httpx.TransportError)
         answers = [self.post('entry-2', key, 'kill-2')]
@@ -114,18 +114,18 @@
         answers.append(self.post('entry-1', key, 'kill-3'))
         wait_until(lambda: self.address('entry-1') in self.prefixes('entry-2'))
         answers.append(self.post('entry-2', key, 'kill-4'))
-        self.assertEqual(self.ran(key), 1)
+        self.assertEqual(self.run_count(key), 1)
         problems = ('home-unreachable', 'home-gone', 'home-gone')
         for answer, problem in zip(answers, problems, strict=True):
-            self.assert_told(answer, 'unknown', problem)
+            self.assert_outcome(answer, 'unknown', problem)
 
     def test_frozen_home_does_not_run_a_request_late(self):
         key = self.key('entry-1')
         home = self.group.process_by_name['entry-1']
         home.send_signal(signal.SIGSTOP)
         try:
-            told = self.post('entry-2', key, 'frozen-1', timeout=0.5)
-            self.assert_told(told, 'unknown', 'deadline')
+            first = self.post('entry-2', key, 'frozen-1', timeout=0.5)
+            self.assert_outcome(first, 'unknown', 'deadline')
         finally:
             home.send_signal(signal.SIGCONT)
         wait_until(lambda: 'frozen-1' in home.log_path.read_text())
@@ -133,12 +133,12 @@
         by_request = self.ledger()['by_request']
         self.assertNotIn('frozen-1', by_request)
         self.assertEqual(again.status_code, 200, again.text)
-        self.assertEqual(self.ran(key), 1)
+        self.assertEqual(self.run_count(key), 1)
 
     def test_one_key_through_two_instances_at_once(self):
         key = self.key('entry-1')
-        self.order(service_time=0.3)
-        self.addCleanup(self.order, service_time=0.0)
+        self.set_behaviour(service_time=0.3)
+        self.addCleanup(self.set_behaviour, service_time=0.0)
         with ThreadPoolExecutor(8) as threads:
             names = ('entry-1', 'entry-2') * 4
             posts = [
@@ -146,7 +146,7 @@
                 for number, name in enumerate(names)
             ]
             answers = [post.result() for post in posts]
-        self.assertEqual(self.ran(key), 1)
+        self.assertEqual(self.run_count(key), 1)
         answers.append(self.post('entry-2', key, 'at-once-again'))
         right = [answer for answer in answers if answer.status_code == 200]
         replayed = [each for each in right if 'catkinslip-replayed' in each.headers]
@@ -155,13 +155,13 @@
         self.assertEqual(len({answer.text for answer in right}), 1)
         for answer in answers:
             if answer not in right:
-                self.assert_told(answer, 'unknown', 'already-sent')
-        self.assertEqual(self.ran(key), 1)
+                self.assert_outcome(answer, 'unknown', 'already-sent')
+        self.assertEqual(self.run_count(key), 1)
 
     def test_key_of_the_caller_is_refused_without_a_rule(self):
-        told = self.post('entry-1', 'own-key', 'own-1')
-        self.assert_told(told, 'not-run', 'key-not-accepted')
-        self.assertEqual(self.ran('own-key'), 0)
+        first = self.post('entry-1', 'own-key', 'own-1')
+        self.assert_outcome(first, 'not-run', 'key-not-accepted')
+        self.assertEqual(self.run_count('own-key'), 0)
 
     def test_recorded_key_runs_once_through_two_instances(self):
         with ThreadPoolExecutor(2) as threads:
@@ -171,34 +171,34 @@
             ]
             statuses = sorted(post.result().status_code for post in posts)
         self.assertEqual(statuses, [200, 409])
-        self.assertEqual(self.ran('both'), 1)
+        self.assertEqual(self.run_count('both'), 1)
 
     def test_recorded_key_with_a_lost_answer_runs_once(self):
-        self.faults(lose_answers=1)
+        self.set_faults(lose_answers=1)
         answer = self.post('entry-1', 'lost', 'lost-1', '/recorded/2')
         self.assertEqual(answer.status_code, 200, answer.text)
         again = self.post('entry-2', 'lost', 'lost-2', '/recorded/2')
-        self.assert_told(again, 'unknown', 'already-sent')
-        self.assertEqual(self.ran('lost'), 1)
+        self.assert_outcome(again, 'unknown', 'already-sent')
+        self.assertEqual(self.run_count('lost'), 1)
 
     def test_recorded_key_is_not_sent_while_the_platform_is_down(self):
-        self.faults(down=True)
-        self.addCleanup(self.faults, down=False)
-        told = self.post('entry-1', 'down', 'down-1', '/recorded/3')
-        self.assert_told(told, 'unknown', 'record-unavailable')
-        self.assertIn('retry-after', told.headers)
-        self.assertEqual(self.ran('down'), 0)
-        self.faults(down=False)
+        self.set_faults(down=True)
+        self.addCleanup(self.set_faults, down=False)
+        first = self.post('entry-1', 'down', 'down-1', '/recorded/3')
+        self.assert_outcome(first, 'unknown', 'record-unavailable')
+        self.assertIn('retry-after', first.headers)
+        self.assertEqual(self.run_count('down'), 0)
+        self.set_faults(down=False)
         again = self.post('entry-2', 'down', 'down-2', '/recorded/3')
         self.assertEqual(again.status_code, 200, again.text)
 
     def test_same_key_runs_after_not_run(self):
         for key, path in (('shed', '/recorded/4'), (self.key('entry-1'), '/claim')):
-            self.order(slots=1, queue=-1)
-            told = self.post('entry-1', key, f'{path}-1', path)
-            self.order(slots=50, queue=1000)
-            self.assertEqual(told.headers['catkinslip-outcome'], 'not-run', told.text)
-            self.assertEqual(self.ran(key), 0)
+            self.set_behaviour(slots=1, queue=-1)
+            first = self.post('entry-1', key, f'{path}-1', path)
+            self.set_behaviour(slots=50, queue=1000)
+            self.assertEqual(first.headers['catkinslip-outcome'], 'not-run', first.text)
+            self.assertEqual(self.run_count(key), 0)
             again = self.post('entry-2', key, f'{path}-2', path)
             self.assertEqual(again.status_code, 200, again.text)
-            self.assertEqual(self.ran(key), 1)
+            self.assertEqual(self.run_count(key), 1)
--- a/tests/test_tickets_table.py
+++ b/tests/test_tickets_table.py
@@ -44,10 +44,10 @@
             (key.member_id, key.incarnation, key.expiry), ('entry.1', 9, 150)
         )
 
-    def test_foreign_keys_are_told_apart(self):
-        foreign = ('', 'a', 'ck1', 'ck1.a.1.2', 'ck1.a.1.2.', 'a.b.1.2.r')
+    def test_other_and_malformed_keys_are_not_parsed(self):
+        other_formats = ('', 'a', 'ck1', 'ck1.a.1.2', 'ck1.a.1.2.', 'a.b.1.2.r')
         malformed = ('ck1.a.x.2.r', 'ck1..1.2.r', 'ck1.a.-1.2.r', 'ck1.a.1.².r')
-        for text in foreign + malformed:
+        for text in other_formats + malformed:
             self.assertIsNone(parse_key(text), text)
         self.assertIsNone(parse_key('ck1.a.1.2.' + 'r' * 255))
 
