--- a/catkinslip/membership/contacts.py
+++ b/catkinslip/membership/contacts.py
@@ -46,7 +46,10 @@
     _reads_without_peers: int = 0
 
     def is_list_due(self, now: float, is_gateway: bool) -> bool:
-        """Return whether this instance has to read the platform's list now."""
+        """Return whether a read of the platform's instance list is due.
+
+        Also schedules the next read if one is due.
+        """
         if self._started_at is None:
             self._started_at = self._next_read_at = now
         if now < self._next_read_at:
--- a/catkinslip/membership/detector.py
+++ b/catkinslip/membership/detector.py
@@ -43,7 +43,7 @@
     _ticked_at: float | None = None
 
     def tick(self, now: float) -> None:
-        """Mark suspects as failed whose time to refute the suspicion has passed.
+        """Mark suspects as failed after their time to refute the suspicion.
 
         Also removes old tombstones and determines the silent zones.
         """
--- a/catkinslip/membership/exchange.py
+++ b/catkinslip/membership/exchange.py
@@ -41,7 +41,7 @@
 
 @define
 class PeerExchange:
-    """The peer exchange: gossips with peers, probes them and follows the list."""
+    """The exchange of one instance with its peers, with failure detection."""
 
     members: MemberTable
     topic_by_name: dict[str, PeerTopic]
@@ -83,7 +83,7 @@
                 nursery.start_soon(self.exchange_with, control_address)
 
     def gossip_soon(self) -> None:
-        """Request gossip before the next round, for updates due within seconds."""
+        """Request gossip before the next round, for updates that cannot wait for it."""
         self._gossip_requested.set()
 
     async def gossip(self) -> None:
--- a/catkinslip/membership/members.py
+++ b/catkinslip/membership/members.py
@@ -85,8 +85,8 @@
     tombstone_by_id: dict[str, Tombstone] = Factory(dict)
     updates: UpdateQueue = Factory(UpdateQueue)
     silent_zones: frozenset[str] = frozenset()
-    #: Number of changes to the table; a cache of derived values is valid while it is
-    #: the same.
+    #: Number that rises with each change to the table, so that derived values can be
+    #: cached.
     version: int = field(default=0, init=False)
 
     def __attrs_post_init__(self) -> None:
@@ -171,7 +171,7 @@
                 del self.tombstone_by_id[member_id]
 
     def age_by_failed(self, records: Iterable[Member], now: float) -> dict[str, float]:
-        """Return the seconds since each failed member among records failed."""
+        """Return the seconds since the failure of each failed member among records."""
         return {
             each.member_id: round(now - tombstone.failed_at, 1)
             for each in records
--- a/catkinslip/membership/protocol.py
+++ b/catkinslip/membership/protocol.py
@@ -88,7 +88,7 @@
     def apply_answer(
         self, request: ExchangeMessage, answer: ExchangeMessage, now: float
     ) -> ExchangeMessage | None:
-        """Apply an answer; return the message with what the peer misses, if any."""
+        """Apply a peer's answer; return a message with the data it misses, or None."""
         self._apply_message(answer, now)
         records = [
             *self._corrections(answer.words),
--- a/catkinslip/membership/updates.py
+++ b/catkinslip/membership/updates.py
@@ -20,7 +20,10 @@
         self.sent_by_id[member_id] = 0
 
     def take(self, limit: int, member_count: int) -> list[str]:
-        """Return the members whose updates to send next, the least sent first."""
+        """Return the ids of members whose updates are sent next, the least sent first.
+
+        Counts the updates as sent and removes those sent often enough.
+        """
         chosen = sorted(self.sent_by_id, key=self.sent_by_id.__getitem__)[:limit]
         for member_id in chosen:
             self.sent_by_id[member_id] += 1
--- a/catkinslip/tickets/passing.py
+++ b/catkinslip/tickets/passing.py
@@ -23,7 +23,7 @@
 
 @define
 class HomeAttempt(Attempt):
-    """An attempt at the home of the key; the answer of the home has the outcome.
+    """An attempt at the home of a key, whose answer carries the outcome.
 
     Without an answer of the home the outcome is unknown: an earlier request with the
     same key may have run there.
--- a/catkinslip/tickets/records.py
+++ b/catkinslip/tickets/records.py
@@ -57,7 +57,7 @@
 
 @define
 class PlatformRecords:
-    """Claims and releases of key records in the object store."""
+    """The records of keys in the object store, which attempts claim and release."""
 
     store: ObjectStore
     random: Random
