--- a/catkinslip/membership/detector.py
+++ b/catkinslip/membership/detector.py
@@ -12,7 +12,7 @@
 from catkinslip.membership.zones import ZoneViews, gateways
 
 #: Zones with fewer members are in the probe groups of all members of their region.
-MIN_PROBE_GROUP_MEMBERS = 8
+MIN_LARGE_ZONE_MEMBERS = 8
 INDIRECT_PROBES = 3
 #: A suspect has this many rounds to refute the suspicion, times the binary logarithm
 #: of the size of the probe group.
@@ -68,8 +68,7 @@
         small = {
             zone
             for zone, members in self.zones.members_by_zone.items()
-            if len(members) < MIN_PROBE_GROUP_MEMBERS
-            and members[0].region == own.region
+            if len(members) < MIN_LARGE_ZONE_MEMBERS and members[0].region == own.region
         }
         return small | {own.zone}
 
