--- a/catkinslip/membership/exchange.py
+++ b/catkinslip/membership/exchange.py
@@ -1,4 +1,4 @@
-"""Exchange members and the news of all topics with peers over HTTP."""
+"""The exchange of member records and topic updates with peers over HTTP."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -27,9 +27,11 @@
 PING_PATH = '/v1/ping'
 JSON_HEADERS = {'Content-Type': 'application/json'}
 
-#: Urgent news that come together are passed on together.
-SPREAD_PAUSE_ROUNDS = 0.2
-#: An outcome that took so much longer than the timeout was seen by a paused process.
+#: Pause after each gossip, in rounds: urgent updates that arrive within this time are
+#: sent together.
+GOSSIP_PAUSE_ROUNDS = 0.2
+#: Seconds beyond the timeouts after which this process is assumed to have been paused
+#: during a probe, so that the outcome of the probe is ignored.
 PAUSE_SLACK_SECONDS = 1.0
 
 ListReader = Callable[[], Awaitable[list[ListedInstance] | None]]
@@ -39,7 +41,7 @@
 
 @define
 class PeerExchange:
-    """Tell peers what this instance knows, learn what they know, find failures."""
+    """The exchange of one instance with its peers, with failure detection."""
 
     members: MemberTable
     topic_by_name: dict[str, PeerTopic]
@@ -58,19 +60,19 @@
     contacts: Contacts = Factory(
         lambda self: Contacts(self.members, self.seeds, self.random), takes_self=True
     )
-    _wanted: trio.Event = Factory(trio.Event)
+    _gossip_requested: trio.Event = Factory(trio.Event)
 
     async def run(self, read_list: ListReader) -> None:
-        """Exchange with peers for ever, and learn of others from the list."""
+        """Exchange with peers and read the instance list until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._spread_when_wanted)
-            nursery.start_soon(self._follow_list, read_list)
+            nursery.start_soon(self._gossip_when_requested)
+            nursery.start_soon(self._read_list_when_due, read_list)
             while True:
                 await self.run_once()
                 await self._pause()
 
     async def run_once(self) -> None:
-        """Run one round: exchange with peers and with addresses not known yet."""
+        """Run one round of exchanges with peers and with due contact addresses."""
         now = self.clock.monotonic()
         detector = self.protocol.detector
         detector.tick(now)
@@ -80,50 +82,50 @@
             for control_address in self.contacts.due(now):
                 nursery.start_soon(self.exchange_with, control_address)
 
-    def spread_soon(self) -> None:
-        """Tell several peers at once; for news that must be in force within seconds."""
-        self._wanted.set()
+    def gossip_soon(self) -> None:
+        """Request gossip before the next round, for updates that cannot wait for it."""
+        self._gossip_requested.set()
 
-    async def spread(self) -> None:
-        """Exchange with several peers now."""
-        targets = self.protocol.detector.spread_targets(self.clock.monotonic())
+    async def gossip(self) -> None:
+        """Exchange with several random peers now."""
+        targets = self.protocol.detector.gossip_targets(self.clock.monotonic())
         async with trio.open_nursery() as nursery:
             for target in targets:
                 nursery.start_soon(self.exchange_with, target.control_address, target)
 
-    async def leave(self) -> None:
-        """Tell several peers that this instance is leaving."""
-        self.members.leave()
-        await self.spread()
+    async def announce_leaving(self) -> None:
+        """Notify several peers that this instance is leaving."""
+        self.members.mark_leaving()
+        await self.gossip()
 
-    async def end(self) -> None:
-        """Tell several peers that this instance is gone."""
-        self.members.end()
+    async def announce_stopped(self) -> None:
+        """Notify several peers that this instance has stopped."""
+        self.members.mark_stopped()
         with trio.move_on_after(self.timeout):
-            await self.spread()
+            await self.gossip()
 
     async def exchange_with(
         self, control_address: str, target: Member | None = None
     ) -> bool:
-        """Exchange with one peer; tell whether it answered."""
+        """Exchange with one peer; return whether the peer answered."""
         request = self.protocol.request(self.clock.monotonic(), target)
         answer = await self._post(control_address, PATH, request, ExchangeMessage)
         if answer is None:
             return False
-        lacking = self.protocol.conclude(request, answer, self.clock.monotonic())
-        self._pass_on_urgent()
-        if lacking is not None:
-            await self._post(control_address, PATH, lacking, ExchangeMessage)
+        missing = self.protocol.apply_answer(request, answer, self.clock.monotonic())
+        self._gossip_urgent()
+        if missing is not None:
+            await self._post(control_address, PATH, missing, ExchangeMessage)
         return True
 
     def receive(self, message: ExchangeMessage) -> ExchangeMessage:
-        """Take a peer's message over and return this instance's answer."""
+        """Apply a peer's message and return the answer to it."""
         answer = self.protocol.answer(message, self.clock.monotonic())
-        self._pass_on_urgent()
+        self._gossip_urgent()
         return answer
 
-    async def reaches(self, request: ProbeRequest) -> ProbeAnswer:
-        """Tell a peer whether this instance reaches a third one."""
+    async def probe_for_peer(self, request: ProbeRequest) -> ProbeAnswer:
+        """Ping an instance on behalf of a peer; return whether it was reached."""
         try:
             response = await self.client.get(
                 f'http://{request.control_address}{PING_PATH}', timeout=self.timeout / 2
@@ -139,19 +141,22 @@
         if self._was_paused(began) or target.status is Status.FAILED:
             return
         now = self.clock.monotonic()
-        if target.zone not in self.protocol.detector.cell_zones(now):
+        if target.zone not in self.protocol.detector.probe_group_zones(now):
             return
         if await self._is_reached_by_others(target) or self._was_paused(now):
             return
         if self.protocol.detector.suspect(target, self.clock.monotonic()):
-            log.warning('membership: suspects %s, nobody reaches it.', target.member_id)
-            self.spread_soon()
+            log.warning(
+                'membership: member suspected, no probe reached it. member=%s',
+                target.member_id,
+            )
+            self.gossip_soon()
 
     async def _is_reached_by_others(self, target: Member) -> bool:
         request = ProbeRequest(target.control_address)
         answers: list[ProbeAnswer | None] = []
 
-        async def ask(helper: Member) -> None:
+        async def probe_through(helper: Member) -> None:
             answers.append(
                 await self._post(
                     helper.control_address, PROBE_PATH, request, ProbeAnswer
@@ -162,7 +167,7 @@
             for helper in self.protocol.detector.helpers(
                 target, self.clock.monotonic()
             ):
-                nursery.start_soon(ask, helper)
+                nursery.start_soon(probe_through, helper)
         return any(each is not None and each.reached for each in answers)
 
     def _was_paused(self, began: float) -> bool:
@@ -179,32 +184,32 @@
             response.raise_for_status()
             return converter.structure(orjson.loads(response.content), answer_type)
         except (httpx.HTTPError, httpx.InvalidURL) as error:
-            log.debug('membership: %s did not answer, %r.', control_address, error)
+            log.debug('membership: no answer. peer=%s error=%r', control_address, error)
         except Exception:
-            # A malformed answer is as good as none.
-            log.exception('membership: the answer of %s is malformed.', control_address)
+            # A malformed answer is treated like a missing one.
+            log.exception('membership: malformed answer. peer=%s', control_address)
         return None
 
-    def _pass_on_urgent(self) -> None:
+    def _gossip_urgent(self) -> None:
         if self.protocol.has_urgent_updates:
             self.protocol.has_urgent_updates = False
-            self.spread_soon()
+            self.gossip_soon()
 
-    async def _spread_when_wanted(self) -> None:
+    async def _gossip_when_requested(self) -> None:
         while True:
-            await self._wanted.wait()
-            self._wanted = trio.Event()
-            await self.spread()
-            await trio.sleep(self.interval * SPREAD_PAUSE_ROUNDS)
+            await self._gossip_requested.wait()
+            self._gossip_requested = trio.Event()
+            await self.gossip()
+            await trio.sleep(self.interval * GOSSIP_PAUSE_ROUNDS)
 
-    async def _follow_list(self, read_list: ListReader) -> None:
+    async def _read_list_when_due(self, read_list: ListReader) -> None:
         while True:
             now = self.clock.monotonic()
             is_gateway = self.protocol.detector.is_gateway(now)
-            if self.contacts.wants_list(now, is_gateway):
+            if self.contacts.is_list_due(now, is_gateway):
                 listed = await read_list()
                 if listed is not None:
-                    self.contacts.learn(listed)
+                    self.contacts.apply_list(listed)
             await self._pause()
 
     async def _pause(self) -> None:
--- a/catkinslip/membership/protocol.py
+++ b/catkinslip/membership/protocol.py
@@ -1,7 +1,7 @@
-"""What two peers tell each other in one exchange, without any I/O.
+"""The protocol of an exchange between two peers, without any I/O.
 
-An exchange is a request and its answer. When the answer shows that the other
-side lacks something, one more message carries it.
+An exchange is a request and its answer. If the answer shows that the other side
+misses records or updates, one more message carries them.
 """
 
 import logging
@@ -17,11 +17,11 @@
 from catkinslip.membership.topics import PeerTopic
 from catkinslip.membership.zones import ZoneViews
 
-#: Updates that one message carries along.
+#: Maximum number of queued member updates in one message.
 MAX_UPDATES = 8
-#: Words after which an answer repairs no further zone.
-MAX_REPAIR_WORDS = 64
-#: One exchange in so many compares views; those across zones always do.
+#: Number of records after which an answer repairs no further zone.
+MAX_REPAIR_RECORDS = 64
+#: Views are compared once in so many exchanges; always in those between zones.
 ROUNDS_PER_COMPARISON = 3
 
 log = logging.getLogger('membership')
@@ -29,7 +29,7 @@
 
 @define
 class PeerProtocol:
-    """Make and take the messages of one instance."""
+    """The peer protocol of one instance: creates and applies its messages."""
 
     table: MemberTable
     topic_by_name: dict[str, PeerTopic]
@@ -42,34 +42,34 @@
         ),
         takes_self=True,
     )
-    #: Whether updates wait that peers must hear of before the next round.
+    #: Whether updates wait that must be sent to peers before the next round.
     has_urgent_updates: bool = False
     _requests: int = 0
 
     def request(self, now: float, target: Member | None = None) -> ExchangeMessage:
-        """Return the message that opens an exchange."""
+        """Return the request that opens an exchange with a peer."""
         self._requests += 1
         own = self.table.own
-        is_across = target is None or target.zone != own.zone
-        message = self._message(now, self._take_updates())
+        is_cross_zone = target is None or target.zone != own.zone
+        message = self._message(now, self._next_updates())
         message = evolve(message, digest_by_topic=self._digests())
-        if is_across or self._requests % ROUNDS_PER_COMPARISON == 0:
+        if is_cross_zone or self._requests % ROUNDS_PER_COMPARISON == 0:
             message = self._with_views(message, now)
-        news = {name: topic.news_for(None) for name, topic in self._topics()}
-        return evolve(message, news_by_topic=without_none(news))
+        updates = {name: topic.updates_for(None) for name, topic in self._topics()}
+        return evolve(message, news_by_topic=without_none(updates))
 
     def answer(self, message: ExchangeMessage, now: float) -> ExchangeMessage:
-        """Take a request over and return the answer."""
+        """Apply a peer's request and return the answer to it."""
         known = self.table.find(message.sender)
-        self._take(message, now)
+        self._apply_message(message, now)
         sender = self.table.find(message.sender)
-        words = {each.member_id: each for each in self._take_updates()}
-        words |= {each.member_id: each for each in self._corrections(message.words)}
+        records = {each.member_id: each for each in self._next_updates()}
+        records |= {each.member_id: each for each in self._corrections(message.words)}
         is_new = known is None or known.incarnation < message.incarnation
         repaired = self._zones_to_repair(message, now, is_new)
         for zone in repaired:
-            words |= {each.member_id: each for each in self._words_of(zone, now)}
-        answer = self._message(now, words.values())
+            records |= {each.member_id: each for each in self._records_of(zone, now)}
+        answer = self._message(now, records.values())
         if message.hash_by_zone:
             answer = evolve(answer, age_by_zone=self.zones.age_by_zone(now))
         return evolve(
@@ -82,21 +82,26 @@
                 for name, digest in self._digests().items()
                 if message.digest_by_topic.get(name) != digest
             },
-            news_by_topic=self._news(message.digest_by_topic),
+            news_by_topic=self._updates_for_digests(message.digest_by_topic),
         )
 
-    def conclude(
+    def apply_answer(
         self, request: ExchangeMessage, answer: ExchangeMessage, now: float
     ) -> ExchangeMessage | None:
-        """Take an answer over; return what the other side still lacks, if anything."""
-        self._take(answer, now)
-        words = [*self._corrections(answer.words), *self._lacking(answer, now)]
-        if answer.is_sender_unknown and self.table.own not in words:
-            words.append(self.table.own)
-        news = self._news(answer.digest_by_topic, request.news_by_topic.keys())
-        if not words and not news:
+        """Apply a peer's answer; return a message with the data it misses, or None."""
+        self._apply_message(answer, now)
+        records = [
+            *self._corrections(answer.words),
+            *self._missing_records(answer, now),
+        ]
+        if answer.is_sender_unknown and self.table.own not in records:
+            records.append(self.table.own)
+        updates = self._updates_for_digests(
+            answer.digest_by_topic, request.news_by_topic.keys()
+        )
+        if not records and not updates:
             return None
-        return evolve(self._message(now, words), news_by_topic=news)
+        return evolve(self._message(now, records), news_by_topic=updates)
 
     def _topics(self) -> list[tuple[str, PeerTopic]]:
         return list(self.topic_by_name.items())
@@ -104,22 +109,24 @@
     def _digests(self) -> dict[str, Any]:
         return {name: topic.digest() for name, topic in self._topics()}
 
-    def _news(self, digest_by_topic: dict[str, Any], told=()) -> dict[str, Any]:
+    def _updates_for_digests(
+        self, digest_by_topic: dict[str, Any], sent_topics=()
+    ) -> dict[str, Any]:
         return without_none(
             {
-                name: self.topic_by_name[name].news_for(digest)
+                name: self.topic_by_name[name].updates_for(digest)
                 for name, digest in digest_by_topic.items()
-                if name in self.topic_by_name and name not in told
+                if name in self.topic_by_name and name not in sent_topics
             }
         )
 
-    def _message(self, now: float, words: Iterable[Member]) -> ExchangeMessage:
-        words = tuple(words)
+    def _message(self, now: float, records: Iterable[Member]) -> ExchangeMessage:
+        records = tuple(records)
         return ExchangeMessage(
             sender=self.table.own.member_id,
             incarnation=self.table.own.incarnation,
-            words=words,
-            age_by_failed=self.table.age_by_failed(words, now),
+            words=records,
+            age_by_failed=self.table.age_by_failed(records, now),
         )
 
     def _with_views(self, message: ExchangeMessage, now: float) -> ExchangeMessage:
@@ -129,7 +136,7 @@
             age_by_zone=self.zones.age_by_zone(now),
         )
 
-    def _take_updates(self) -> list[Member]:
+    def _next_updates(self) -> list[Member]:
         count = len(self.table.member_by_id)
         members = [
             self.table.find(each)
@@ -137,36 +144,40 @@
         ]
         return [each for each in members if each is not None]
 
-    def _take(self, message: ExchangeMessage, now: float) -> None:
-        for word in message.words:
-            age = message.age_by_failed.get(word.member_id, 0.0)
-            # What a repair teaches is known elsewhere, so it is not passed on.
-            is_passed_on = word.zone not in message.repaired_zones
-            if self.table.merge(word, now, age, is_passed_on=is_passed_on):
-                log.info('membership: %s is %s.', word.member_id, standing_of(word))
-                self.has_urgent_updates |= is_passed_on and not word.is_usable
+    def _apply_message(self, message: ExchangeMessage, now: float) -> None:
+        for record in message.words:
+            age = message.age_by_failed.get(record.member_id, 0.0)
+            # Other members already have the records of a repair: no gossip needed.
+            is_gossiped = record.zone not in message.repaired_zones
+            if self.table.merge(record, now, age, is_gossiped=is_gossiped):
+                log.info(
+                    'membership: status changed. member=%s status=%s',
+                    record.member_id,
+                    describe_status(record),
+                )
+                self.has_urgent_updates |= is_gossiped and not record.is_usable
         for zone, age in message.age_by_zone.items():
-            self.zones.hear(zone, now, age)
+            self.zones.record_contact(zone, now, age)
         sender = self.table.find(message.sender)
         if sender is not None:
-            self.zones.hear(sender.zone, now)
-        for name, news in message.news_by_topic.items():
-            self._take_news(name, news)
+            self.zones.record_contact(sender.zone, now)
+        for name, updates in message.news_by_topic.items():
+            self._apply_topic_updates(name, updates)
 
-    def _take_news(self, name: str, news: Any) -> None:
+    def _apply_topic_updates(self, name: str, updates: Any) -> None:
         topic = self.topic_by_name.get(name)
         if topic is None:
             return
         try:
-            topic.receive(news)
+            topic.receive(updates)
         except Exception:
-            # One topic's malformed news must not stop the others.
-            log.exception('membership: news of %s are malformed.', name)
+            # Malformed updates of one topic must not stop the other topics.
+            log.exception('membership: malformed updates. topic=%s', name)
 
-    def _corrections(self, words: Iterable[Member]) -> list[Member]:
-        """Return this instance's words on members that a peer holds older ones of."""
-        known = [(word, self.table.find(word.member_id)) for word in words]
-        return [own for word, own in known if own is not None and own != word]
+    def _corrections(self, records: Iterable[Member]) -> list[Member]:
+        """Return the records of this instance that differ from those of a peer."""
+        known = [(record, self.table.find(record.member_id)) for record in records]
+        return [own for record, own in known if own is not None and own != record]
 
     def _zones_to_repair(
         self, message: ExchangeMessage, now: float, is_new: bool
@@ -184,14 +195,14 @@
         return self._within_limit(zones)
 
     def _within_limit(self, zones: list[str]) -> list[str]:
-        chosen, words = [], 0
+        chosen, record_count = [], 0
         for zone in zones:
-            if words < MAX_REPAIR_WORDS:
+            if record_count < MAX_REPAIR_RECORDS:
                 chosen.append(zone)
-                words += len(self.zones.members_by_zone[zone])
+                record_count += len(self.zones.members_by_zone[zone])
         return chosen
 
-    def _words_of(self, zone: str, now: float) -> list[Member]:
+    def _records_of(self, zone: str, now: float) -> list[Member]:
         self.zones.refresh(now)
         failed = [each.member for each in self.table.tombstone_by_id.values()]
         return [
@@ -199,24 +210,28 @@
             *(each for each in failed if each.zone == zone),
         ]
 
-    def _lacking(self, answer: ExchangeMessage, now: float) -> list[Member]:
-        """Return words of repaired zones that the other side did not have."""
-        told = {each.member_id for each in answer.words}
+    def _missing_records(self, answer: ExchangeMessage, now: float) -> list[Member]:
+        """Return the records of repaired zones that the other side does not have."""
+        sent_ids = {each.member_id for each in answer.words}
         return [
             each
             for zone in answer.repaired_zones
-            for each in self._words_of(zone, now)
-            if each.member_id not in told and each.status is not Status.FAILED
+            for each in self._records_of(zone, now)
+            if each.member_id not in sent_ids and each.status is not Status.FAILED
         ]
 
 
 def without_none(news_by_topic: dict[str, Any]) -> dict[str, Any]:
-    """Return the topics that have news."""
-    return {name: news for name, news in news_by_topic.items() if news is not None}
+    """Return the topics that have updates."""
+    return {
+        name: updates for name, updates in news_by_topic.items() if updates is not None
+    }
 
 
-def standing_of(word: Member) -> str:
-    """Return what a log line says of a member."""
+def describe_status(record: Member) -> str:
+    """Return the status of a member for log lines: leaving, or its status value."""
     return (
-        'leaving' if word.leaving and word.status is Status.ALIVE else str(word.status)
+        'leaving'
+        if record.leaving and record.status is Status.ALIVE
+        else str(record.status)
     )
--- a/catkinslip/tickets/gate.py
+++ b/catkinslip/tickets/gate.py
@@ -1,4 +1,4 @@
-"""Let a request that must not run twice reach a backend server at most once."""
+"""At-most-once forwarding of requests that must not run twice."""
 
 import logging
 from hashlib import blake2b
@@ -17,7 +17,7 @@
 from catkinslip.proxy.wire import Wire
 from catkinslip.tickets import table as tickets
 from catkinslip.tickets.keys import AnchoredClock, TicketKey, parse_key
-from catkinslip.tickets.passing import HomePasser
+from catkinslip.tickets.passing import HomeForwarder
 from catkinslip.tickets.records import (
     Claim,
     OtherRequest,
@@ -27,6 +27,7 @@
 from catkinslip.tickets.replay import RecordingWire, send_replay
 
 FINGERPRINT_BYTES = 16
+#: Timeout for the release of a platform record, in seconds.
 RELEASE_SECONDS = 5.0
 
 REASON_BY_REFUSAL = {
@@ -41,19 +42,19 @@
 
 
 @define
-class AtMostOnce(CallForwarder):
-    """Forward calls; run each key at most once over all instances."""
+class AtMostOnceForwarder(CallForwarder):
+    """A call forwarder that runs each key at most once over all instances."""
 
     forwarder: Forwarder
     table: tickets.TicketTable
     records: PlatformRecords
-    passer: HomePasser
+    home_forwarder: HomeForwarder
     config: ConfigHolder
     members: MemberTable
     clock: AnchoredClock
 
     async def forward(self, call: Call, caller: Wire) -> Outcome:
-        """Forward one call within its deadline."""
+        """Forward one call within its deadline and return its outcome."""
         if call.repeatable:
             return await self.forwarder.forward(call, caller)
         text = (names.find(call.headers, names.IDEMPOTENCY_KEY) or b'').decode(
@@ -65,7 +66,7 @@
             return await self._forward_without_ticket(call, caller, text, recorded)
         if key.member_id == self.members.own.member_id:
             return await self._forward_at_home(call, caller, key)
-        return await self._pass_home(call, caller, key)
+        return await self._forward_to_home(call, caller, key)
 
     async def _forward_without_ticket(
         self, call: Call, caller: Wire, text: str, recorded: bool
@@ -84,7 +85,11 @@
         self, call: Call, caller: Wire, key: TicketKey
     ) -> Outcome:
         decision = self.table.admit(key, fingerprint(call), self.clock.now())
-        log.info('tickets: %s %s.', call.request_id, describe(decision))
+        log.info(
+            'tickets: key looked up. request=%s decision=%s',
+            call.request_id,
+            describe(decision),
+        )
         match decision:
             case tickets.Admitted():
                 return await self._run(call, caller, key)
@@ -97,41 +102,47 @@
         return REASON_BY_REFUSAL[decision]
 
     async def _run(self, call: Call, caller: Wire, key: TicketKey) -> Outcome:
-        if call.is_expired(self.passer.clock):
-            self.table.not_run(key)
+        if call.is_expired(self.home_forwarder.clock):
+            self.table.release(key)
             return NotRun(Reason.TOO_LATE)
         recorder = RecordingWire(caller.stream, caller.codec, caller.peer)
         outcome: Outcome = Unknown(Reason.BROKEN)
         try:
             outcome = await self.forwarder.forward(call, recorder)
         finally:
-            # Also when the caller left or this instance stops.
-            self._settle(key, outcome, recorder)
+            # Also runs if the caller has closed the connection or this instance stops.
+            self._record_outcome(key, outcome, recorder)
         return outcome
 
-    def _settle(self, key: TicketKey, outcome: Outcome, recorder) -> None:
+    def _record_outcome(self, key: TicketKey, outcome: Outcome, recorder) -> None:
         match outcome:
             case NotRun():
-                self.table.not_run(key)
+                self.table.release(key)
             case Answered(status):
-                self.table.answered(key, status, recorder.kept_answer())
+                self.table.mark_answered(key, status, recorder.kept_answer())
             case _:
-                self.table.unknown(key)
+                self.table.mark_unknown(key)
 
-    async def _pass_home(self, call: Call, caller: Wire, key: TicketKey) -> Outcome:
+    async def _forward_to_home(
+        self, call: Call, caller: Wire, key: TicketKey
+    ) -> Outcome:
         home = self.members.member_by_id.get(key.member_id)
-        passed = names.find(call.headers, names.PASSED_BY) is not None
-        if passed or home is None or home.incarnation > key.incarnation:
+        is_passed_on = names.find(call.headers, names.PASSED_BY) is not None
+        if is_passed_on or home is None or home.incarnation > key.incarnation:
             return Unknown(Reason.HOME_GONE)
-        log.info('tickets: %s passes home to %s.', call.request_id, home.member_id)
-        return await self.passer.send(call, home, caller)
+        log.info(
+            'tickets: request forwarded to its home. request=%s home=%s',
+            call.request_id,
+            home.member_id,
+        )
+        return await self.home_forwarder.send(call, home, caller)
 
     async def _forward_recorded(self, call: Call, caller: Wire, text: str) -> Outcome:
         name = f'{call.service}\0{text}'
         claim = await self.records.claim(name, fingerprint(call))
         match claim:
             case Claim():
-                log.info('tickets: %s has its record.', call.request_id)
+                log.info('tickets: record claimed. request=%s', call.request_id)
             case OtherRequest():
                 return NotRun(Reason.KEY_OF_OTHER_REQUEST)
             case RecordUnavailable(reason):
@@ -153,7 +164,7 @@
 
 
 def fingerprint(call: Call) -> bytes:
-    """Return a digest of what a request asks for."""
+    """Return a digest of the service, method, target and body of a request."""
     digest = blake2b(digest_size=FINGERPRINT_BYTES)
     for part in (call.service.encode(), call.method, call.target, call.body):
         digest.update(b'%d:' % len(part))
@@ -162,12 +173,12 @@
 
 
 def describe(decision: tickets.Decision) -> str:
-    """Return what was decided, for the log."""
+    """Return the text of a decision for log lines."""
     match decision:
         case tickets.Admitted():
-            return 'is admitted, its key is new'
+            return 'admitted, the key is new'
         case tickets.Replay():
-            return 'gets its kept answer'
+            return 'answered from the kept answer'
         case tickets.AlreadySent(state):
-            return f'is refused, its key is {state.value}'
-    return f'is refused, its key is {decision.value}'
+            return f'refused, the key is {state.value}'
+    return f'refused, the key is {decision.value}'
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -1,4 +1,4 @@
-"""Instances that are killed or paused, as processes under load."""
+"""Tests of killed or paused instances, as processes under load."""
 
 import signal
 import unittest
@@ -20,7 +20,7 @@
 
 
 class FailedInstanceTest(unittest.TestCase):
-    """Three instances in three zones."""
+    """Failures of instances among three in three zones."""
 
     def setUp(self):
         self.group = new_process_group(self)
@@ -52,7 +52,7 @@
         self.assertGreater(tally.right, 0)
         self.assertNotIn(second.address, asked_addresses(third))
 
-    def test_control_surface_refuses_what_it_must(self):
+    def test_control_surface_refuses_invalid_messages(self):
         daemon = self.daemons[0]
         url = f'http://{daemon.control_address}/v1/exchange'
         good = {'Catkinslip-Secret': SECRET}
--- a/tests/test_membership_protocol.py
+++ b/tests/test_membership_protocol.py
@@ -1,4 +1,4 @@
-"""The peer protocol between a few instances, on a virtual clock."""
+"""Tests of the peer protocol between a few instances, on a virtual clock."""
 
 import unittest
 from random import Random
@@ -24,7 +24,7 @@
 
 @define
 class Peers:
-    """Instances that exchange in memory; messages of cut pairs are lost."""
+    """Simulated instances that exchange in memory; messages of cut pairs are lost."""
 
     random: Random = Factory(lambda: Random(7))
     now: float = 100.0
@@ -51,9 +51,9 @@
         other = self.peer_by_id[other_id]
         request = peer.request(self.now, peer.table.find(other_id))
         answer = other.answer(request, self.now)
-        lacking = peer.conclude(request, answer, self.now)
-        if lacking is not None:
-            other.answer(lacking, self.now)
+        missing = peer.apply_answer(request, answer, self.now)
+        if missing is not None:
+            other.answer(missing, self.now)
         return True
 
     def run(self, rounds: int) -> None:
@@ -68,8 +68,8 @@
         for target in peer.detector.next_targets(self.now):
             if self.exchange(peer, target.member_id):
                 continue
-            cell = peer.detector.cell_zones(self.now)
-            if target.status is Status.FAILED or target.zone not in cell:
+            group_zones = peer.detector.probe_group_zones(self.now)
+            if target.status is Status.FAILED or target.zone not in group_zones:
                 continue
             helpers = peer.detector.helpers(target, self.now)
             reached = [
@@ -85,7 +85,7 @@
             if condition():
                 return count
             self.run(1)
-        raise AssertionError('the condition did not come true')
+        raise AssertionError('the condition did not become true within the rounds')
 
     def cut(self, group: set[str]) -> None:
         others = self.peer_by_id.keys() - group
@@ -100,7 +100,7 @@
 
 
 def fleet(size_by_zone: dict[str, int]) -> Peers:
-    """Return peers that all know each other."""
+    """Return peers that all have each other in their member tables."""
     peers = Peers()
     seed = ''
     for zone, size in size_by_zone.items():
@@ -113,8 +113,8 @@
     return peers
 
 
-class SpreadTest(unittest.TestCase):
-    """Words reach all members, a bounded number of times."""
+class GossipTest(unittest.TestCase):
+    """Member updates reach all members and are sent a bounded number of times."""
 
     def test_one_seed_is_enough_and_updates_stop(self):
         peers = fleet({'zone-a': 20})
@@ -134,7 +134,7 @@
         request = joining.request(peers.now)
         self.assertEqual(request.words, (joining.table.own,))
         answer = peers.peer_by_id['zone-a-0'].answer(request, peers.now)
-        self.assertIsNone(joining.conclude(request, answer, peers.now))
+        self.assertIsNone(joining.apply_answer(request, answer, peers.now))
         self.assertEqual(len(joining.table.member_by_id), 12)
         self.assertLessEqual(joining.table.updates.sent_by_id.keys(), {'zone-a-new'})
 
@@ -142,11 +142,11 @@
         peers = fleet({'zone-a': 3})
         table = peers.peer_by_id['zone-a-0'].table
         table.updates.sent_by_id.clear()
-        table.leave()
+        table.mark_leaving()
         sent = sum(len(table.updates.take(8, 50)) for _ in range(1000))
         self.assertEqual(sent, transmissions(50))
 
-    def test_one_repair_teaches_both_sides(self):
+    def test_one_repair_updates_both_sides(self):
         peers = Peers()
         one = peers.start(member('zone-a-0'))
         other = peers.start(member('zone-a-1'), 'zone-a-0')
@@ -170,19 +170,21 @@
             peer.has_urgent_updates = False
         for _ in range(3):
             leaving = sorted(peers.usable('zone-b-0'))[0]
-            peers.peer_by_id[leaving].table.leave()
-            self.pass_on(peers, leaving)
-        told = [name for name in peers.peer_by_id if leaving not in peers.usable(name)]
-        # No round has run. The few that are left learn in the next ones.
-        self.assertGreater(len(told), 30)
+            peers.peer_by_id[leaving].table.mark_leaving()
+            self.gossip_urgent(peers, leaving)
+        informed = [
+            name for name in peers.peer_by_id if leaving not in peers.usable(name)
+        ]
+        # No round has run. The other members receive the update in the next rounds.
+        self.assertGreater(len(informed), 30)
         peers.run_until(lambda: peers.all_see(peers.usable(leaving)), rounds=5)
 
-    def pass_on(self, peers: Peers, first: str) -> None:
+    def gossip_urgent(self, peers: Peers, first: str) -> None:
         waiting = [first]
         while waiting:
             peer = peers.peer_by_id[waiting.pop(0)]
             peer.has_urgent_updates = False
-            for target in peer.detector.spread_targets(peers.now):
+            for target in peer.detector.gossip_targets(peers.now):
                 peers.exchange(peer, target.member_id)
             for name, other in peers.peer_by_id.items():
                 if other.has_urgent_updates and name not in waiting:
@@ -193,31 +195,31 @@
         gateways = 0
         for peer in peers.peer_by_id.values():
             own = peer.table.own
-            targets = peer.detector.targets(peers.now)
-            self.assertEqual({each.zone for each in targets}, {own.zone})
+            probed = peer.detector.probe_group(peers.now)
+            self.assertEqual({each.zone for each in probed}, {own.zone})
             gateways += peer.detector.is_gateway(peers.now)
         self.assertEqual(gateways, 9)
 
 
 class FailureTest(unittest.TestCase):
-    """Failed members are found, and live ones are not lost."""
+    """Failed members are detected, and live ones are not removed."""
 
-    def test_dead_member_fails_and_old_words_do_not_revive_it(self):
+    def test_stopped_member_fails_and_old_records_do_not_restore_it(self):
         peers = fleet({'zone-a': 5})
         old = peers.peer_by_id['zone-a-1'].table.find('zone-a-4')
         peers.stopped.add('zone-a-4')
-        left = peers.peer_by_id.keys() - peers.stopped
-        peers.run_until(lambda: peers.all_see(left))
+        remaining = peers.peer_by_id.keys() - peers.stopped
+        peers.run_until(lambda: peers.all_see(remaining))
         peers.run_until(
             lambda: all(
                 'zone-a-4' in peers.peer_by_id[name].table.tombstone_by_id
-                for name in left
+                for name in remaining
             )
         )
         table = peers.peer_by_id['zone-a-1'].table
         self.assertFalse(table.merge(old, peers.now))
         self.assertNotIn('zone-a-4', table.member_by_id)
-        table.forget_old(peers.now + TOMBSTONE_SECONDS)
+        table.remove_old_tombstones(peers.now + TOMBSTONE_SECONDS)
         self.assertEqual(table.tombstone_by_id, {})
 
     def test_only_member_of_a_zone_is_found_failed(self):
@@ -227,7 +229,7 @@
             table = peers.peer_by_id[name].table
             peers.run_until(lambda t=table: 'zone-c-0' in t.tombstone_by_id)
 
-    def test_old_tombstone_is_not_taken_over(self):
+    def test_old_tombstone_is_not_merged(self):
         table = MemberTable(member('zone-a-0'))
         failed = member('zone-a-1', status=Status.FAILED)
         self.assertFalse(table.merge(failed, 0.0, age=TOMBSTONE_SECONDS))
@@ -241,19 +243,19 @@
 
     def test_paused_member_is_left_out_and_refutes(self):
         peers = fleet({'zone-a': 5})
-        everyone = set(peers.peer_by_id)
+        all_ids = set(peers.peer_by_id)
         for rounds_after in (0, 20):
             peers.stopped.add('zone-a-2')
-            peers.run_until(lambda: peers.all_see(everyone - {'zone-a-2'}))
+            peers.run_until(lambda: peers.all_see(all_ids - {'zone-a-2'}))
             peers.run(rounds_after)
             before = peers.peer_by_id['zone-a-2'].table.own
             peers.stopped.clear()
-            peers.run_until(lambda: peers.all_see(everyone))
+            peers.run_until(lambda: peers.all_see(all_ids))
             after = peers.peer_by_id['zone-a-2'].table.own
             self.assertGreater(after.revision, before.revision)
             self.assertEqual(after.incarnation, before.incarnation)
 
-    def test_process_that_was_paused_fails_nobody_when_it_wakes(self):
+    def test_process_that_was_paused_marks_no_member_as_failed(self):
         peers = fleet({'zone-a': 5})
         peer = peers.peer_by_id['zone-a-0']
         target = peer.table.member_by_id['zone-a-1']
@@ -266,7 +268,7 @@
     def test_restart_replaces_the_earlier_process(self):
         peers = fleet({'zone-a': 4})
         old = peers.peer_by_id['zone-a-3'].table.own
-        peers.peer_by_id['zone-a-3'].table.leave()
+        peers.peer_by_id['zone-a-3'].table.mark_leaving()
         peers.run(5)
         peers.start(evolve(old, incarnation=2, address='new:80'), 'zone-a-0')
         peers.run_until(lambda: peers.all_see(set(peers.peer_by_id)))
@@ -276,7 +278,7 @@
 
 
 class PartitionTest(unittest.TestCase):
-    """Both sides go on, and merge when they meet again."""
+    """Both sides of a partition continue, and merge after the partition ends."""
 
     def test_small_fleet_split_in_two_merges(self):
         peers = fleet({'zone-a': 3, 'zone-b': 3})
@@ -292,29 +294,29 @@
     def test_regions_cut_off_go_on_and_merge(self):
         peers = fleet({'zone-a': 9, 'zone-b': 9, 'zone-c': 9})
         group = {name for name in peers.peer_by_id if name.startswith('zone-a')}
-        everyone = set(peers.peer_by_id)
-        others = everyone - group
+        all_ids = set(peers.peer_by_id)
+        others = all_ids - group
         peers.cut(group)
         peers.run(int(SILENT_SECONDS / ROUND_SECONDS) + 40)
-        # Nobody across the cut counts as failed; the zones are only left out.
+        # No member across the cut is marked as failed; only its zone is left out.
         self.assertTrue(peers.all_see(group, group))
         self.assertTrue(peers.all_see(others, others))
         for peer in peers.peer_by_id.values():
             self.assertEqual(peer.table.tombstone_by_id, {})
-        peers.peer_by_id['zone-b-1'].table.leave()
+        peers.peer_by_id['zone-b-1'].table.mark_leaving()
         peers.stopped.add('zone-a-2')
         restarted = evolve(peers.peer_by_id['zone-c-1'].table.own, incarnation=2)
         peers.start(restarted, 'zone-c-0')
         peers.run(40)
         peers.cut_pairs.clear()
-        expected = everyone - {'zone-b-1', 'zone-a-2'}
+        expected = all_ids - {'zone-b-1', 'zone-a-2'}
         peers.run_until(lambda: peers.all_see(expected))
         for name in expected:
             found = peers.peer_by_id[name].table.find('zone-c-1')
             self.assertEqual(found.incarnation, 2)
 
 
-WORDS = st.builds(
+MEMBER_RECORDS = st.builds(
     member,
     name=st.just('zone-a-1'),
     incarnation=st.integers(1, 2),
@@ -325,20 +327,20 @@
 
 
 class MergeTest(unittest.TestCase):
-    """Words merge alike in any order."""
+    """Member records merge to the same result in any order."""
 
     @settings(derandomize=True, database=None, deadline=None)
-    @given(st.lists(WORDS, min_size=1, max_size=5), st.randoms())
-    def test_order_and_repeats_do_not_matter(self, words, random):
+    @given(st.lists(MEMBER_RECORDS, min_size=1, max_size=5), st.randoms())
+    def test_order_and_repeats_do_not_matter(self, records, random):
         first, second = (MemberTable(member('zone-a-0')) for _ in range(2))
-        shuffled = words + words
+        shuffled = records + records
         random.shuffle(shuffled)
-        for word in words:
-            first.merge(word)
-        for word in shuffled:
-            second.merge(word)
+        for record in records:
+            first.merge(record)
+        for record in shuffled:
+            second.merge(record)
         found = first.find('zone-a-1')
         self.assertEqual(found, second.find('zone-a-1'))
-        latest = [each for each in words if each.incarnation == found.incarnation]
+        latest = [each for each in records if each.incarnation == found.incarnation]
         self.assertEqual(found.leaving, any(each.leaving for each in latest))
         self.assertEqual(join(found, found), found)
--- a/tests/test_tickets_gate.py
+++ b/tests/test_tickets_gate.py
@@ -1,4 +1,4 @@
-"""The gate: what runs here, what passes home, what callers are told."""
+"""Tests of at-most-once forwarding: local runs, forwarding to the home, outcomes."""
 
 import unittest
 from random import Random
@@ -17,15 +17,15 @@
 from catkinslip.proxy.pool import BackendPool
 from catkinslip.proxy.wire import server_wire
 from catkinslip.store.embedded import EmbeddedStore
-from catkinslip.tickets.gate import AtMostOnce
+from catkinslip.tickets.gate import AtMostOnceForwarder
 from catkinslip.tickets.keys import AnchoredClock
-from catkinslip.tickets.passing import HomePasser
+from catkinslip.tickets.passing import HomeForwarder
 from catkinslip.tickets.records import PlatformRecords
 from catkinslip.tickets.table import TicketTable
 from tests.builders import document_of, document_plain, ticket_key
 
 OWN = Member('entry-2', 3, 'zone-a', '127.0.0.1:1', '127.0.0.1:1')
-#: Nothing listens on port 1, so this home cannot be reached.
+#: No process listens on port 1, so this home is unreachable.
 HOME = Member('entry-1', 7, 'zone-a', '127.0.0.1:1', '127.0.0.1:1')
 RULES = [
     {'service': '*', 'path': path, 'methods': ['POST'], 'repeatable': False, **more}
@@ -35,7 +35,7 @@
 
 @define
 class ScriptedForwarder:
-    """Count calls and end each as told."""
+    """A forwarder that records calls and ends each with a set outcome."""
 
     outcome: Outcome = Answered(201)
     answers: bool = True
@@ -53,7 +53,7 @@
 
 
 class GateTest(unittest.TestCase):
-    """One instance's gate before a scripted forwarder."""
+    """The at-most-once forwarder of one instance before a scripted forwarder."""
 
     def setUp(self):
         self.clock = SystemClock()
@@ -72,11 +72,11 @@
         self.store = EmbeddedStore()
         self.members = MemberTable(OWN)
         self.members.merge(HOME)
-        self.gate = AtMostOnce(
+        self.gate = AtMostOnceForwarder(
             forwarder=self.forwarder,
             table=TicketTable('entry-2', 3, 60.0, 10, anchored.now()),
             records=PlatformRecords(self.store, Random(1)),
-            passer=HomePasser('entry-2', BackendPool(), self.clock),
+            home_forwarder=HomeForwarder('entry-2', BackendPool(), self.clock),
             config=config,
             members=self.members,
             clock=anchored,
@@ -131,17 +131,17 @@
         self.assertEqual(len(self.forwarder.calls), 1)
         self.forwarder.answers = False
         self.forward(self.other_own_key)
-        told = self.forward(self.other_own_key)
-        self.assertEqual(told, Unknown(Reason.ALREADY_SENT, 'answered 201'))
+        repeated = self.forward(self.other_own_key)
+        self.assertEqual(repeated, Unknown(Reason.ALREADY_SENT, 'answered 201'))
 
     def test_cancelled_request_may_have_run(self):
         self.forwarder.outcome = None
 
-        async def leave():
+        async def cancel():
             with trio.move_on_after(0.01):
                 await self.forward_async(self.own_key, b'/claim', {})
 
-        trio.run(leave)
+        trio.run(cancel)
         self.forwarder.outcome = Answered(201)
         self.assertEqual(self.forward(self.own_key).reason, Reason.ALREADY_SENT)
         self.assertEqual(len(self.forwarder.calls), 1)
--- a/tests/test_tickets_table.py
+++ b/tests/test_tickets_table.py
@@ -1,4 +1,4 @@
-"""The table of keys, the keys, and random runs against what must hold."""
+"""Tests of keys and of the ticket table, with random runs against its invariants."""
 
 import unittest
 
@@ -32,7 +32,7 @@
 
 
 class KeyTest(unittest.TestCase):
-    """Keys that address answers begin, and others."""
+    """Keys with a prefix from an address answer, and other keys."""
 
     def test_prefix_names_home_incarnation_and_expiry(self):
         member = Member('entry.1', 9, 'zone-a', '127.0.0.1:1', '127.0.0.1:2')
@@ -44,16 +44,16 @@
             (key.member_id, key.incarnation, key.expiry), ('entry.1', 9, 150)
         )
 
-    def test_foreign_keys_are_told_apart(self):
-        foreign = ('', 'a', 'ck1', 'ck1.a.1.2', 'ck1.a.1.2.', 'a.b.1.2.r')
+    def test_other_and_malformed_keys_are_not_parsed(self):
+        other_formats = ('', 'a', 'ck1', 'ck1.a.1.2', 'ck1.a.1.2.', 'a.b.1.2.r')
         malformed = ('ck1.a.x.2.r', 'ck1..1.2.r', 'ck1.a.-1.2.r', 'ck1.a.1.².r')
-        for text in foreign + malformed:
+        for text in other_formats + malformed:
             self.assertIsNone(parse_key(text), text)
         self.assertIsNone(parse_key('ck1.a.1.2.' + 'r' * 255))
 
 
 class TableTest(unittest.TestCase):
-    """Decisions on one key."""
+    """Decisions of the ticket table on one key."""
 
     def setUp(self):
         self.table = new_table()
@@ -66,7 +66,7 @@
         self.assertEqual(self.admit(ticket_key(expiry=59)), Admitted())
         key = ticket_key(expiry=59)
         self.assertEqual(self.admit(key), AlreadySent(EntryState.RUNNING, None))
-        self.table.unknown(key)
+        self.table.mark_unknown(key)
         self.assertEqual(self.admit(key), AlreadySent(EntryState.UNKNOWN, None))
         self.assertEqual(self.admit(key, OTHER), Refusal.OTHER_REQUEST)
 
@@ -75,7 +75,7 @@
         large = KeptAnswer(200, (), bytes(MAX_KEPT_BYTES))
         for name, answer in (('a', large), ('b', small)):
             self.admit(ticket_key(name))
-            self.table.answered(ticket_key(name), 200, answer)
+            self.table.mark_answered(ticket_key(name), 200, answer)
         self.assertEqual(self.admit(ticket_key('a')), Replay(large))
         sent = AlreadySent(EntryState.ANSWERED, 200)
         self.assertEqual(self.admit(ticket_key('b')), sent)
@@ -93,12 +93,12 @@
         for number in range(CAPACITY):
             self.assertEqual(self.admit(ticket_key(str(number), last)), Admitted())
         self.assertEqual(self.admit(), Refusal.FULL)
-        self.table.not_run(ticket_key('0', last))
+        self.table.release(ticket_key('0', last))
         self.assertEqual(self.admit(), Admitted())
 
 
 class TableMachine(RuleBasedStateMachine):
-    """Sendings of a few keys in any order, with crashes and time."""
+    """Random requests with a few keys, with crashes and the passing of time."""
 
     def __init__(self):
         super().__init__()
@@ -123,13 +123,13 @@
         key = min(self.running, key=lambda each: each.text)
         self.running.remove(key)
         if outcome == 'not_run':
-            self.table.not_run(key)
+            self.table.release(key)
             return
         self.may_have_run[key.text] = key
         if outcome == 'unknown':
-            self.table.unknown(key)
+            self.table.mark_unknown(key)
         else:
-            self.table.answered(key, 200, KeptAnswer(200, (), b'x'))
+            self.table.mark_answered(key, 200, KeptAnswer(200, (), b'x'))
 
     @rule(seconds=strategies.floats(0, 30))
     def wait(self, seconds):
