--- a/catkinslip/config/holder.py
+++ b/catkinslip/config/holder.py
@@ -1,4 +1,4 @@
-"""The configuration in force on one instance."""
+"""The configuration that is in force on this instance."""
 
 import logging
 from collections.abc import Callable
@@ -16,35 +16,42 @@
 
 @unique
 class Step(Enum):
-    """What became of changes that were offered."""
+    """Result of offering changes to the configuration in force."""
 
-    #: The configuration in force is newer than before.
+    #: Some changes were applied: the configuration in force is newer than before.
     TAKEN = auto()
-    #: Nothing was newer than what is in force.
+    #: No change was newer than the configuration in force.
     OLD = auto()
-    #: A change between was missing; a whole configuration is needed.
+    #: A change in between is missing: a complete configuration is needed.
     GAP = auto()
-    #: The same version with another change; the one in force is kept.
+    #: The version in force came with another change ID; the one in force is kept.
     CONTRADICTION = auto()
 
 
 @define
 class ConfigHolder:
-    """Hold the newest accepted configuration and never go back."""
+    """The newest accepted configuration, which is never replaced by an older one."""
+
+    #: The configuration in force.
 
     current: AcceptedConfig = Factory(AcceptedConfig)
+    #: Functions that are called with each new configuration in force.
     listeners: list[Listener] = Factory(list)
-    #: The changes that led to the one in force, oldest first, without gaps.
+    #: The last changes up to the configuration in force, oldest first, without gaps.
     recent: tuple[Change, ...] = ()
+    #: Number of times that the version in force came with another change ID.
     contradictions: int = 0
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether any configuration is in force."""
+        """Return whether any configuration is in force."""
         return self.current.version > ConfigVersion()
 
     def offer(self, candidate: AcceptedConfig, recent: tuple[Change, ...] = ()) -> bool:
-        """Put a configuration in force if it is newer; tell whether it was."""
+        """Put a configuration in force if it is newer, and return whether it was.
+
+        `recent` are the last changes up to the configuration, oldest first.
+        """
         if candidate.version <= self.current.version:
             self._compare(candidate.version, candidate.change_id)
             return False
@@ -53,7 +60,7 @@
         return True
 
     def offer_changes(self, changes: tuple[Change, ...]) -> Step:
-        """Put changes in force, oldest first, that follow the one in force."""
+        """Apply the changes, oldest first, that follow the configuration in force."""
         config = self.current
         taken: list[Change] = []
         for change in changes:
@@ -74,7 +81,10 @@
         return Step.TAKEN if taken else Step.OLD
 
     def changes_after(self, version: ConfigVersion) -> tuple[Change, ...] | None:
-        """Return the changes that lead from a version to the one in force."""
+        """Return the changes from a version to the one in force.
+
+        Return None if not all of them are held.
+        """
         later = tuple(each for each in self.recent if each.version > version)
         wanted = self.current.version.number - version.number
         same_epoch = version.epoch == self.current.version.epoch
@@ -91,8 +101,8 @@
             return True
         self.contradictions += 1
         log.error(
-            'config: version %s is change %s here and %s elsewhere; '
-            'the one in force is kept, raise the epoch.',
+            'config: two changes with one version; the one in force is kept, raise '
+            'the epoch. version=%s in_force=%s other=%s',
             version,
             current.change_id,
             change_id,
--- a/catkinslip/config/topic.py
+++ b/catkinslip/config/topic.py
@@ -1,4 +1,4 @@
-"""Carry the accepted configuration between peers."""
+"""Exchange of the accepted configuration with peers."""
 
 import logging
 from collections.abc import Callable
@@ -19,9 +19,9 @@
 from catkinslip.config.reading import MALFORMED
 from catkinslip.membership.topics import PeerTopic
 
-#: Exchanges in which an instance pushes a change that is new to it.
+#: Number of exchanges in which an instance pushes a new version.
 PUSHES_PER_CHANGE = 6
-#: Bytes of patches that one push holds at most.
+#: Maximum size of the patches in one push, as JSON, in bytes.
 MAX_PUSH_BYTES = 2_000
 
 Message = TypeVar('Message')
@@ -31,7 +31,10 @@
 
 @frozen
 class ConfigDigest:
-    """What an instance holds; a fresh one waits for several peers' answers."""
+    """The version that an instance has.
+
+    `waiting` marks a fresh instance that waits for the answers of several peers.
+    """
 
     version: ConfigVersion
     waiting: bool = False
@@ -39,35 +42,50 @@
 
 @frozen
 class ConfigNews:
-    """Changes that follow each other, or a whole configuration, or neither."""
+    """Update for a peer: consecutive changes, a complete configuration, or neither."""
+
+    #: Instance ID of the sender.
 
     sender: str
     changes: tuple[Change, ...] = ()
+    #: Complete configuration; `changes` are then the last changes up to it.
     whole: Snapshot | None = None
 
 
 @define
 class ConfigTopic(PeerTopic):
-    """Tell peers the version in force and give newer ones to those behind."""
+    """Peer topic that sends the version in force, and updates to peers behind it."""
 
     config: ConfigHolder
+    #: This instance's ID.
     sender: str = ''
-    #: Tells how many peers are known; it decides how many must answer a fresh one.
+    #: Function that returns the number of known peers, which determines how many peers
+    #: must answer a fresh instance.
     count_peers: Callable[[], int] = lambda: 0
+    #: Answers of peers while no configuration is in force.
     bootstrap: Bootstrap = Factory(Bootstrap)
+    #: Version that is being pushed.
     pushed_version: ConfigVersion = ConfigVersion()
+    #: Number of exchanges that still push this version.
     pushes_left: int = 0
     name = 'config'
 
     def digest(self) -> Any:
-        """Return the version in force, or the best one seen while waiting."""
+        """Return the digest that peers receive, which holds the version in force.
+
+        While an instance waits for the answers of peers, the digest holds the newest
+        version that it has received.
+        """
         if self.config.is_ready:
             return converter.unstructure(ConfigDigest(self.config.current.version))
         digest = ConfigDigest(self.bootstrap.best.version, waiting=True)
         return converter.unstructure(digest)
 
     def news_for(self, digest: Any | None) -> Any | None:
-        """Return what a peer lacks, or the newest changes if that is not known."""
+        """Return the update for a peer with a digest; None if there is nothing to send.
+
+        Without a digest, the update holds the newest changes.
+        """
         if digest is None:
             news = self._push()
         else:
@@ -75,12 +93,12 @@
         return None if news is None else converter.unstructure(news)
 
     def receive(self, news: Any) -> None:
-        """Put a peer's configuration in force if it is newer."""
+        """Apply a peer's update; raise ValueError if it is malformed."""
         try:
             self._take(converter.structure(news, ConfigNews))
         except MALFORMED as error:
             raise ValueError(
-                f'malformed news of the configuration: {error!r}'
+                f'malformed update of the configuration: {error!r}'
             ) from None
 
     def _push(self) -> ConfigNews | None:
@@ -96,7 +114,8 @@
 
     def _answer(self, known: ConfigDigest) -> ConfigNews | None:
         if not self.config.is_ready:
-            # A fresh instance's silence says nothing of what is in force.
+            # An instance without a configuration has no version to compare, so that it
+            # must not count as an answer.
             return None
         current = self.config.current
         if known.version >= current.version:
@@ -114,9 +133,9 @@
             self._take_first(news)
         elif news.whole is None:
             if self.config.offer_changes(news.changes) is Step.TAKEN:
-                self._log(f'from {news.sender}')
+                self._log(f'peer {news.sender}')
         elif self.config.offer(parse_snapshot(news.whole), news.changes):
-            self._log(f'whole from {news.sender}')
+            self._log(f'peer {news.sender} (complete)')
 
     def _take_first(self, news: ConfigNews) -> None:
         best = self.bootstrap.best
@@ -130,15 +149,15 @@
                 return
         chosen = self.bootstrap.add(news.sender, found, self.count_peers())
         if chosen is not None and self.config.offer(chosen):
-            self._log(f'from {len(self.bootstrap.answered)} peers')
+            self._log(f'{len(self.bootstrap.answered)} peers')
 
     def _log(self, source: str) -> None:
         version = self.config.current.version
-        log.info('config: version %s is in force, %s.', version, source)
+        log.info('config: new version in force. version=%s source=%s', version, source)
 
 
 def parse(plain: Any, wanted: type[Message]) -> Message:
-    """Read a peer's message; raise ValueError if it is malformed."""
+    """Parse a peer's message; raise ValueError if it is malformed."""
     try:
         return converter.structure(plain, wanted)
     except MALFORMED as error:
@@ -146,7 +165,7 @@
 
 
 def parse_snapshot(snapshot: Snapshot) -> AcceptedConfig:
-    """Read a peer's whole configuration; raise ValueError if it is malformed."""
+    """Parse a peer's complete configuration; raise ValueError if it is malformed."""
     try:
         return from_snapshot(snapshot)
     except MALFORMED as error:
--- a/catkinslip/config/watcher.py
+++ b/catkinslip/config/watcher.py
@@ -1,4 +1,4 @@
-"""Follow the accepted configuration on the platform."""
+"""Watch on the accepted configuration on the platform."""
 
 import logging
 from collections.abc import Callable
@@ -25,10 +25,11 @@
     StoredObject,
 )
 
+#: Maximum duration of one watch call, in seconds.
 WATCH_SECONDS = 20.0
-#: Mean time between two polls of an instance that does not watch.
+#: Mean time between two polls of an instance that is not a watcher, in seconds.
 POLL_SECONDS = 60.0
-#: Time between two looks at whether this instance should watch.
+#: Time between two checks whether this instance is a watcher, in seconds.
 DUTY_SECONDS = 1.0
 
 log = logging.getLogger('config')
@@ -36,25 +37,28 @@
 
 @define
 class ConfigWatcher:
-    """Put each accepted configuration in force on this instance."""
+    """Reader of the platform that puts accepted configurations in force here."""
 
     store: ObjectStore
     config: ConfigHolder
+    #: Function that returns whether this instance is a watcher of its zone.
     is_watcher: Callable[[], bool] = lambda: True
     random: Random = Factory(Random)
     backoff: Backoff = Factory(Backoff)
+    #: Version of the head's object that was applied last; 0 to read any version.
     object_version: int = 0
 
     async def run(self) -> None:
-        """Watch or poll until cancelled."""
+        """Watch or poll the platform until cancelled."""
         while True:
             result = await self._ask()
             match result:
                 case Success(StoredObject() as found):
                     error = await self._take(found)
                 case Success(_):
-                    # A platform that was restored unseen may count versions from
-                    # lower ones, and then would stay silent for ever.
+                    # A platform that was restored without a failed call may have
+                    # lower object versions. A watch for a version above the old
+                    # one would then never return an object.
                     self.object_version = 0
                     error = None
                 case Failure(error):
@@ -72,9 +76,9 @@
         if isinstance(error, OverBudget):
             await trio.sleep(error.retry_after)
         elif error is not None:
-            # A restored platform may count versions again from lower ones.
+            # A restored platform may have lower object versions.
             self.object_version = 0
-            log.warning('config: the platform gave no configuration, %s.', error)
+            log.warning('config: configuration not readable. error=%s', error)
             await trio.sleep(self.backoff.next_delay(self.random))
         else:
             self.backoff.reset()
@@ -100,7 +104,8 @@
         in_force = self.config.current.version
         if head.version < in_force:
             log.warning(
-                'config: the platform shows version %s, older than %s in force; kept.',
+                'config: platform returned an older version; the one in force is kept. '
+                'version=%s in_force=%s',
                 head.version,
                 in_force,
             )
--- a/tests/test_config_history.py
+++ b/tests/test_config_history.py
@@ -159,7 +159,7 @@
         holder = ConfigHolder(config_with(1, 5, 'mine'))
         with self.assertLogs('config', 'ERROR') as logs:
             self.assertFalse(holder.offer(config_with(2, 5, 'other')))
-        self.assertIn('version 0.5 is change mine here and other', logs.output[0])
+        self.assertIn('version=0.5 in_force=mine other=other', logs.output[0])
         self.assertEqual(holder.contradictions, 1)
         self.assertEqual(holder.current.change_id, 'mine')
 
--- a/tests/test_config_processes.py
+++ b/tests/test_config_processes.py
@@ -200,7 +200,7 @@
 
     def kept(self, daemon: Process) -> int:
         """Count how often an instance was shown an older version."""
-        return daemon.log_path.read_text().count('in force; kept')
+        return daemon.log_path.read_text().count('the one in force is kept')
 
 
 def version_of(daemon: Process) -> int:
