--- a/catkinslip/config/checks.py
+++ b/catkinslip/config/checks.py
@@ -1,4 +1,4 @@
-"""Check a configuration document before it is accepted."""
+"""Checks of a configuration document before it is accepted."""
 
 import json
 import re
@@ -17,7 +17,8 @@
 )
 from catkinslip.config.shapes import DocumentMistake, check_shape
 
-#: The platform holds values up to a megabyte; a snapshot adds a few fields.
+#: Maximum size of a document as JSON, in bytes. The platform stores values of up to
+#: a megabyte, and a snapshot adds a few fields to the document.
 MAX_DOCUMENT_BYTES = 980_000
 MAX_NAME_CHARACTERS = 128
 NAME = re.compile(r'[A-Za-z0-9][A-Za-z0-9._-]*')
@@ -32,13 +33,13 @@
 
 @frozen
 class DocumentRefused:
-    """A document that must not be accepted."""
+    """Refusal of a document, with all mistakes that were found."""
 
     mistakes: tuple[DocumentMistake, ...]
 
 
 def parse_document(text: bytes) -> Result[Document, DocumentRefused]:
-    """Read a document from JSON and check it."""
+    """Parse a document from JSON and check it."""
     duplicates: list[str] = []
 
     def unique_map(pairs: list[tuple[str, Any]]) -> dict:
@@ -53,13 +54,13 @@
     except (ValueError, RecursionError) as error:
         return refused(DocumentMistake('document', f'is not JSON, {error}'))
     if duplicates:
-        reason = 'stands twice in one map'
+        reason = 'is a duplicate key in one map'
         return refused(*(DocumentMistake(key, reason) for key in duplicates))
     return read_document(plain)
 
 
 def read_document(plain: object) -> Result[Document, DocumentRefused]:
-    """Read a document from plain data and check it."""
+    """Build a document from plain data and check it."""
     mistakes = list(check_shape(plain, Document, ''))
     if mistakes:
         return refused(*mistakes)
@@ -70,7 +71,11 @@
 
 
 def refused(*mistakes: DocumentMistake) -> Failure[DocumentRefused]:
-    """Return the refusal of a document; a mistake in the whole is at `document`."""
+    """Return the refusal of a document for some mistakes.
+
+    A mistake without a location is one of the whole document: it gets the location
+    `document`.
+    """
     named = (
         DocumentMistake(each.place or 'document', each.reason) for each in mistakes
     )
@@ -78,7 +83,7 @@
 
 
 def check_names(document: Document) -> Iterator[DocumentMistake]:
-    """Yield the names that are not safe in headers, paths and logs."""
+    """Yield a mistake for each name that is not safe in headers, paths and logs."""
     register = document.register
     for name in register.services:
         if not is_name(name):
@@ -91,28 +96,28 @@
 
 
 def check_addresses(document: Document) -> Iterator[DocumentMistake]:
-    """Yield the addresses that are wrong or stand twice."""
+    """Yield a mistake for each address that is invalid or used twice."""
     backend_by_address: dict[tuple[str, int], str] = {}
     for name, backend in document.register.backends.items():
         place = f'register.backends.{name}'
         try:
             number = ip_address(backend.host)
         except ValueError:
-            reason = f'{backend.host!r} is not an IP number'
+            reason = f'{backend.host!r} is not an IP address'
             yield DocumentMistake(f'{place}.host', reason)
             continue
         if number.is_unspecified or number.is_multicast:
-            reason = f'{backend.host} is not the IP number of one server'
+            reason = f'{backend.host} is not the IP address of a single server'
             yield DocumentMistake(f'{place}.host', reason)
         address = (str(number), backend.port)
         first = backend_by_address.setdefault(address, name)
         if first != name:
-            reason = f'{backend.host}:{backend.port} is the address of {first} too'
+            reason = f'{backend.host}:{backend.port} is also the address of {first}'
             yield DocumentMistake(place, reason)
 
 
 def check_services(document: Document) -> Iterator[DocumentMistake]:
-    """Yield the services that are named but not in the register."""
+    """Yield a mistake for each referenced service that is not in the register."""
     services = document.register.services
     named = [
         (f'register.backends.{name}.service', backend.service)
@@ -131,7 +136,7 @@
 
 
 def check_health_paths(document: Document) -> Iterator[DocumentMistake]:
-    """Yield the paths of probes that no request can have."""
+    """Yield a mistake for each health path that is not a valid path of a request."""
     for name, service in document.register.services.items():
         if not HEALTH_PATH.fullmatch(service.health_path):
             reason = f'{service.health_path!r} is not a path such as /health'
@@ -139,22 +144,24 @@
 
 
 def check_requests(document: Document) -> Iterator[DocumentMistake]:
-    """Yield the mistakes in rules that match requests."""
+    """Yield the mistakes in the paths and methods of request rules."""
     for index, rule in enumerate(document.rules.requests):
         place = f'rules.requests[{index}]'
         if not rule.path.startswith(('/', '*')):
-            reason = f'{rule.path!r} does not begin with a slash or a star'
+            reason = f'{rule.path!r} does not begin with a slash or an asterisk'
             yield DocumentMistake(f'{place}.path', reason)
         if not rule.methods:
-            yield DocumentMistake(f'{place}.methods', 'names no method')
+            yield DocumentMistake(
+                f'{place}.methods', 'is empty; at least one method is required'
+            )
         for number, method in enumerate(rule.methods):
             if not METHOD.fullmatch(method):
-                reason = f'{method!r} is not a method in capital letters'
+                reason = f'{method!r} is not an HTTP method in capital letters'
                 yield DocumentMistake(f'{place}.methods[{number}]', reason)
 
 
 def check_routes(document: Document) -> Iterator[DocumentMistake]:
-    """Yield the mistakes in routes, and routes that match the same requests."""
+    """Yield the mistakes in routes, and each route with the same match as another."""
     name_by_match: dict[tuple[str, str], str] = {}
     for name, route in document.rules.routes.items():
         place = f'rules.routes.{name}'
@@ -163,7 +170,7 @@
             reason = f'{prefix!r} does not begin and end with a slash'
             yield DocumentMistake(f'{place}.path_prefix', reason)
         if not any(part.weight for part in route.parts):
-            yield DocumentMistake(f'{place}.parts', 'no service has a weight')
+            yield DocumentMistake(f'{place}.parts', 'no service has a weight above 0')
         for index, part in enumerate(route.parts):
             if part.service not in document.register.services:
                 reason = f'service {part.service!r} is not in the register'
@@ -174,24 +181,24 @@
 
 
 def check_evacuations(document: Document) -> Iterator[DocumentMistake]:
-    """Yield the evacuated zones in which no backend server stands."""
+    """Yield a mistake for each evacuated zone that has no backend server."""
     known = {backend.zone for backend in document.register.backends.values()}
     for index, zone in enumerate(document.rules.evacuated_zones):
         if zone not in known:
-            reason = f'no backend server stands in zone {zone!r}'
+            reason = f'zone {zone!r} has no backend server'
             yield DocumentMistake(f'rules.evacuated_zones[{index}]', reason)
 
 
 def check_size(document: Document) -> Iterator[DocumentMistake]:
-    """Yield a mistake if the platform can't hold the document."""
+    """Yield a mistake if the document is larger than the platform can store."""
     size = len(canonical_json(to_plain(document)))
     if size > MAX_DOCUMENT_BYTES:
-        reason = f'has {size} bytes of JSON, more than {MAX_DOCUMENT_BYTES}'
+        reason = f'has {size} bytes of JSON; at most {MAX_DOCUMENT_BYTES} are allowed'
         yield DocumentMistake('document', reason)
 
 
 def is_name(text: str) -> bool:
-    """Tell whether a text is a safe name."""
+    """Return whether a text is a valid name: safe in headers, paths and logs."""
     return len(text) <= MAX_NAME_CHARACTERS and bool(NAME.fullmatch(text))
 
 
--- a/catkinslip/config/difference.py
+++ b/catkinslip/config/difference.py
@@ -1,4 +1,4 @@
-"""Tell what two documents differ in, so that a change costs little to take over."""
+"""Differences between two documents, so that applying a small change costs little."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -10,17 +10,22 @@
 
 @frozen
 class DocumentDifference:
-    """Names of what is new, changed or gone."""
+    """Names of the services and backend servers that were added, changed or removed."""
+
+    #: Backend servers that differ.
 
     backends: frozenset[str]
-    #: Services that differ themselves or in one of their backend servers.
+    #: Services whose own fields or one of whose backend servers differ.
     services: frozenset[str]
-    #: Services that differ themselves.
+    #: Services whose own fields differ.
     redefined: frozenset[str]
 
 
 def compare(before: Document, after: Document) -> DocumentDifference:
-    """Compare two documents; quick where they share most of their entries."""
+    """Return the difference between two documents.
+
+    The comparison is fast where both documents share most of their entry objects.
+    """
     old, new = before.register.backends, after.register.backends
     backends = differing(old, new)
     services = differing(before.effective_services(), after.effective_services())
@@ -33,7 +38,7 @@
 
 
 def differing(before: Mapping[str, Any], after: Mapping[str, Any]) -> set[str]:
-    """Return the keys whose values differ or which only one map has."""
+    """Return the keys that only one map has, or whose values differ."""
     changed = {
         key
         for key, value in after.items()
--- a/catkinslip/config/documents.py
+++ b/catkinslip/config/documents.py
@@ -16,7 +16,7 @@
 
 @frozen
 class Range:
-    """Least and greatest value of a field, in a unit."""
+    """Minimum and maximum of a field's value, both allowed, and their unit."""
 
     low: float
     high: float
@@ -24,7 +24,10 @@
 
 
 def ranged(default: Any, low: float, high: float, unit: str) -> Any:
-    """Declare a field with a default and a range; checks read the range."""
+    """Return an attrs field with a default and a range.
+
+    `check_shape` reads the range from the metadata of the field.
+    """
     return field(default=default, metadata={'range': Range(low, high, unit)})
 
 
@@ -36,13 +39,15 @@
     max_connections: int = ranged(200, 1, 100_000, 'connections')
     timeout: float = ranged(10.0, 0.05, 3600, 'seconds')
     health_path: str = '/health'
-    #: Most probes of one backend server, from all instances; 0 turns probes off.
+    #: Maximum number of probes of one backend server per second, from all instances
+    #: together; 0 turns probes off.
     probes_per_second: float = ranged(1.0, 0, 1000, 'probes a second')
-    #: Calls that an instance must receive for each probe it sends.
+    #: Number of calls that an instance must receive for each probe that it sends.
     calls_per_probe: int = ranged(100, 1, 1_000_000, 'calls')
-    #: How long a server is slow after its start.
+    #: Time for which a server is slow after its start, in seconds.
     cold_seconds: float = ranged(0.0, 0, 86_400, 'seconds')
-    #: Requests a second that a cold server bears; 0 where it bears as many as ever.
+    #: Requests per second that a cold server can handle; 0 where it can handle as many
+    #: as a warm one.
     cold_requests_per_second: float = ranged(0.0, 0, 1_000_000, 'requests a second')
 
 
@@ -55,17 +60,21 @@
     host: str
     port: int = field(metadata={'range': Range(1, 65535, '(a TCP port)')})
     draining: bool = False
-    #: Requests at once; None where it has as many as its service says.
+    #: Number of requests at once; None for the value of the service.
     slots: int | None = ranged(None, 1, 10_000, 'requests at once')
-    #: Differs at each start of the server under the same ID; 0 where it is not told.
+    #: Number that differs at each start of the server under the same ID; 0 if unknown.
     incarnation: int = ranged(0, 0, 2**53, '(any number)')
-    #: How long it stays cold from when this was written; None where it is not told.
+    #: Time for which the server stays cold after this entry was written, in seconds;
+    #: None if unknown.
     cold_seconds: float | None = ranged(None, 0, 86_400, 'seconds')
 
 
 @frozen
 class Register:
-    """What servers exist, where they stand and which service they carry."""
+    """The asset register: the services, and the backend servers with zone and address.
+
+    Each backend server names the service that it runs.
+    """
 
     services: dict[str, Service] = Factory(dict)
     backends: dict[str, Backend] = Factory(dict)
@@ -73,7 +82,7 @@
 
 @unique
 class RecordPlace(Enum):
-    """Where keys that no address answer began are recorded."""
+    """Storage of idempotency keys that lack the prefix of an address answer."""
 
     HOME = 'home'
     PLATFORM = 'platform'
@@ -81,7 +90,7 @@
 
 @frozen
 class RequestRule:
-    """Say whether requests of a method and a path pattern are repeatable."""
+    """Rule whether requests with some methods and a path pattern are repeatable."""
 
     service: str
     path: str
@@ -92,7 +101,7 @@
 
 @frozen
 class SplitPart:
-    """One service of a route and its share of the route's requests."""
+    """One service of a route, and the weight of its share of the route's requests."""
 
     service: str
     weight: int = ranged(1, 0, 1_000_000, 'shares')
@@ -100,26 +109,26 @@
 
 @frozen
 class Route:
-    """Requests of one host below one path; durations are in seconds."""
+    """A route for the requests of one host below one path; durations are in seconds."""
 
     host: str
     path_prefix: str
     parts: tuple[SplitPart, ...]
     repeatable: bool = False
     timeout: float = ranged(10.0, 0.001, 3600, 'seconds')
-    #: An answer later than this is worth little to the caller.
+    #: Time after which an answer has little value for the caller, in seconds.
     target_latency: float = ranged(10.0, 0.001, 3600, 'seconds')
-    #: 0 is the most urgent.
+    #: Priority of the requests; 0 is the most urgent.
     priority: int = ranged(0, 0, 1000, '(0 is the most urgent)')
-    #: Backend servers that one request may be sent to.
+    #: Maximum number of backend servers that one request is sent to.
     max_attempts: int = ranged(3, 1, 100, 'attempts')
-    #: Regions in which its requests may run; none named stands for any.
+    #: Regions in which the requests may run; empty for any region.
     regions: tuple[str, ...] = ()
 
 
 @frozen
 class ServiceOverride:
-    """Replace some fields of a service of the register."""
+    """Values that replace fields of a service; None keeps the value of the register."""
 
     slots: int | None = ranged(None, 1, 10_000, 'requests at once')
     max_connections: int | None = ranged(None, 1, 100_000, 'connections')
@@ -135,11 +144,12 @@
 
 @frozen
 class Rules:
-    """What operators add to the register."""
+    """Rules that operators set in addition to the register."""
 
     requests: tuple[RequestRule, ...] = ()
     services: dict[str, ServiceOverride] = Factory(dict)
-    #: By name; the longest path prefix of a request's host is its route.
+    #: Routes by name; of the routes of a request's host, the one with the longest
+    #: matching path prefix applies.
     routes: dict[str, Route] = Factory(dict)
     #: Availability zones whose backend servers get no new requests.
     evacuated_zones: tuple[str, ...] = ()
@@ -147,18 +157,18 @@
 
 @frozen
 class Document:
-    """A whole configuration."""
+    """A complete configuration document: the register and the rules."""
 
     register: Register = Factory(Register)
     rules: Rules = Factory(Rules)
 
     def is_repeatable(self, service: str, method: str, path: str) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         rule = self.find_rule(service, method, path)
         return method in SAFE_METHODS if rule is None else rule.repeatable
 
     def find_rule(self, service: str, method: str, path: str) -> RequestRule | None:
-        """Return the first rule that matches a request."""
+        """Return the first request rule that matches a request; None if none does."""
         for rule in self.rules.requests:
             if rule.service not in (service, '*') or method not in rule.methods:
                 continue
@@ -167,7 +177,7 @@
         return None
 
     def effective_services(self) -> dict[str, Service]:
-        """Return the services with the overrides of the rules."""
+        """Return the services by name, with the overrides of the rules applied."""
         services = dict(self.register.services)
         for name, fields in self.rules.services.items():
             if name in services:
@@ -178,7 +188,7 @@
 
 @frozen(order=True)
 class ConfigVersion:
-    """Place of a configuration in the order of accepted changes."""
+    """Position of a configuration in the order of accepted changes."""
 
     epoch: int = 0
     number: int = 0
@@ -188,10 +198,10 @@
 
     @classmethod
     def parse(cls, text: str) -> 'ConfigVersion':
-        """Parse `epoch.number`; raise ValueError for any other form."""
+        """Parse a version such as `0.17`; raise ValueError if the text is not one."""
         epoch, separator, number = text.partition('.')
         if not separator:
-            raise ValueError(f'{text!r} is not epoch.number, such as 0.17')
+            raise ValueError(f'{text!r} is not a version as epoch.number, such as 0.17')
         return cls(int(epoch), int(number))
 
 
@@ -203,7 +213,8 @@
     change_id: str = ''
     author: str = ''
     document: Document = Factory(Document)
-    #: The document as it was written; newer fields than this program's included.
+    #: The document as it was written, including fields of a newer program that
+    #: `document` does not have.
     plain: dict = field(
         default=Factory(lambda self: to_plain(self.document), takes_self=True),
         eq=False,
@@ -212,17 +223,18 @@
 
     @cached_property
     def digest(self) -> str:
-        """Return the digest of the document."""
+        """Return the digest of the document as it was written."""
         return digest_of(self.plain)
 
 
-#: Ignores unknown fields: an accepted document may come from a newer program.
+#: Converter between classes and plain data. It ignores unknown fields, because an
+#: accepted document may have been written by a newer program.
 converter = cattrs.Converter()
 converter.register_unstructure_hook(
     ServiceOverride,
     make_dict_unstructure_fn(ServiceOverride, converter, _cattrs_omit_if_default=True),
 )
-# Patches cannot say null, so a field without a value is left out.
+# A merge patch cannot set null, so a field without a value is omitted.
 converter.register_unstructure_hook(
     Backend,
     make_dict_unstructure_fn(
@@ -233,7 +245,8 @@
         cold_seconds=override(omit_if_default=True),
     ),
 )
-# So documents without these read as ones that an earlier program wrote.
+# The defaults of these fields are omitted, so that documents that do not use them
+# are equal to those that an earlier program wrote.
 converter.register_unstructure_hook(
     Route,
     make_dict_unstructure_fn(Route, converter, regions=override(omit_if_default=True)),
@@ -247,15 +260,18 @@
 
 
 def to_plain(value: object) -> Any:
-    """Return the value as maps, lists and scalars."""
+    """Return a value as plain data: maps, lists and scalars."""
     return converter.unstructure(value)
 
 
 def canonical_json(plain: object) -> bytes:
-    """Return plain data as JSON with sorted keys."""
+    """Return plain data encoded as JSON with sorted keys."""
     return orjson.dumps(plain, option=orjson.OPT_SORT_KEYS)
 
 
 def digest_of(plain: dict) -> str:
-    """Return the digest of a plain document; it guards against damage, not malice."""
+    """Return the digest of a plain document.
+
+    The digest detects damage, but does not protect against malicious changes.
+    """
     return xxhash.xxh3_128_hexdigest(canonical_json(plain))
--- a/catkinslip/config/merge.py
+++ b/catkinslip/config/merge.py
@@ -1,13 +1,13 @@
-"""Differences between two documents, as merge patches.
+"""JSON merge patches between two documents.
 
-JSON merge patch: https://www.rfc-editor.org/rfc/rfc7396
+See https://www.rfc-editor.org/rfc/rfc7396
 """
 
 from typing import Any
 
 
 def merge_patch(target: Any, patch: Any) -> Any:
-    """Return the target with a patch applied; the target stays as it is."""
+    """Return the target with a merge patch applied, without changing the target."""
     if not isinstance(patch, dict):
         return patch
     merged = dict(target) if isinstance(target, dict) else {}
@@ -20,7 +20,10 @@
 
 
 def merge_diff(before: dict, after: dict) -> dict:
-    """Return the patch that makes one map of the other; maps hold no nulls."""
+    """Return the merge patch that turns one map into another.
+
+    The maps must not contain nulls, which a merge patch cannot set.
+    """
     patch: dict = dict.fromkeys(key for key in before if key not in after)
     for key, value in after.items():
         known = before.get(key)
--- a/catkinslip/config/revision.py
+++ b/catkinslip/config/revision.py
@@ -1,4 +1,4 @@
-"""Renew only the parts of a document that a patch touches."""
+"""Update of a document that rebuilds only the entries that a patch changes."""
 
 from typing import Any
 
@@ -6,11 +6,16 @@
 
 from catkinslip.config.documents import Backend, Document, Service, converter
 
+#: Class of the entries of each section of the register.
 REVISED = {'services': Service, 'backends': Backend}
 
 
 def revise_document(document: Document, plain: dict, patch: dict) -> Document:
-    """Return the document of plain data, which is the document with a patch."""
+    """Return a document with a patch applied.
+
+    `plain` is the plain data of the result. Entries that the patch does not change are
+    the same objects as before.
+    """
     sections = patch.get('register', {})
     if set(patch) != {'register'} or not is_entries(sections):
         return converter.structure(plain, Document)
@@ -28,7 +33,7 @@
 
 
 def is_entries(sections: Any) -> bool:
-    """Tell whether a patch changes only entries of services and backend servers."""
+    """Return whether a patch of the register changes only services and servers."""
     return (
         isinstance(sections, dict)
         and set(sections) <= set(REVISED)
--- a/catkinslip/config/shapes.py
+++ b/catkinslip/config/shapes.py
@@ -1,4 +1,4 @@
-"""Compare plain data with attrs classes and name the place of every mistake."""
+"""Checks of plain data against attrs classes, with the location of every mistake."""
 
 import types
 from collections.abc import Iterator
@@ -11,6 +11,7 @@
 
 from catkinslip.config.documents import Range
 
+#: Description of each type in mistakes.
 WORD_BY_TYPE = {
     str: 'text',
     int: 'a whole number',
@@ -24,14 +25,14 @@
 
 @frozen
 class DocumentMistake:
-    """One mistake: where it stands and why it is one."""
+    """A mistake in a document: its location, such as `rules.routes.a`, and a reason."""
 
     place: str
     reason: str
 
 
 def check_shape(plain: Any, wanted: Any, place: str) -> Iterator[DocumentMistake]:
-    """Yield each place where plain data does not have a type."""
+    """Yield each mistake in plain data that does not have the expected type."""
     origin = get_origin(wanted)
     if origin in (Union, types.UnionType):
         choices = [each for each in get_args(wanted) if each is not type(None)]
@@ -48,7 +49,7 @@
 
 
 def check_fields(plain: Any, wanted: type, place: str) -> Iterator[DocumentMistake]:
-    """Yield the mistakes in a map with the fields of a class."""
+    """Yield the mistakes in a map that holds the fields of a class."""
     if not isinstance(plain, dict):
         yield wrong_type(plain, dict, place)
         return
@@ -56,7 +57,7 @@
     for name in plain:
         if name not in attribute_by_name:
             known = ', '.join(attribute_by_name)
-            yield DocumentMistake(join(place, name), f'unknown field; known: {known}')
+            yield DocumentMistake(join(place, name), f'unknown field; allowed: {known}')
     for name, attribute in attribute_by_name.items():
         inner = join(place, name)
         if name in plain:
@@ -68,7 +69,7 @@
 
 
 def check_map(plain: Any, inner: Any, place: str) -> Iterator[DocumentMistake]:
-    """Yield the mistakes in a map of values of one type."""
+    """Yield the mistakes in a map whose values have one type."""
     if not isinstance(plain, dict):
         yield wrong_type(plain, dict, place)
         return
@@ -77,7 +78,7 @@
 
 
 def check_list(plain: Any, inner: Any, place: str) -> Iterator[DocumentMistake]:
-    """Yield the mistakes in a list of values of one type."""
+    """Yield the mistakes in a list whose values have one type."""
     if not isinstance(plain, list | tuple):
         yield wrong_type(plain, tuple, place)
         return
@@ -88,7 +89,7 @@
 def check_range(
     value: Any, allowed: Range | None, place: str
 ) -> Iterator[DocumentMistake]:
-    """Yield a mistake if a number is out of its range."""
+    """Yield a mistake if a number is outside its allowed range."""
     if allowed is None or value is None or allowed.low <= value <= allowed.high:
         return
     bounds = f'from {allowed.low:g} to {allowed.high:g} {allowed.unit}'
@@ -96,7 +97,7 @@
 
 
 def is_scalar(plain: Any, wanted: type) -> bool:
-    """Tell whether a value is of a scalar type, with no conversion."""
+    """Return whether a value has a scalar type without conversion."""
     if wanted is float:
         is_number = isinstance(plain, int | float) and not isinstance(plain, bool)
         return is_number and isfinite(plain)
@@ -108,7 +109,7 @@
 
 
 def wrong_type(plain: Any, wanted: type, place: str) -> DocumentMistake:
-    """Return the mistake of a value of the wrong type."""
+    """Return the mistake for a value of the wrong type."""
     shown = repr(plain) if len(repr(plain)) <= 40 else type(plain).__name__
     word = WORD_BY_TYPE.get(wanted, wanted.__name__)
     if issubclass(wanted, Enum):
@@ -117,5 +118,5 @@
 
 
 def join(place: str, name: object) -> str:
-    """Return the place of a field."""
+    """Return the location of a field or key within another location."""
     return f'{place}.{name}' if place else str(name)
