--- a/catkinslip/config/__init__.py
+++ b/catkinslip/config/__init__.py
@@ -1,1 +1,1 @@
-"""The asset register and the rules: documents, checks and versions."""
+"""Configuration: the asset register and the rules, their checks and versions."""
--- a/catkinslip/config/bootstrap.py
+++ b/catkinslip/config/bootstrap.py
@@ -1,31 +1,38 @@
-"""Decide when a fresh instance may take its configuration from peers."""
+"""Decision when a fresh instance may apply a configuration from its peers."""
 
 from attrs import Factory, define
 
 from catkinslip.config.documents import AcceptedConfig
 
-#: Peers that must agree or be older at most, so that a start stays cheap.
+#: Maximum number of peers that must have answered; bounds the cost of a start.
 MAX_ANSWERS = 5
 
 
 def answers_needed(known_peers: int) -> int:
-    """Return how many peers must answer: a majority, up to a small bound."""
+    """Return the number of peers that must answer a fresh instance.
+
+    It is a majority of the known peers, and at most MAX_ANSWERS.
+    """
     return min(MAX_ANSWERS, known_peers // 2 + 1)
 
 
 @define
 class Bootstrap:
-    """Collect what peers hold until enough of them have answered."""
+    """The newest configuration among the answers of peers to a fresh instance."""
+
+    #: Newest configuration received so far.
 
     best: AcceptedConfig = Factory(AcceptedConfig)
+    #: Instance IDs of the peers that have answered.
     answered: set[str] = Factory(set)
 
     def add(
         self, sender: str, config: AcceptedConfig | None, known_peers: int
     ) -> AcceptedConfig | None:
-        """Count a peer's answer; return the configuration once enough answered.
+        """Record a peer's answer; return the newest configuration once enough answered.
 
-        A peer that holds the best one already sends None.
+        `config` is None if the peer has nothing newer than `best`. Return None while
+        more answers are needed.
         """
         self.answered.add(sender)
         if config is not None and config.version > self.best.version:
--- a/catkinslip/config/changes.py
+++ b/catkinslip/config/changes.py
@@ -1,4 +1,4 @@
-"""Change the accepted configuration, one conditional write at a time."""
+"""Changes to the accepted configuration, each one conditional write of the head."""
 
 from typing import Any
 
@@ -23,29 +23,34 @@
 )
 from catkinslip.store.base import AnswerLost, Conflict, ObjectStore, PlatformError
 
-#: Pauses after each reading back of a change whose answer was lost.
+#: Pauses, in seconds, after each read that checks whether a change whose answer was
+#: lost was accepted.
 READ_BACK_PAUSES_SECONDS = (0.05, 0.2, 0.5, 1.0, 2.0)
-#: Readings after which a write that is not seen is kept from taking effect.
+#: Number of such reads after which a write that is still not visible is fenced, so
+#: that it can no longer take effect.
 READS_BEFORE_FENCE = 3
 
 
 @frozen
 class ChangeAccepted:
-    """The change was accepted; later changes may stand on it."""
+    """The change was accepted; later changes may be based on it."""
 
     config: AcceptedConfig
 
 
 @frozen
 class ChangeConflict:
-    """Another change won, None when it can't be told; nothing was accepted."""
+    """The change was not accepted, because another change was accepted first.
+
+    `winner` is the other change, or None if it could not be determined.
+    """
 
     winner: Change | None
 
 
 @frozen
 class ChangeNotMade:
-    """The platform did not take the change and will not take it later."""
+    """The change was not accepted and can no longer be accepted."""
 
     reason: str
 
@@ -71,9 +76,15 @@
     made_at: float = 0.0,
     raise_epoch: bool = False,
 ) -> ChangeOutcome:
-    """Write a document over the one it was made from."""
+    """Replace the document that `base` holds by a new one, if it is still the last.
+
+    `made_at` is in seconds since the Unix epoch. `raise_epoch` starts a new epoch,
+    which is newer than every version of the epochs before.
+    """
     if has_unknown_fields(base.config.plain, to_plain(base.config.document)):
-        return ChangeNotMade('a newer program wrote fields that this one does not know')
+        return ChangeNotMade(
+            'a newer program wrote fields that this program does not support'
+        )
     before = base.config.version
     version = ConfigVersion(before.epoch + raise_epoch, before.number + 1)
     config = AcceptedConfig(version, change_id, author, document)
@@ -82,7 +93,7 @@
         key = snapshot_key(head.snapshot_name)
         written = await store.write(key, to_plain(snapshot), 0)
         if isinstance(written, Failure):
-            reason = f'the snapshot was not written, {written.failure()}'
+            reason = f'the snapshot could not be written, {written.failure()}'
             return ChangeNotMade(reason)
     outcome = await write_head(store, base, head, config)
     if snapshot is not None:
@@ -91,7 +102,7 @@
 
 
 def has_unknown_fields(plain: Any, known: Any) -> bool:
-    """Tell whether plain data has fields, at any depth, that known data lacks."""
+    """Return whether plain data has fields, at any depth, that known data lacks."""
     if isinstance(plain, dict) and isinstance(known, dict):
         return any(
             key not in known or has_unknown_fields(value, known[key])
@@ -105,7 +116,10 @@
 async def write_head(
     store: ObjectStore, base: StoredConfig, head: Head, config: AcceptedConfig
 ) -> ChangeOutcome:
-    """Write the head, which is what accepts a change."""
+    """Write the head with a change and return the outcome of the change.
+
+    The change is accepted by this write.
+    """
     result = await store.write(CONFIG_KEY, to_plain(head), base.object_version)
     match result:
         case Success(_):
@@ -119,7 +133,10 @@
 async def delete_unused(
     store: ObjectStore, before: Head, after: Head, outcome: ChangeOutcome
 ) -> None:
-    """Delete the snapshot that no head can name any more, if it is known."""
+    """Delete the snapshot that no head refers to after a change.
+
+    An unknown outcome leaves open which snapshot that is: none is deleted then.
+    """
     match outcome:
         case ChangeAccepted():
             unused = before.retired_name
@@ -137,7 +154,10 @@
     attempted: AcceptedConfig,
     error: PlatformError,
 ) -> ChangeOutcome:
-    """Read back to learn whether a change was accepted; never write it again."""
+    """Read the head again until it shows whether a change was accepted.
+
+    The change is never written a second time.
+    """
     for reads, pause in enumerate(READ_BACK_PAUSES_SECONDS, 1):
         found = await read_head(store)
         if isinstance(found, StoredHead):
@@ -157,7 +177,7 @@
 def judge(
     found: StoredHead, base: StoredConfig, attempted: AcceptedConfig
 ) -> ChangeOutcome | None:
-    """Tell from a later head what became of a change; None if it can't be told."""
+    """Return the outcome of a change that a later head shows; None if it shows none."""
     if found.head.find(attempted.change_id):
         return ChangeAccepted(attempted)
     if found.object_version <= base.object_version:
@@ -166,18 +186,20 @@
         return None
     later = found.head.changes_after(base.config.version)
     if not later:
-        return ChangeNotMade('the object was written again without this change')
+        return ChangeNotMade('the head was written again without this change')
     return ChangeConflict(later[0])
 
 
 async def fence(store: ObjectStore, base: StoredConfig) -> ChangeOutcome | None:
-    """Write the same head again, so that a write still on its way must fail."""
+    """Write the base head again, so that a write that is still in transit must fail."""
     if base.object_version == 0 or not await confirm(store, base):
         return None
-    return ChangeNotMade('the platform did not take the change and no longer can')
+    return ChangeNotMade(
+        'the platform did not accept the change and can no longer accept it'
+    )
 
 
 async def confirm(store: ObjectStore, base: StoredConfig) -> bool:
-    """Write the same head again; tell whether it was still the last one."""
+    """Write the base head again and return whether it was still the last one."""
     result = await store.write(CONFIG_KEY, to_plain(base.head), base.object_version)
     return is_successful(result)
--- a/catkinslip/config/duty.py
+++ b/catkinslip/config/duty.py
@@ -1,8 +1,9 @@
-"""Decide which instances hold a watch on the platform.
+"""Choice of the instances that watch the configuration on the platform.
 
-A few per zone watch; the others learn from peers and poll now and then. Two views
-that differ cost a watch more or less and break nothing. Rendezvous hashing keeps
-the choice steady: https://en.wikipedia.org/wiki/Rendezvous_hashing
+A few instances per zone watch it; the others receive changes from peers and poll the
+platform at long intervals. Instances whose views of the members differ may choose
+different watchers: this causes a watch more or less and no error. Rendezvous hashing
+keeps the choice stable: https://en.wikipedia.org/wiki/Rendezvous_hashing
 """
 
 from collections.abc import Iterable
@@ -11,22 +12,26 @@
 
 from catkinslip.membership.members import Member
 
+#: Maximum number of watchers in one availability zone.
 WATCHERS_PER_ZONE = 2
 
 
 def watchers_of(zone: str, members: Iterable[Member]) -> list[Member]:
-    """Return the members of a zone that watch; all of them when they are few."""
+    """Return the members of a zone that watch the platform.
+
+    They are all members of the zone that are not leaving, if these are few.
+    """
     able = [each for each in members if each.zone == zone and not each.leaving]
     return sorted(able, key=watch_weight, reverse=True)[:WATCHERS_PER_ZONE]
 
 
 def watch_weight(member: Member) -> int:
-    """Return the rendezvous weight of a member for the watch."""
+    """Return the rendezvous weight of a member in the choice of watchers."""
     return xxhash.xxh3_64_intdigest(f'watch\0{member.member_id}'.encode())
 
 
 def is_watcher(own: Member, members: Iterable[Member]) -> bool:
-    """Tell whether a member is one of the watchers of its zone."""
+    """Return whether a member is one of the watchers of its zone."""
     return any(
         each.member_id == own.member_id for each in watchers_of(own.zone, members)
     )
--- a/catkinslip/config/history.py
+++ b/catkinslip/config/history.py
@@ -1,8 +1,8 @@
-"""The head object of the configuration: recent changes and where the rest is.
+"""The head object of the configuration: recent changes and the name of a snapshot.
 
-The head holds the last changes as patches and names a snapshot, a whole document
-in an object of its own. Every change after the snapshot is in the head, so that
-snapshot and patches together give the document of the last change.
+The head holds the last changes as patches and names a snapshot, which is a complete
+document in a separate object. Every change after the snapshot is in the head, so that
+the snapshot and the patches together give the document of the last change.
 """
 
 from attrs import evolve, field, frozen
@@ -18,40 +18,42 @@
 from catkinslip.config.merge import merge_diff, merge_patch
 from catkinslip.config.revision import revise_document
 
-#: Changes that the head holds at most.
+#: Maximum number of changes in the head.
 MAX_CHANGES = 48
-#: Changes after which a new snapshot is written.
+#: Number of changes after which a new snapshot is written.
 CHANGES_PER_SNAPSHOT = 24
-#: Bytes of patches that the head holds at most.
+#: Maximum size of all patches in the head, as JSON, in bytes.
 MAX_PATCH_BYTES = 12_000
 
 
 @frozen
 class Change:
-    """One accepted change; `patch` is left out where it would be too large."""
+    """One accepted change."""
 
     version: ConfigVersion
     change_id: str
     author: str
     digest: str
-    #: Seconds since the Unix epoch on the author's clock, for people only.
+    #: Time of the change on the author's clock, in seconds since the Unix epoch; only
+    #: shown to operators.
     made_at: float = 0.0
+    #: Merge patch from the document before; None if it would be too large.
     patch: dict | None = None
 
 
 @frozen
 class Head:
-    """The last changes, oldest first, and the snapshot that they stand on."""
+    """The last changes, oldest first, and the snapshot that they are based on."""
 
     changes: tuple[Change, ...] = ()
     snapshot_version: ConfigVersion = ConfigVersion()
     snapshot_name: str = ''
-    #: The snapshot before, kept for readers that still hold an older head.
+    #: Name of the snapshot before, which is kept for readers that have an older head.
     retired_name: str = ''
 
     @property
     def last(self) -> Change | None:
-        """Return the last accepted change."""
+        """Return the last accepted change; None if there is none."""
         return self.changes[-1] if self.changes else None
 
     @property
@@ -60,12 +62,12 @@
         return self.changes[-1].version if self.changes else ConfigVersion()
 
     def find(self, change_id: str) -> Change | None:
-        """Return a recent change by its ID."""
+        """Return the change with an ID; None if the head does not hold it."""
         found = (each for each in self.changes if each.change_id == change_id)
         return next(found, None)
 
     def reaches_back_to(self, version: ConfigVersion) -> bool:
-        """Tell whether every change after a version is still held."""
+        """Return whether the head still holds every change after a version."""
         if version >= self.version:
             return True
         first = self.changes[0].version
@@ -73,13 +75,13 @@
         return follows or any(each.version == version for each in self.changes)
 
     def changes_after(self, version: ConfigVersion) -> tuple[Change, ...]:
-        """Return the held changes after a version."""
+        """Return the changes in the head that are newer than a version."""
         return tuple(each for each in self.changes if each.version > version)
 
 
 @frozen
 class Snapshot:
-    """A whole document with the change that made it."""
+    """A complete document, with the version, ID and author of its last change."""
 
     version: ConfigVersion
     change_id: str
@@ -90,7 +92,11 @@
 def extend_head(
     head: Head, before: AcceptedConfig, after: AcceptedConfig, made_at: float
 ) -> tuple[Head, Snapshot | None]:
-    """Add a change to the head; return a snapshot if it must be written first."""
+    """Return the head with one more change, and the snapshot that it needs.
+
+    The snapshot must be written before the head; it is None if none is needed.
+    `made_at` is in seconds since the Unix epoch.
+    """
     patch = patch_between(before, after)
     change = Change(
         after.version, after.change_id, after.author, after.digest, made_at, patch
@@ -114,7 +120,11 @@
 
 
 def patch_between(before: AcceptedConfig, after: AcceptedConfig) -> dict | None:
-    """Return the patch between two documents, if a patch can say it in few bytes."""
+    """Return the merge patch between two documents.
+
+    Return None if the patch is larger than MAX_PATCH_BYTES or cannot express the
+    difference.
+    """
     patch = merge_diff(before.plain, after.plain)
     if len(canonical_json(patch)) > MAX_PATCH_BYTES:
         return None
@@ -122,18 +132,21 @@
 
 
 def patch_bytes(changes: tuple[Change, ...]) -> int:
-    """Return the size of the patches of some changes."""
+    """Return the total size of the patches of some changes as JSON, in bytes."""
     return sum(len(canonical_json(each.patch)) for each in changes)
 
 
 def trim(changes: tuple[Change, ...], keep: int) -> tuple[Change, ...]:
-    """Drop the oldest changes beyond the bounds, but not the last `keep`."""
+    """Return changes without the oldest ones that exceed the limits of the head.
+
+    The last `keep` changes are always kept.
+    """
     kept = last_within(changes[-MAX_CHANGES:], MAX_PATCH_BYTES)
     return kept if len(kept) >= keep else changes[-keep:]
 
 
 def last_within(changes: tuple[Change, ...], max_bytes: int) -> tuple[Change, ...]:
-    """Return the last changes whose patches fit into a number of bytes."""
+    """Return as many of the last changes as have patches within a number of bytes."""
     count = 0
     for change in reversed(changes):
         max_bytes -= len(canonical_json(change.patch))
@@ -144,7 +157,11 @@
 
 
 def follow(config: AcceptedConfig, change: Change) -> AcceptedConfig | None:
-    """Return the configuration after a change; None unless the digest agrees."""
+    """Return the configuration that a change makes of another.
+
+    Return None if the change is not the next one, has no patch or gives a document
+    with another digest.
+    """
     same_epoch = change.version.epoch == config.version.epoch
     if not same_epoch or change.version.number != config.version.number + 1:
         return None
@@ -162,7 +179,10 @@
 def follow_all(
     config: AcceptedConfig, changes: tuple[Change, ...]
 ) -> AcceptedConfig | None:
-    """Return the configuration after some changes; None if one does not follow."""
+    """Return the configuration that some changes in order make of another.
+
+    Return None if one of the changes cannot be applied.
+    """
     followed: AcceptedConfig | None = config
     for change in changes:
         if followed is None:
@@ -172,7 +192,7 @@
 
 
 def from_snapshot(snapshot: Snapshot) -> AcceptedConfig:
-    """Return the configuration of a snapshot."""
+    """Return the configuration that a snapshot holds."""
     document = converter.structure(snapshot.document, Document)
     return AcceptedConfig(
         snapshot.version,
--- a/catkinslip/config/reading.py
+++ b/catkinslip/config/reading.py
@@ -1,4 +1,4 @@
-"""Read the accepted configuration from the platform."""
+"""Reading of the accepted configuration from the platform."""
 
 from typing import Any
 
@@ -18,15 +18,16 @@
 
 CONFIG_KEY = ObjectKey('config', 'current')
 SNAPSHOT_KIND = 'config-snapshot'
-#: Reads of a head whose snapshot was replaced meanwhile.
+#: Maximum number of reads of the head when its snapshot was replaced in the meantime.
 READ_ATTEMPTS = 3
 
+#: Exceptions of the conversion of malformed plain data.
 MALFORMED = (cattrs.BaseValidationError, AttributeError, TypeError, ValueError)
 
 
 @frozen
 class StoredHead:
-    """The recent changes with the version of the object that holds them."""
+    """A head, with the version of the object that it was read from."""
 
     object_version: int
     head: Head = Head()
@@ -34,7 +35,7 @@
 
 @frozen
 class StoredConfig:
-    """A configuration with the head that it was read from."""
+    """A configuration, with its head and the version of the head's object."""
 
     object_version: int
     config: AcceptedConfig
@@ -43,16 +44,16 @@
 
 @frozen
 class SnapshotMissing(Unavailable):
-    """The head was read, but its snapshot was replaced meanwhile."""
+    """Error that the snapshot of a head was replaced after the head was read."""
 
 
 def snapshot_key(name: str) -> ObjectKey:
-    """Return the key of a snapshot."""
+    """Return the object key of a snapshot."""
     return ObjectKey(SNAPSHOT_KIND, name)
 
 
 async def read_head(store: ObjectStore) -> StoredHead | PlatformError:
-    """Read the recent changes."""
+    """Read the head from the platform; an absent object gives an empty head."""
     match await store.read(CONFIG_KEY):
         case Success(None):
             return StoredHead(0)
@@ -63,16 +64,16 @@
 
 
 def parse_head(found: StoredObject) -> StoredHead | PlatformError:
-    """Read the recent changes from their object."""
+    """Parse the head from its object."""
     try:
         return StoredHead(found.version, converter.structure(found.value, Head))
     except MALFORMED as error:
-        return Unavailable(f'the object of the configuration is malformed, {error!r}')
+        return Unavailable(f'the head of the configuration is malformed, {error!r}')
 
 
 async def read_config(store: ObjectStore) -> StoredConfig | PlatformError:
-    """Read the accepted configuration."""
-    problem: PlatformError = Unavailable('no attempt was made')
+    """Read the accepted configuration from the platform, with its head."""
+    problem: PlatformError = Unavailable('the configuration was not read')
     for _ in range(READ_ATTEMPTS):
         found = await read_head(store)
         if not isinstance(found, StoredHead):
@@ -89,7 +90,7 @@
 async def read_document(
     store: ObjectStore, head: Head
 ) -> AcceptedConfig | PlatformError:
-    """Build the last configuration from the snapshot and the changes after it."""
+    """Read the snapshot of a head and return the configuration of the last change."""
     if head.last is None:
         return AcceptedConfig()
     match await store.read(snapshot_key(head.snapshot_name)):
@@ -102,12 +103,16 @@
 
 
 def build_config(head: Head, snapshot: Any) -> AcceptedConfig | PlatformError:
-    """Apply the changes after a snapshot to it and compare the digest."""
+    """Return the configuration that a head and its snapshot give.
+
+    Return an error if one of them is malformed or the digest of the last change does
+    not match.
+    """
     try:
         base = from_snapshot(converter.structure(snapshot, Snapshot))
         config = follow_all(base, head.changes_after(head.snapshot_version))
     except MALFORMED as error:
         return Unavailable(f'the snapshot is malformed, {error!r}')
     if config is None or config.digest != head.last.digest:
-        return Unavailable('the snapshot and the changes do not fit each other')
+        return Unavailable('the snapshot and the changes do not match')
     return config
