--- a/catkinslip/config/duty.py
+++ b/catkinslip/config/duty.py
@@ -16,13 +16,13 @@
 WATCHERS_PER_ZONE = 2
 
 
-def watchers_of(zone: str, members: Iterable[Member]) -> list[Member]:
+def choose_watchers(zone: str, members: Iterable[Member]) -> list[Member]:
     """Return the members of a zone that watch the platform.
 
     They are all members of the zone that are not leaving, if these are few.
     """
-    able = [each for each in members if each.zone == zone and not each.leaving]
-    return sorted(able, key=watch_weight, reverse=True)[:WATCHERS_PER_ZONE]
+    candidates = [each for each in members if each.zone == zone and not each.leaving]
+    return sorted(candidates, key=watch_weight, reverse=True)[:WATCHERS_PER_ZONE]
 
 
 def watch_weight(member: Member) -> int:
@@ -30,8 +30,8 @@
     return xxhash.xxh3_64_intdigest(f'watch\0{member.member_id}'.encode())
 
 
-def is_watcher(own: Member, members: Iterable[Member]) -> bool:
+def is_watcher(member: Member, members: Iterable[Member]) -> bool:
     """Return whether a member is one of the watchers of its zone."""
     return any(
-        each.member_id == own.member_id for each in watchers_of(own.zone, members)
+        each.member_id == member.member_id for each in choose_watchers(member.zone, members)
     )
--- a/catkinslip/config/watcher.py
+++ b/catkinslip/config/watcher.py
@@ -30,7 +30,7 @@
 #: Mean time between two polls of an instance that is not a watcher, in seconds.
 POLL_SECONDS = 60.0
 #: Time between two checks whether this instance is a watcher, in seconds.
-DUTY_SECONDS = 1.0
+ROLE_CHECK_SECONDS = 1.0
 
 log = logging.getLogger('config')
 
@@ -82,14 +82,14 @@
             await trio.sleep(self.backoff.next_delay(self.random))
         else:
             self.backoff.reset()
-            await self._wait_for_duty()
+            await self._wait_for_next_read()
 
-    async def _wait_for_duty(self) -> None:
+    async def _wait_for_next_read(self) -> None:
         end = trio.current_time() + POLL_SECONDS * self.random.uniform(0.5, 1.5)
         while self.config.is_ready and not self.is_watcher():
             if trio.current_time() >= end:
                 return
-            await trio.sleep(DUTY_SECONDS)
+            await trio.sleep(ROLE_CHECK_SECONDS)
 
     async def _take(self, found: StoredObject) -> PlatformError | None:
         stored = parse_head(found)
--- a/tests/test_config_spread.py
+++ b/tests/test_config_spread.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from catkinslip.config.bootstrap import MAX_ANSWERS, Bootstrap, answers_needed
-from catkinslip.config.duty import WATCHERS_PER_ZONE, is_watcher, watchers_of
+from catkinslip.config.duty import WATCHERS_PER_ZONE, is_watcher, choose_watchers
 from catkinslip.config.history import Head, extend_head
 from catkinslip.membership.members import Member
 from catkinslip.store.backoff import Backoff
@@ -106,11 +106,11 @@
         members += [member(f'other-{number}', 'zone-b') for number in range(17)]
         chosen = [each for each in members if is_watcher(each, members)]
         self.assertEqual(len(chosen), 2 * WATCHERS_PER_ZONE)
-        first, second = watchers_of('zone-a', members)
+        first, second = choose_watchers('zone-a', members)
         left = [each for each in members if each is not first]
         left.append(member(first.member_id, leaving=True))
-        self.assertIn(second, watchers_of('zone-a', left))
-        self.assertEqual(len(watchers_of('zone-a', left)), WATCHERS_PER_ZONE)
+        self.assertIn(second, choose_watchers('zone-a', left))
+        self.assertEqual(len(choose_watchers('zone-a', left)), WATCHERS_PER_ZONE)
         self.assertTrue(is_watcher(members[0], members[:1]))
 
 
