--- a/catkinslip/cli/configuration_changes.py
+++ b/catkinslip/cli/configuration_changes.py
@@ -9,7 +9,7 @@
 from catkinslip.cli.base import UsageError
 from catkinslip.cli.change_outcomes import tell_winner
 from catkinslip.cli.changing import ChangingCommand
-from catkinslip.config.changes import ChangeConflict, confirm
+from catkinslip.config.changes import ChangeConflict, rewrite_head
 from catkinslip.config.checks import DocumentRefused, read_document
 from catkinslip.config.documents import ConfigVersion, Document, to_plain
 from catkinslip.config.reading import StoredConfig, read_config
@@ -41,7 +41,7 @@
                 return self.tell(ChangeConflict(base.head.last))
             raise_epoch = self.option('raise-epoch')
             is_same = base.config.plain == to_plain(document) and not raise_epoch
-            if is_same and await confirm(store, base):
+            if is_same and await rewrite_head(store, base):
                 return await self._tell_same(store, base)
             outcome = await self.write(store, base, document, raise_epoch)
             return await self.finish(store, outcome)
@@ -77,7 +77,7 @@
                 if isinstance(document, Failure):
                     return self.tell_refused(document.failure())
                 is_same = document.unwrap() == base.config.document
-                if is_same and await confirm(store, base):
+                if is_same and await rewrite_head(store, base):
                     return self._tell_same(base)
                 outcome = await self.write(store, base, document.unwrap())
                 if not isinstance(outcome, ChangeConflict):
--- a/catkinslip/config/changes.py
+++ b/catkinslip/config/changes.py
@@ -125,7 +125,7 @@
         case Success(_):
             return ChangeAccepted(config)
         case Failure(Conflict() | AnswerLost() as error):
-            return await resolve(store, base, config, error)
+            return await read_back_outcome(store, base, config, error)
         case Failure(error):
             return ChangeNotMade(str(error))
 
@@ -148,7 +148,7 @@
         await store.delete(snapshot_key(unused))
 
 
-async def resolve(
+async def read_back_outcome(
     store: ObjectStore,
     base: StoredConfig,
     attempted: AcceptedConfig,
@@ -161,7 +161,7 @@
     for reads, pause in enumerate(READ_BACK_PAUSES_SECONDS, 1):
         found = await read_head(store)
         if isinstance(found, StoredHead):
-            outcome = judge(found, base, attempted)
+            outcome = outcome_from_head(found, base, attempted)
             if outcome is not None:
                 return outcome
         if isinstance(error, AnswerLost) and reads >= READS_BEFORE_FENCE:
@@ -174,7 +174,7 @@
     return ChangeUnknown(attempted.change_id, str(error))
 
 
-def judge(
+def outcome_from_head(
     found: StoredHead, base: StoredConfig, attempted: AcceptedConfig
 ) -> ChangeOutcome | None:
     """Return the outcome of a change that a later head shows; None if it shows none."""
@@ -192,14 +192,14 @@
 
 async def fence(store: ObjectStore, base: StoredConfig) -> ChangeOutcome | None:
     """Write the base head again, so that a write that is still in transit must fail."""
-    if base.object_version == 0 or not await confirm(store, base):
+    if base.object_version == 0 or not await rewrite_head(store, base):
         return None
     return ChangeNotMade(
         'the platform did not accept the change and can no longer accept it'
     )
 
 
-async def confirm(store: ObjectStore, base: StoredConfig) -> bool:
+async def rewrite_head(store: ObjectStore, base: StoredConfig) -> bool:
     """Write the base head again and return whether it was still the last one."""
     result = await store.write(CONFIG_KEY, to_plain(base.head), base.object_version)
     return is_successful(result)
