--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -21,7 +21,7 @@
     converter,
     digest_of,
 )
-from catkinslip.config.history import Head, extend_head, follow
+from catkinslip.config.history import Head, extend_head, config_after_change
 from catkinslip.config.holder import ConfigHolder
 from catkinslip.config.topic import ConfigTopic
 from catkinslip.membership.detector import SPREAD_FANOUT
@@ -116,7 +116,7 @@
         head_and_snapshot_bytes=statistics.fmean(written_bytes),
         news_bytes=statistics.fmean(news_bytes),
         whole_news_bytes=snapshot_bytes,
-        follow_ms=milliseconds(lambda: follow(before, change)),
+        follow_ms=milliseconds(lambda: config_after_change(before, change)),
         whole_ms=milliseconds(lambda: converter.structure(plain, Document)),
         digest_ms=milliseconds(lambda: digest_of(plain)),
         check_ms=milliseconds(lambda: parse_document(text)),
--- a/catkinslip/config/history.py
+++ b/catkinslip/config/history.py
@@ -66,7 +66,7 @@
         found = (each for each in self.changes if each.change_id == change_id)
         return next(found, None)
 
-    def reaches_back_to(self, version: ConfigVersion) -> bool:
+    def has_changes_after(self, version: ConfigVersion) -> bool:
         """Return whether the head still holds every change after a version."""
         if version >= self.version:
             return True
@@ -110,12 +110,12 @@
         and len(since) <= CHANGES_PER_SNAPSHOT
         and patch_bytes(since) <= MAX_PATCH_BYTES
     ):
-        changes = trim((*head.changes, change), len(since))
+        changes = trim_changes((*head.changes, change), len(since))
         return evolve(head, changes=changes), None
     snapshot = Snapshot(after.version, after.change_id, after.author, after.plain)
     name = f'{after.version}-{after.change_id}'
     earlier = () if new_epoch else head.changes
-    changes = trim((*earlier, change), 1)
+    changes = trim_changes((*earlier, change), 1)
     return Head(changes, after.version, name, head.snapshot_name), snapshot
 
 
@@ -136,16 +136,16 @@
     return sum(len(canonical_json(each.patch)) for each in changes)
 
 
-def trim(changes: tuple[Change, ...], keep: int) -> tuple[Change, ...]:
+def trim_changes(changes: tuple[Change, ...], keep: int) -> tuple[Change, ...]:
     """Return changes without the oldest ones that exceed the limits of the head.
 
     The last `keep` changes are always kept.
     """
-    kept = last_within(changes[-MAX_CHANGES:], MAX_PATCH_BYTES)
+    kept = last_changes_within(changes[-MAX_CHANGES:], MAX_PATCH_BYTES)
     return kept if len(kept) >= keep else changes[-keep:]
 
 
-def last_within(changes: tuple[Change, ...], max_bytes: int) -> tuple[Change, ...]:
+def last_changes_within(changes: tuple[Change, ...], max_bytes: int) -> tuple[Change, ...]:
     """Return as many of the last changes as have patches within a number of bytes."""
     count = 0
     for change in reversed(changes):
@@ -156,7 +156,7 @@
     return changes[len(changes) - count :]
 
 
-def follow(config: AcceptedConfig, change: Change) -> AcceptedConfig | None:
+def config_after_change(config: AcceptedConfig, change: Change) -> AcceptedConfig | None:
     """Return the configuration that a change makes of another.
 
     Return None if the change is not the next one, has no patch or gives a document
@@ -176,19 +176,19 @@
     )
 
 
-def follow_all(
+def config_after_changes(
     config: AcceptedConfig, changes: tuple[Change, ...]
 ) -> AcceptedConfig | None:
     """Return the configuration that some changes in order make of another.
 
     Return None if one of the changes cannot be applied.
     """
-    followed: AcceptedConfig | None = config
+    result: AcceptedConfig | None = config
     for change in changes:
-        if followed is None:
+        if result is None:
             return None
-        followed = follow(followed, change)
-    return followed
+        result = config_after_change(result, change)
+    return result
 
 
 def from_snapshot(snapshot: Snapshot) -> AcceptedConfig:
--- a/catkinslip/config/holder.py
+++ b/catkinslip/config/holder.py
@@ -7,7 +7,7 @@
 from attrs import Factory, define
 
 from catkinslip.config.documents import AcceptedConfig, ConfigVersion
-from catkinslip.config.history import Change, follow, trim
+from catkinslip.config.history import Change, config_after_change, trim_changes
 
 Listener = Callable[[AcceptedConfig], None]
 
@@ -68,13 +68,13 @@
                 if not self._compare(change.version, change.change_id):
                     return Step.CONTRADICTION
                 continue
-            followed = follow(config, change)
-            if followed is None:
+            next_config = config_after_change(config, change)
+            if next_config is None:
                 break
-            config = followed
+            config = next_config
             taken.append(change)
         if taken:
-            self.recent = trim((*self.recent, *taken), keep=1)
+            self.recent = trim_changes((*self.recent, *taken), keep=1)
             self._put_in_force(config)
         if changes and changes[-1].version > config.version:
             return Step.GAP
--- a/catkinslip/config/reading.py
+++ b/catkinslip/config/reading.py
@@ -7,7 +7,7 @@
 from returns.result import Failure, Success
 
 from catkinslip.config.documents import AcceptedConfig, converter
-from catkinslip.config.history import Head, Snapshot, follow_all, from_snapshot
+from catkinslip.config.history import Head, Snapshot, config_after_changes, from_snapshot
 from catkinslip.store.base import (
     ObjectKey,
     ObjectStore,
@@ -110,7 +110,7 @@
     """
     try:
         base = from_snapshot(converter.structure(snapshot, Snapshot))
-        config = follow_all(base, head.changes_after(head.snapshot_version))
+        config = config_after_changes(base, head.changes_after(head.snapshot_version))
     except MALFORMED as error:
         return Unavailable(f'the snapshot is malformed, {error!r}')
     if config is None or config.digest != head.last.digest:
--- a/catkinslip/config/topic.py
+++ b/catkinslip/config/topic.py
@@ -11,9 +11,9 @@
 from catkinslip.config.history import (
     Change,
     Snapshot,
-    follow_all,
+    config_after_changes,
     from_snapshot,
-    last_within,
+    last_changes_within,
 )
 from catkinslip.config.holder import ConfigHolder, Step
 from catkinslip.config.reading import MALFORMED
@@ -106,7 +106,7 @@
         if self.pushed_version != version:
             self.pushed_version = version
             self.pushes_left = PUSHES_PER_CHANGE
-        changes = last_within(self.config.recent, MAX_PUSH_BYTES)
+        changes = last_changes_within(self.config.recent, MAX_PUSH_BYTES)
         if self.pushes_left == 0 or not changes:
             return None
         self.pushes_left -= 1
@@ -144,7 +144,7 @@
         if news.whole is not None:
             found = parse_snapshot(news.whole)
         elif later:
-            found = follow_all(best, later)
+            found = config_after_changes(best, later)
             if found is None:
                 return
         chosen = self.bootstrap.add(news.sender, found, self.count_peers())
--- a/tests/test_config_history.py
+++ b/tests/test_config_history.py
@@ -19,7 +19,7 @@
     MAX_PATCH_BYTES,
     Head,
     extend_head,
-    follow,
+    config_after_change,
 )
 from catkinslip.config.holder import ConfigHolder, Step
 from catkinslip.config.merge import merge_diff, merge_patch
@@ -77,9 +77,9 @@
     def test_change_whose_digest_differs_is_not_followed(self):
         before, after = config_with(2, 1), config_with(3, 2)
         head, _ = extend_head(Head(snapshot_name='s'), before, after, 0.0)
-        self.assertEqual(follow(before, head.last), after)
+        self.assertEqual(config_after_change(before, head.last), after)
         damaged = evolve(head.last, patch={'register': {'backends': None}})
-        self.assertIsNone(follow(before, damaged))
+        self.assertIsNone(config_after_change(before, damaged))
 
 
 class HeadTest(unittest.TestCase):
