--- a/catkinslip/config/holder.py
+++ b/catkinslip/config/holder.py
@@ -15,13 +15,13 @@
 
 
 @unique
-class Step(Enum):
+class OfferResult(Enum):
     """Result of offering changes to the configuration in force."""
 
     #: Some changes were applied: the configuration in force is newer than before.
-    TAKEN = auto()
+    APPLIED = auto()
     #: No change was newer than the configuration in force.
-    OLD = auto()
+    NOT_NEWER = auto()
     #: A change in between is missing: a complete configuration is needed.
     GAP = auto()
     #: The version in force came with another change ID; the one in force is kept.
@@ -59,26 +59,26 @@
         self._put_in_force(candidate)
         return True
 
-    def offer_changes(self, changes: tuple[Change, ...]) -> Step:
+    def offer_changes(self, changes: tuple[Change, ...]) -> OfferResult:
         """Apply the changes, oldest first, that follow the configuration in force."""
         config = self.current
-        taken: list[Change] = []
+        applied: list[Change] = []
         for change in changes:
             if change.version <= config.version:
                 if not self._compare(change.version, change.change_id):
-                    return Step.CONTRADICTION
+                    return OfferResult.CONTRADICTION
                 continue
             next_config = config_after_change(config, change)
             if next_config is None:
                 break
             config = next_config
-            taken.append(change)
-        if taken:
-            self.recent = trim_changes((*self.recent, *taken), keep=1)
+            applied.append(change)
+        if applied:
+            self.recent = trim_changes((*self.recent, *applied), keep=1)
             self._put_in_force(config)
         if changes and changes[-1].version > config.version:
-            return Step.GAP
-        return Step.TAKEN if taken else Step.OLD
+            return OfferResult.GAP
+        return OfferResult.APPLIED if applied else OfferResult.NOT_NEWER
 
     def changes_after(self, version: ConfigVersion) -> tuple[Change, ...] | None:
         """Return the changes from a version to the one in force.
@@ -86,9 +86,9 @@
         Return None if not all of them are held.
         """
         later = tuple(each for each in self.recent if each.version > version)
-        wanted = self.current.version.number - version.number
+        expected_count = self.current.version.number - version.number
         same_epoch = version.epoch == self.current.version.epoch
-        return later if same_epoch and len(later) == wanted else None
+        return later if same_epoch and len(later) == expected_count else None
 
     def _put_in_force(self, config: AcceptedConfig) -> None:
         self.current = config
--- a/catkinslip/config/topic.py
+++ b/catkinslip/config/topic.py
@@ -15,7 +15,7 @@
     from_snapshot,
     last_changes_within,
 )
-from catkinslip.config.holder import ConfigHolder, Step
+from catkinslip.config.holder import ConfigHolder, OfferResult
 from catkinslip.config.reading import MALFORMED
 from catkinslip.membership.topics import PeerTopic
 
@@ -132,7 +132,7 @@
         if not self.config.is_ready:
             self._take_first(news)
         elif news.whole is None:
-            if self.config.offer_changes(news.changes) is Step.TAKEN:
+            if self.config.offer_changes(news.changes) is OfferResult.APPLIED:
                 self._log(f'peer {news.sender}')
         elif self.config.offer(parse_snapshot(news.whole), news.changes):
             self._log(f'peer {news.sender} (complete)')
--- a/catkinslip/config/watcher.py
+++ b/catkinslip/config/watcher.py
@@ -10,7 +10,7 @@
 
 from catkinslip.config.documents import AcceptedConfig
 from catkinslip.config.history import Head
-from catkinslip.config.holder import ConfigHolder, Step
+from catkinslip.config.holder import ConfigHolder, OfferResult
 from catkinslip.config.reading import (
     CONFIG_KEY,
     StoredHead,
@@ -111,8 +111,8 @@
             )
             return None
         if self.config.is_ready:
-            step = self.config.offer_changes(head.changes)
-            if step is not Step.GAP:
+            result = self.config.offer_changes(head.changes)
+            if result is not OfferResult.GAP:
                 return None
         config = await read_document(self.store, head)
         if not isinstance(config, AcceptedConfig):
--- a/tests/test_config_history.py
+++ b/tests/test_config_history.py
@@ -21,7 +21,7 @@
     extend_head,
     config_after_change,
 )
-from catkinslip.config.holder import ConfigHolder, Step
+from catkinslip.config.holder import ConfigHolder, OfferResult
 from catkinslip.config.merge import merge_diff, merge_patch
 from catkinslip.config.reading import build_config
 from catkinslip.config.revision import revise_document
@@ -139,20 +139,20 @@
         written = write_all([1, 2, 3, 4])
         holder = ConfigHolder()
         holder.offer(written[1][0])
-        self.assertEqual(holder.offer_changes(written[3][1].changes), Step.TAKEN)
+        self.assertEqual(holder.offer_changes(written[3][1].changes), OfferResult.APPLIED)
         changes = holder.changes_after(ConfigVersion(0, 2))
         self.assertEqual([each.version.number for each in changes], [3, 4])
         self.assertIsNone(holder.changes_after(ConfigVersion(0, 1)))
         behind = ConfigHolder(written[1][0])
-        self.assertEqual(behind.offer_changes(changes), Step.TAKEN)
+        self.assertEqual(behind.offer_changes(changes), OfferResult.APPLIED)
         self.assertEqual(behind.current, holder.current)
 
     def test_gap_leaves_everything_as_it_is(self):
         # The last change alone would give the right document too.
         written = write_all([1, 2, 1])
         holder = ConfigHolder(written[0][0])
-        step = holder.offer_changes(written[2][1].changes[-1:])
-        self.assertEqual(step, Step.GAP)
+        result = holder.offer_changes(written[2][1].changes[-1:])
+        self.assertEqual(result, OfferResult.GAP)
         self.assertEqual(holder.current, written[0][0])
 
     def test_same_version_of_another_change_is_reported_and_not_taken(self):
