--- a/catkinslip/config/bootstrap.py
+++ b/catkinslip/config/bootstrap.py
@@ -22,7 +22,7 @@
 
     #: Newest configuration received so far.
 
-    best: AcceptedConfig = Factory(AcceptedConfig)
+    newest: AcceptedConfig = Factory(AcceptedConfig)
     #: Instance IDs of the peers that have answered.
     answered: set[str] = Factory(set)
 
@@ -35,8 +35,8 @@
         more answers are needed.
         """
         self.answered.add(sender)
-        if config is not None and config.version > self.best.version:
-            self.best = config
+        if config is not None and config.version > self.newest.version:
+            self.newest = config
         if len(self.answered) < answers_needed(known_peers):
             return None
-        return self.best
+        return self.newest
--- a/catkinslip/config/shapes.py
+++ b/catkinslip/config/shapes.py
@@ -31,29 +31,29 @@
     reason: str
 
 
-def check_shape(plain: Any, wanted: Any, place: str) -> Iterator[DocumentMistake]:
+def check_shape(plain: Any, expected: Any, place: str) -> Iterator[DocumentMistake]:
     """Yield each mistake in plain data that does not have the expected type."""
-    origin = get_origin(wanted)
+    origin = get_origin(expected)
     if origin in (Union, types.UnionType):
-        choices = [each for each in get_args(wanted) if each is not type(None)]
+        choices = [each for each in get_args(expected) if each is not type(None)]
         if plain is not None:
             yield from check_shape(plain, choices[0], place)
-    elif attrs.has(wanted):
-        yield from check_fields(plain, wanted, place)
+    elif attrs.has(expected):
+        yield from check_fields(plain, expected, place)
     elif origin is dict:
-        yield from check_map(plain, get_args(wanted)[1], place)
+        yield from check_map(plain, get_args(expected)[1], place)
     elif origin is tuple:
-        yield from check_list(plain, get_args(wanted)[0], place)
-    elif not is_scalar(plain, wanted):
-        yield wrong_type(plain, wanted, place)
+        yield from check_list(plain, get_args(expected)[0], place)
+    elif not is_scalar(plain, expected):
+        yield wrong_type(plain, expected, place)
 
 
-def check_fields(plain: Any, wanted: type, place: str) -> Iterator[DocumentMistake]:
+def check_fields(plain: Any, expected: type, place: str) -> Iterator[DocumentMistake]:
     """Yield the mistakes in a map that holds the fields of a class."""
     if not isinstance(plain, dict):
         yield wrong_type(plain, dict, place)
         return
-    attribute_by_name = attrs.fields_dict(attrs.resolve_types(wanted))
+    attribute_by_name = attrs.fields_dict(attrs.resolve_types(expected))
     for name in plain:
         if name not in attribute_by_name:
             known = ', '.join(attribute_by_name)
@@ -96,24 +96,24 @@
     yield DocumentMistake(place, f'{value!r} is not {bounds}')
 
 
-def is_scalar(plain: Any, wanted: type) -> bool:
+def is_scalar(plain: Any, expected: type) -> bool:
     """Return whether a value has a scalar type without conversion."""
-    if wanted is float:
+    if expected is float:
         is_number = isinstance(plain, int | float) and not isinstance(plain, bool)
         return is_number and isfinite(plain)
-    if wanted is int:
+    if expected is int:
         return isinstance(plain, int) and not isinstance(plain, bool)
-    if issubclass(wanted, Enum):
-        return plain in [each.value for each in wanted]
-    return isinstance(plain, wanted)
+    if issubclass(expected, Enum):
+        return plain in [each.value for each in expected]
+    return isinstance(plain, expected)
 
 
-def wrong_type(plain: Any, wanted: type, place: str) -> DocumentMistake:
+def wrong_type(plain: Any, expected: type, place: str) -> DocumentMistake:
     """Return the mistake for a value of the wrong type."""
     shown = repr(plain) if len(repr(plain)) <= 40 else type(plain).__name__
-    word = WORD_BY_TYPE.get(wanted, wanted.__name__)
-    if issubclass(wanted, Enum):
-        word = 'one of ' + ', '.join(repr(each.value) for each in wanted)
+    word = WORD_BY_TYPE.get(expected, expected.__name__)
+    if issubclass(expected, Enum):
+        word = 'one of ' + ', '.join(repr(each.value) for each in expected)
     return DocumentMistake(place, f'{shown} is not {word}')
 
 
--- a/catkinslip/config/topic.py
+++ b/catkinslip/config/topic.py
@@ -41,7 +41,7 @@
 
 
 @frozen
-class ConfigNews:
+class ConfigUpdate:
     """Update for a peer: consecutive changes, a complete configuration, or neither."""
 
     #: Instance ID of the sender.
@@ -67,7 +67,7 @@
     #: Version that is being pushed.
     pushed_version: ConfigVersion = ConfigVersion()
     #: Number of exchanges that still push this version.
-    pushes_left: int = 0
+    pushes_remaining: int = 0
     name = 'config'
 
     def digest(self) -> Any:
@@ -78,7 +78,7 @@
         """
         if self.config.is_ready:
             return converter.unstructure(ConfigDigest(self.config.current.version))
-        digest = ConfigDigest(self.bootstrap.best.version, waiting=True)
+        digest = ConfigDigest(self.bootstrap.newest.version, waiting=True)
         return converter.unstructure(digest)
 
     def news_for(self, digest: Any | None) -> Any | None:
@@ -87,67 +87,67 @@
         Without a digest, the update holds the newest changes.
         """
         if digest is None:
-            news = self._push()
+            update = self._push()
         else:
-            news = self._answer(parse(digest, ConfigDigest))
-        return None if news is None else converter.unstructure(news)
+            update = self._answer(parse(digest, ConfigDigest))
+        return None if update is None else converter.unstructure(update)
 
-    def receive(self, news: Any) -> None:
+    def receive(self, update: Any) -> None:
         """Apply a peer's update; raise ValueError if it is malformed."""
         try:
-            self._take(converter.structure(news, ConfigNews))
+            self._apply(converter.structure(update, ConfigUpdate))
         except MALFORMED as error:
             raise ValueError(
                 f'malformed update of the configuration: {error!r}'
             ) from None
 
-    def _push(self) -> ConfigNews | None:
+    def _push(self) -> ConfigUpdate | None:
         version = self.config.current.version
         if self.pushed_version != version:
             self.pushed_version = version
-            self.pushes_left = PUSHES_PER_CHANGE
+            self.pushes_remaining = PUSHES_PER_CHANGE
         changes = last_changes_within(self.config.recent, MAX_PUSH_BYTES)
-        if self.pushes_left == 0 or not changes:
+        if self.pushes_remaining == 0 or not changes:
             return None
-        self.pushes_left -= 1
-        return ConfigNews(self.sender, changes)
+        self.pushes_remaining -= 1
+        return ConfigUpdate(self.sender, changes)
 
-    def _answer(self, known: ConfigDigest) -> ConfigNews | None:
+    def _answer(self, peer_digest: ConfigDigest) -> ConfigUpdate | None:
         if not self.config.is_ready:
             # An instance without a configuration has no version to compare, so that it
             # must not count as an answer.
             return None
         current = self.config.current
-        if known.version >= current.version:
-            return ConfigNews(self.sender) if known.waiting else None
-        changes = self.config.changes_after(known.version)
+        if peer_digest.version >= current.version:
+            return ConfigUpdate(self.sender) if peer_digest.waiting else None
+        changes = self.config.changes_after(peer_digest.version)
         if changes is not None:
-            return ConfigNews(self.sender, changes)
+            return ConfigUpdate(self.sender, changes)
         whole = Snapshot(
             current.version, current.change_id, current.author, current.plain
         )
-        return ConfigNews(self.sender, self.config.recent, whole)
+        return ConfigUpdate(self.sender, self.config.recent, whole)
 
-    def _take(self, news: ConfigNews) -> None:
+    def _apply(self, update: ConfigUpdate) -> None:
         if not self.config.is_ready:
-            self._take_first(news)
-        elif news.whole is None:
-            if self.config.offer_changes(news.changes) is OfferResult.APPLIED:
-                self._log(f'peer {news.sender}')
-        elif self.config.offer(parse_snapshot(news.whole), news.changes):
-            self._log(f'peer {news.sender} (complete)')
-
-    def _take_first(self, news: ConfigNews) -> None:
-        best = self.bootstrap.best
-        later = tuple(each for each in news.changes if each.version > best.version)
+            self._collect_answer(update)
+        elif update.whole is None:
+            if self.config.offer_changes(update.changes) is OfferResult.APPLIED:
+                self._log(f'peer {update.sender}')
+        elif self.config.offer(parse_snapshot(update.whole), update.changes):
+            self._log(f'peer {update.sender} (complete)')
+
+    def _collect_answer(self, update: ConfigUpdate) -> None:
+        newest = self.bootstrap.newest
+        later = tuple(each for each in update.changes if each.version > newest.version)
         found = None
-        if news.whole is not None:
-            found = parse_snapshot(news.whole)
+        if update.whole is not None:
+            found = parse_snapshot(update.whole)
         elif later:
-            found = config_after_changes(best, later)
+            found = config_after_changes(newest, later)
             if found is None:
                 return
-        chosen = self.bootstrap.add(news.sender, found, self.count_peers())
+        chosen = self.bootstrap.add(update.sender, found, self.count_peers())
         if chosen is not None and self.config.offer(chosen):
             self._log(f'{len(self.bootstrap.answered)} peers')
 
@@ -156,12 +156,12 @@
         log.info('config: new version in force. version=%s source=%s', version, source)
 
 
-def parse(plain: Any, wanted: type[Message]) -> Message:
+def parse(plain: Any, expected: type[Message]) -> Message:
     """Parse a peer's message; raise ValueError if it is malformed."""
     try:
-        return converter.structure(plain, wanted)
+        return converter.structure(plain, expected)
     except MALFORMED as error:
-        raise ValueError(f'malformed {wanted.__name__}: {error!r}') from None
+        raise ValueError(f'malformed {expected.__name__}: {error!r}') from None
 
 
 def parse_snapshot(snapshot: Snapshot) -> AcceptedConfig:
--- a/catkinslip/config/watcher.py
+++ b/catkinslip/config/watcher.py
@@ -51,10 +51,10 @@
     async def run(self) -> None:
         """Watch or poll the platform until cancelled."""
         while True:
-            result = await self._ask()
+            result = await self._read_or_watch()
             match result:
                 case Success(StoredObject() as found):
-                    error = await self._take(found)
+                    error = await self._apply(found)
                 case Success(_):
                     # A platform that was restored without a failed call may have
                     # lower object versions. A watch for a version above the old
@@ -65,7 +65,7 @@
                     pass
             await self._pause(error)
 
-    async def _ask(self) -> Result[StoredObject | None, PlatformError]:
+    async def _read_or_watch(self) -> Result[StoredObject | None, PlatformError]:
         if self.config.is_ready and not self.is_watcher():
             return await self.store.read(CONFIG_KEY)
         return await self.store.wait_for_change(
@@ -91,16 +91,16 @@
                 return
             await trio.sleep(ROLE_CHECK_SECONDS)
 
-    async def _take(self, found: StoredObject) -> PlatformError | None:
+    async def _apply(self, found: StoredObject) -> PlatformError | None:
         stored = parse_head(found)
         if not isinstance(stored, StoredHead):
             return stored
-        error = await self._take_head(stored.head)
+        error = await self._apply_head(stored.head)
         if error is None:
             self.object_version = found.version
         return error
 
-    async def _take_head(self, head: Head) -> PlatformError | None:
+    async def _apply_head(self, head: Head) -> PlatformError | None:
         in_force = self.config.current.version
         if head.version < in_force:
             log.warning(
--- a/tests/test_config_spread.py
+++ b/tests/test_config_spread.py
@@ -48,17 +48,17 @@
     def test_instance_a_little_behind_gets_the_changes_alone(self):
         behind, newer = fleet_with(2, 2).topics
         newer.config.offer_changes(CHANGES)
-        news = newer.news_for(behind.digest())
-        self.assertIsNone(news['whole'])
-        behind.receive(news)
+        update = newer.news_for(behind.digest())
+        self.assertIsNone(update['whole'])
+        behind.receive(update)
         self.assertEqual(behind.config.current, SECOND)
         self.assertIsNone(newer.news_for(behind.digest()))
 
     def test_malformed_news_is_a_value_error_and_changes_nothing(self):
         topic = fleet_with(2, 2).topics[0]
-        for news in (None, 3, [], {'sender': 'x', 'whole': {'version': 'y'}}):
+        for update in (None, 3, [], {'sender': 'x', 'whole': {'version': 'y'}}):
             with self.assertRaises(ValueError):
-                topic.receive(news)
+                topic.receive(update)
         self.assertEqual(topic.config.current, FIRST)
 
 
