--- a/catkinslip/config/checks.py
+++ b/catkinslip/config/checks.py
@@ -76,10 +76,10 @@
     A mistake without a location is one of the whole document: it gets the location
     `document`.
     """
-    named = (
+    located = (
         DocumentMistake(each.place or 'document', each.reason) for each in mistakes
     )
-    return Failure(DocumentRefused(tuple(named)))
+    return Failure(DocumentRefused(tuple(located)))
 
 
 def check_names(document: Document) -> Iterator[DocumentMistake]:
@@ -99,40 +99,40 @@
     """Yield a mistake for each address that is invalid or used twice."""
     backend_by_address: dict[tuple[str, int], str] = {}
     for name, backend in document.register.backends.items():
-        place = f'register.backends.{name}'
+        location = f'register.backends.{name}'
         try:
             number = ip_address(backend.host)
         except ValueError:
             reason = f'{backend.host!r} is not an IP address'
-            yield DocumentMistake(f'{place}.host', reason)
+            yield DocumentMistake(f'{location}.host', reason)
             continue
         if number.is_unspecified or number.is_multicast:
             reason = f'{backend.host} is not the IP address of a single server'
-            yield DocumentMistake(f'{place}.host', reason)
+            yield DocumentMistake(f'{location}.host', reason)
         address = (str(number), backend.port)
         first = backend_by_address.setdefault(address, name)
         if first != name:
             reason = f'{backend.host}:{backend.port} is also the address of {first}'
-            yield DocumentMistake(place, reason)
+            yield DocumentMistake(location, reason)
 
 
 def check_services(document: Document) -> Iterator[DocumentMistake]:
     """Yield a mistake for each referenced service that is not in the register."""
     services = document.register.services
-    named = [
+    located = [
         (f'register.backends.{name}.service', backend.service)
         for name, backend in document.register.backends.items()
     ]
-    named += [(f'rules.services.{name}', name) for name in document.rules.services]
-    named += [
+    located += [(f'rules.services.{name}', name) for name in document.rules.services]
+    located += [
         (f'rules.requests[{index}].service', rule.service)
         for index, rule in enumerate(document.rules.requests)
         if rule.service != ANY_SERVICE
     ]
-    for place, service in named:
+    for location, service in located:
         if service not in services:
             reason = f'service {service!r} is not in the register'
-            yield DocumentMistake(place, reason)
+            yield DocumentMistake(location, reason)
 
 
 def check_health_paths(document: Document) -> Iterator[DocumentMistake]:
@@ -146,45 +146,47 @@
 def check_requests(document: Document) -> Iterator[DocumentMistake]:
     """Yield the mistakes in the paths and methods of request rules."""
     for index, rule in enumerate(document.rules.requests):
-        place = f'rules.requests[{index}]'
+        location = f'rules.requests[{index}]'
         if not rule.path.startswith(('/', '*')):
             reason = f'{rule.path!r} does not begin with a slash or an asterisk'
-            yield DocumentMistake(f'{place}.path', reason)
+            yield DocumentMistake(f'{location}.path', reason)
         if not rule.methods:
             yield DocumentMistake(
-                f'{place}.methods', 'is empty; at least one method is required'
+                f'{location}.methods', 'is empty; at least one method is required'
             )
         for number, method in enumerate(rule.methods):
             if not METHOD.fullmatch(method):
                 reason = f'{method!r} is not an HTTP method in capital letters'
-                yield DocumentMistake(f'{place}.methods[{number}]', reason)
+                yield DocumentMistake(f'{location}.methods[{number}]', reason)
 
 
 def check_routes(document: Document) -> Iterator[DocumentMistake]:
     """Yield the mistakes in routes, and each route with the same match as another."""
     name_by_match: dict[tuple[str, str], str] = {}
     for name, route in document.rules.routes.items():
-        place = f'rules.routes.{name}'
+        location = f'rules.routes.{name}'
         prefix = route.path_prefix
         if not (prefix.startswith('/') and prefix.endswith('/')):
             reason = f'{prefix!r} does not begin and end with a slash'
-            yield DocumentMistake(f'{place}.path_prefix', reason)
+            yield DocumentMistake(f'{location}.path_prefix', reason)
         if not any(part.weight for part in route.parts):
-            yield DocumentMistake(f'{place}.parts', 'no service has a weight above 0')
+            yield DocumentMistake(
+                f'{location}.parts', 'no service has a weight above 0'
+            )
         for index, part in enumerate(route.parts):
             if part.service not in document.register.services:
                 reason = f'service {part.service!r} is not in the register'
-                yield DocumentMistake(f'{place}.parts[{index}].service', reason)
+                yield DocumentMistake(f'{location}.parts[{index}].service', reason)
         first = name_by_match.setdefault((route.host.lower(), prefix), name)
         if first != name:
-            yield DocumentMistake(place, f'matches the same requests as {first}')
+            yield DocumentMistake(location, f'matches the same requests as {first}')
 
 
 def check_evacuations(document: Document) -> Iterator[DocumentMistake]:
     """Yield a mistake for each evacuated zone that has no backend server."""
-    known = {backend.zone for backend in document.register.backends.values()}
+    zones = {backend.zone for backend in document.register.backends.values()}
     for index, zone in enumerate(document.rules.evacuated_zones):
-        if zone not in known:
+        if zone not in zones:
             reason = f'zone {zone!r} has no backend server'
             yield DocumentMistake(f'rules.evacuated_zones[{index}]', reason)
 
--- a/catkinslip/config/duty.py
+++ b/catkinslip/config/duty.py
@@ -33,5 +33,6 @@
 def is_watcher(member: Member, members: Iterable[Member]) -> bool:
     """Return whether a member is one of the watchers of its zone."""
     return any(
-        each.member_id == member.member_id for each in choose_watchers(member.zone, members)
+        each.member_id == member.member_id
+        for each in choose_watchers(member.zone, members)
     )
--- a/catkinslip/config/history.py
+++ b/catkinslip/config/history.py
@@ -145,7 +145,9 @@
     return kept if len(kept) >= keep else changes[-keep:]
 
 
-def last_changes_within(changes: tuple[Change, ...], max_bytes: int) -> tuple[Change, ...]:
+def last_changes_within(
+    changes: tuple[Change, ...], max_bytes: int
+) -> tuple[Change, ...]:
     """Return as many of the last changes as have patches within a number of bytes."""
     count = 0
     for change in reversed(changes):
@@ -156,7 +158,9 @@
     return changes[len(changes) - count :]
 
 
-def config_after_change(config: AcceptedConfig, change: Change) -> AcceptedConfig | None:
+def config_after_change(
+    config: AcceptedConfig, change: Change
+) -> AcceptedConfig | None:
     """Return the configuration that a change makes of another.
 
     Return None if the change is not the next one, has no patch or gives a document
--- a/catkinslip/config/reading.py
+++ b/catkinslip/config/reading.py
@@ -7,7 +7,12 @@
 from returns.result import Failure, Success
 
 from catkinslip.config.documents import AcceptedConfig, converter
-from catkinslip.config.history import Head, Snapshot, config_after_changes, from_snapshot
+from catkinslip.config.history import (
+    Head,
+    Snapshot,
+    config_after_changes,
+    from_snapshot,
+)
 from catkinslip.store.base import (
     ObjectKey,
     ObjectStore,
--- a/catkinslip/config/shapes.py
+++ b/catkinslip/config/shapes.py
@@ -12,7 +12,7 @@
 from catkinslip.config.documents import Range
 
 #: Description of each type in mistakes.
-WORD_BY_TYPE = {
+DESCRIPTION_BY_TYPE = {
     str: 'text',
     int: 'a whole number',
     float: 'a number',
@@ -31,35 +31,39 @@
     reason: str
 
 
-def check_shape(plain: Any, expected: Any, place: str) -> Iterator[DocumentMistake]:
+def check_shape(plain: Any, expected: Any, location: str) -> Iterator[DocumentMistake]:
     """Yield each mistake in plain data that does not have the expected type."""
     origin = get_origin(expected)
     if origin in (Union, types.UnionType):
         choices = [each for each in get_args(expected) if each is not type(None)]
         if plain is not None:
-            yield from check_shape(plain, choices[0], place)
+            yield from check_shape(plain, choices[0], location)
     elif attrs.has(expected):
-        yield from check_fields(plain, expected, place)
+        yield from check_fields(plain, expected, location)
     elif origin is dict:
-        yield from check_map(plain, get_args(expected)[1], place)
+        yield from check_map(plain, get_args(expected)[1], location)
     elif origin is tuple:
-        yield from check_list(plain, get_args(expected)[0], place)
+        yield from check_list(plain, get_args(expected)[0], location)
     elif not is_scalar(plain, expected):
-        yield wrong_type(plain, expected, place)
+        yield wrong_type(plain, expected, location)
 
 
-def check_fields(plain: Any, expected: type, place: str) -> Iterator[DocumentMistake]:
+def check_fields(
+    plain: Any, expected: type, location: str
+) -> Iterator[DocumentMistake]:
     """Yield the mistakes in a map that holds the fields of a class."""
     if not isinstance(plain, dict):
-        yield wrong_type(plain, dict, place)
+        yield wrong_type(plain, dict, location)
         return
     attribute_by_name = attrs.fields_dict(attrs.resolve_types(expected))
     for name in plain:
         if name not in attribute_by_name:
-            known = ', '.join(attribute_by_name)
-            yield DocumentMistake(join(place, name), f'unknown field; allowed: {known}')
+            field_names = ', '.join(attribute_by_name)
+            yield DocumentMistake(
+                join(location, name), f'unknown field; allowed: {field_names}'
+            )
     for name, attribute in attribute_by_name.items():
-        inner = join(place, name)
+        inner = join(location, name)
         if name in plain:
             mistakes = list(check_shape(plain[name], attribute.type, inner))
             allowed = attribute.metadata.get('range')
@@ -68,32 +72,32 @@
             yield DocumentMistake(inner, 'is missing')
 
 
-def check_map(plain: Any, inner: Any, place: str) -> Iterator[DocumentMistake]:
+def check_map(plain: Any, inner: Any, location: str) -> Iterator[DocumentMistake]:
     """Yield the mistakes in a map whose values have one type."""
     if not isinstance(plain, dict):
-        yield wrong_type(plain, dict, place)
+        yield wrong_type(plain, dict, location)
         return
     for key, value in plain.items():
-        yield from check_shape(value, inner, join(place, key))
+        yield from check_shape(value, inner, join(location, key))
 
 
-def check_list(plain: Any, inner: Any, place: str) -> Iterator[DocumentMistake]:
+def check_list(plain: Any, inner: Any, location: str) -> Iterator[DocumentMistake]:
     """Yield the mistakes in a list whose values have one type."""
     if not isinstance(plain, list | tuple):
-        yield wrong_type(plain, tuple, place)
+        yield wrong_type(plain, tuple, location)
         return
     for index, value in enumerate(plain):
-        yield from check_shape(value, inner, f'{place}[{index}]')
+        yield from check_shape(value, inner, f'{location}[{index}]')
 
 
 def check_range(
-    value: Any, allowed: Range | None, place: str
+    value: Any, allowed: Range | None, location: str
 ) -> Iterator[DocumentMistake]:
     """Yield a mistake if a number is outside its allowed range."""
     if allowed is None or value is None or allowed.low <= value <= allowed.high:
         return
     bounds = f'from {allowed.low:g} to {allowed.high:g} {allowed.unit}'
-    yield DocumentMistake(place, f'{value!r} is not {bounds}')
+    yield DocumentMistake(location, f'{value!r} is not {bounds}')
 
 
 def is_scalar(plain: Any, expected: type) -> bool:
@@ -108,15 +112,15 @@
     return isinstance(plain, expected)
 
 
-def wrong_type(plain: Any, expected: type, place: str) -> DocumentMistake:
+def wrong_type(plain: Any, expected: type, location: str) -> DocumentMistake:
     """Return the mistake for a value of the wrong type."""
     shown = repr(plain) if len(repr(plain)) <= 40 else type(plain).__name__
-    word = WORD_BY_TYPE.get(expected, expected.__name__)
+    description = DESCRIPTION_BY_TYPE.get(expected, expected.__name__)
     if issubclass(expected, Enum):
-        word = 'one of ' + ', '.join(repr(each.value) for each in expected)
-    return DocumentMistake(place, f'{shown} is not {word}')
+        description = 'one of ' + ', '.join(repr(each.value) for each in expected)
+    return DocumentMistake(location, f'{shown} is not {description}')
 
 
-def join(place: str, name: object) -> str:
+def join(location: str, name: object) -> str:
     """Return the location of a field or key within another location."""
-    return f'{place}.{name}' if place else str(name)
+    return f'{location}.{name}' if location else str(name)
--- a/tests/test_config_history.py
+++ b/tests/test_config_history.py
@@ -18,8 +18,8 @@
     MAX_CHANGES,
     MAX_PATCH_BYTES,
     Head,
-    extend_head,
     config_after_change,
+    extend_head,
 )
 from catkinslip.config.holder import ConfigHolder, OfferResult
 from catkinslip.config.merge import merge_diff, merge_patch
@@ -139,7 +139,9 @@
         written = write_all([1, 2, 3, 4])
         holder = ConfigHolder()
         holder.offer(written[1][0])
-        self.assertEqual(holder.offer_changes(written[3][1].changes), OfferResult.APPLIED)
+        self.assertEqual(
+            holder.offer_changes(written[3][1].changes), OfferResult.APPLIED
+        )
         changes = holder.changes_after(ConfigVersion(0, 2))
         self.assertEqual([each.version.number for each in changes], [3, 4])
         self.assertIsNone(holder.changes_after(ConfigVersion(0, 1)))
--- a/tests/test_config_spread.py
+++ b/tests/test_config_spread.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from catkinslip.config.bootstrap import MAX_ANSWERS, Bootstrap, answers_needed
-from catkinslip.config.duty import WATCHERS_PER_ZONE, is_watcher, choose_watchers
+from catkinslip.config.duty import WATCHERS_PER_ZONE, choose_watchers, is_watcher
 from catkinslip.config.history import Head, extend_head
 from catkinslip.membership.members import Member
 from catkinslip.store.backoff import Backoff
