--- a/catkinslip/config/difference.py
+++ b/catkinslip/config/difference.py
@@ -21,14 +21,14 @@
     redefined: frozenset[str]
 
 
-def compare(before: Document, after: Document) -> DocumentDifference:
+def compare_documents(before: Document, after: Document) -> DocumentDifference:
     """Return the difference between two documents.
 
     The comparison is fast where both documents share most of their entry objects.
     """
     old, new = before.register.backends, after.register.backends
-    backends = differing(old, new)
-    services = differing(before.effective_services(), after.effective_services())
+    backends = changed_keys(old, new)
+    services = changed_keys(before.effective_services(), after.effective_services())
     touched = {
         each[name].service for name in backends for each in (old, new) if name in each
     }
@@ -37,11 +37,11 @@
     )
 
 
-def differing(before: Mapping[str, Any], after: Mapping[str, Any]) -> set[str]:
+def changed_keys(before: Mapping[str, Any], after: Mapping[str, Any]) -> set[str]:
     """Return the keys that only one map has, or whose values differ."""
     changed = {
         key
         for key, value in after.items()
-        if (known := before.get(key)) is not value and known != value
+        if (old_value := before.get(key)) is not value and old_value != value
     }
     return changed | (before.keys() - after.keys())
--- a/catkinslip/config/merge.py
+++ b/catkinslip/config/merge.py
@@ -26,11 +26,11 @@
     """
     patch: dict = dict.fromkeys(key for key in before if key not in after)
     for key, value in after.items():
-        known = before.get(key)
-        if key in before and known == value:
+        old_value = before.get(key)
+        if key in before and old_value == value:
             continue
-        if isinstance(known, dict) and isinstance(value, dict):
-            patch[key] = merge_diff(known, value)
+        if isinstance(old_value, dict) and isinstance(value, dict):
+            patch[key] = merge_diff(old_value, value)
         else:
             patch[key] = value
     return patch
--- a/catkinslip/config/revision.py
+++ b/catkinslip/config/revision.py
@@ -7,7 +7,7 @@
 from catkinslip.config.documents import Backend, Document, Service, converter
 
 #: Class of the entries of each section of the register.
-REVISED = {'services': Service, 'backends': Backend}
+CLASS_BY_SECTION = {'services': Service, 'backends': Backend}
 
 
 def revise_document(document: Document, plain: dict, patch: dict) -> Document:
@@ -27,7 +27,7 @@
                 revised.pop(name, None)
             else:
                 found = plain['register'][section][name]
-                revised[name] = converter.structure(found, REVISED[section])
+                revised[name] = converter.structure(found, CLASS_BY_SECTION[section])
         register = evolve(register, **{section: revised})
     return evolve(document, register=register)
 
@@ -36,6 +36,6 @@
     """Return whether a patch of the register changes only services and servers."""
     return (
         isinstance(sections, dict)
-        and set(sections) <= set(REVISED)
+        and set(sections) <= set(CLASS_BY_SECTION)
         and all(isinstance(entries, dict) for entries in sections.values())
     )
--- a/catkinslip/crashes/unseen.py
+++ b/catkinslip/crashes/unseen.py
@@ -9,7 +9,7 @@
 
 from attrs import Factory, define, frozen
 
-from catkinslip.config.difference import differing
+from catkinslip.config.difference import changed_keys
 from catkinslip.config.documents import Backend
 from catkinslip.crashes.identity import RequestKey
 
@@ -74,7 +74,7 @@
     def update(self, backends: dict[str, Backend], now: float) -> list[str]:
         """Take the registered servers; return those that are known to have ended."""
         before, self.backend_by_id = self.backend_by_id, backends
-        changed = differing(before, backends)
+        changed = changed_keys(before, backends)
         ended = []
         for name in changed & before.keys():
             old, new = before[name], backends.get(name)
--- a/catkinslip/health/tracker.py
+++ b/catkinslip/health/tracker.py
@@ -8,7 +8,7 @@
 from attrs import Factory, define
 
 from catkinslip.clock import Clock
-from catkinslip.config.difference import compare
+from catkinslip.config.difference import compare_documents
 from catkinslip.config.documents import AcceptedConfig, Backend, Document
 from catkinslip.health.budget import ProbeBudget, ProbeLimits
 from catkinslip.health.counters import HealthCounters
@@ -69,7 +69,7 @@
 
     def update(self, config: AcceptedConfig) -> None:
         """Apply a new configuration, after the directory has applied it."""
-        difference = compare(self.document, config.document)
+        difference = compare_documents(self.document, config.document)
         self.document = config.document
         if difference.redefined:
             self.probe_limits_by_service = make_probe_limits(
--- a/catkinslip/proxy/pool.py
+++ b/catkinslip/proxy/pool.py
@@ -7,7 +7,7 @@
 import trio
 from attrs import Factory, define, field
 
-from catkinslip.config.difference import compare
+from catkinslip.config.difference import compare_documents
 from catkinslip.config.documents import AcceptedConfig, Backend, Document
 from catkinslip.models import Address
 from catkinslip.proxy.outcomes import NotRun, Reason
@@ -86,7 +86,7 @@
     def update(self, config: AcceptedConfig) -> None:
         """Take over the connection limits of a new configuration."""
         before, document = self.document, config.document
-        difference = compare(before, document)
+        difference = compare_documents(before, document)
         self.document = document
         backends = document.register.backends
         for name in difference.backends & before.register.backends.keys():
--- a/catkinslip/routing/directory.py
+++ b/catkinslip/routing/directory.py
@@ -8,7 +8,7 @@
 from attrs import Factory, define
 
 from catkinslip.clock import Clock, SystemClock
-from catkinslip.config.difference import DocumentDifference, compare
+from catkinslip.config.difference import DocumentDifference, compare_documents
 from catkinslip.config.documents import AcceptedConfig, Backend, Document, Service
 from catkinslip.models import Address
 from catkinslip.resting.gate import RestGate
@@ -63,7 +63,7 @@
     def update(self, config: AcceptedConfig) -> None:
         """Apply the changes of a new configuration."""
         before, document = self.document, config.document
-        difference = compare(before, document)
+        difference = compare_documents(before, document)
         self.document = document
         self.is_ready = True
         self._update_addresses(difference.backends)
--- a/tests/test_config_difference.py
+++ b/tests/test_config_difference.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from catkinslip.clock import SystemClock
-from catkinslip.config.difference import compare
+from catkinslip.config.difference import compare_documents
 from catkinslip.config.documents import AcceptedConfig, Document
 from catkinslip.health.tracker import HealthTracker, make_tracker
 from catkinslip.proxy.pool import BackendPool
@@ -107,5 +107,7 @@
             self.assertEqual(set(waited_for), set(tracker.key_by_id.values()))
 
     def test_equal_documents_differ_in_nothing(self):
-        difference = compare(document({'a': LIMITS}, {}), document({'a': LIMITS}, {}))
+        difference = compare_documents(
+            document({'a': LIMITS}, {}), document({'a': LIMITS}, {})
+        )
         self.assertFalse(difference.backends | difference.services)
