--- a/tests/test_config_changes.py
+++ b/tests/test_config_changes.py
@@ -1,4 +1,4 @@
-"""Races between operators and answers that are lost."""
+"""Tests of concurrent configuration changes and of lost answers of the platform."""
 
 import unittest
 
@@ -30,10 +30,10 @@
 
 OPERATIONS = st.lists(
     st.tuples(
-        st.integers(0, 3),  # Readings that the base is behind.
+        st.integers(0, 3),  # Number of reads that the base is behind.
         st.sampled_from(('', '', 'lost', 'dropped', 'late', 'refused')),
-        st.integers(1, 6),  # Readings until a late write lands.
-        st.sampled_from((0, 0, 0, 1, 4, 9)),  # Readings that fail.
+        st.integers(1, 6),  # Number of reads until a late write is applied.
+        st.sampled_from((0, 0, 0, 1, 4, 9)),  # Number of reads that fail.
     ),
     min_size=1,
     max_size=12,
@@ -41,7 +41,7 @@
 
 
 class ConfigChangesTest(unittest.TestCase):
-    """Each change has one outcome, and it is the true one."""
+    """Each change has exactly one outcome, which matches the state of the platform."""
 
     def setUp(self):
         self.store = FaultyStore()
--- a/tests/test_config_checks.py
+++ b/tests/test_config_checks.py
@@ -1,4 +1,4 @@
-"""Documents are checked whole before anything is sent."""
+"""Tests that a document is checked completely before it is sent."""
 
 import json
 import unittest
@@ -15,13 +15,13 @@
 
 
 def places(plain: object) -> list[str]:
-    """Return the places of all mistakes of a document."""
+    """Return the sorted locations of all mistakes in a document."""
     result = read_document(plain)
     return sorted(each.place for each in result.failure().mistakes)
 
 
 class ConfigChecksTest(unittest.TestCase):
-    """Each mistake is named with its place, all at once."""
+    """All mistakes of a document are reported at once, each with its location."""
 
     def setUp(self):
         self.plain = document_plain(ADDRESS_BY_BACKEND)
--- a/tests/test_config_difference.py
+++ b/tests/test_config_difference.py
@@ -1,4 +1,4 @@
-"""Parts that take over only what changed hold what a fresh start would hold."""
+"""Tests that applying only the differences gives the state of a fresh start."""
 
 import unittest
 from random import Random
@@ -34,7 +34,7 @@
 
 
 def document(backends: dict, overrides: dict) -> Document:
-    """Return a document whose services are those that its servers carry."""
+    """Return a document with some servers and exactly the services that they run."""
     register = {
         name: {**each, 'zone': 'zone-a', 'host': f'10.0.0.{ord(name)}'}
         for name, each in backends.items()
@@ -50,7 +50,11 @@
 
 
 def held(directory: Directory, pool: BackendPool, wanted: Document) -> tuple:
-    """Return what both parts hold for the servers of a document."""
+    """Return the state of a directory and a pool for the servers of a document.
+
+    It consists of the loads, the connection limits, and whether the pool has a limit
+    for exactly the servers of the document.
+    """
     loads = {
         (service, backend_id): (load.draining, load.slots)
         for service, router in directory.router_by_service.items()
@@ -64,13 +68,13 @@
 
 
 def make_health() -> HealthTracker:
-    """Return a tracker that knows no servers yet."""
+    """Return a health tracker without servers."""
     directory = Directory(lambda: LeastInFlight(Random(1)))
     return make_tracker(directory, SystemClock(), Random(1), max_instances=1)
 
 
 class ConfigDifferenceTest(unittest.TestCase):
-    """Random documents, one after the other."""
+    """Sequences of random documents are applied one after the other."""
 
     @settings(derandomize=True, deadline=None, max_examples=150)
     @example([({'a': LIMITS, 'b': LIMITS}, {}), ({'a': CLAIMS, 'b': LIMITS}, {})])
--- a/tests/test_config_history.py
+++ b/tests/test_config_history.py
@@ -1,4 +1,4 @@
-"""Changes, snapshots and the holder, under random orders."""
+"""Tests of changes, snapshots and the configuration holder in random orders."""
 
 import unittest
 
@@ -40,7 +40,10 @@
 
 
 def write_all(sizes: list[int]) -> list[tuple[AcceptedConfig, Head, dict]]:
-    """Return what the platform held after each of some changes."""
+    """Return configuration, head and snapshot after each change of a sequence.
+
+    Each size is the number of workers in the document of a change.
+    """
     config, head, snapshot_plain = AcceptedConfig(), Head(), {}
     written = []
     for number, size in enumerate(sizes, 1):
@@ -54,7 +57,7 @@
 
 
 class MergeTest(unittest.TestCase):
-    """Patches say exactly what changed."""
+    """A patch contains exactly the differences between two documents."""
 
     @SETTINGS
     @given(MAPS, MAPS)
@@ -83,7 +86,7 @@
 
 
 class HeadTest(unittest.TestCase):
-    """Snapshot and changes give the document of the last change."""
+    """The snapshot and the changes give the document of the last change."""
 
     @SETTINGS
     @given(SIZES)
@@ -114,7 +117,7 @@
 
 
 class HolderTest(unittest.TestCase):
-    """The configuration in force only moves forward."""
+    """The configuration in force is never replaced by an older one."""
 
     @SETTINGS
     @given(SIZES, st.lists(st.tuples(st.integers(0, 7), st.booleans()), max_size=20))
@@ -150,7 +153,7 @@
         self.assertEqual(behind.current, holder.current)
 
     def test_gap_leaves_everything_as_it_is(self):
-        # The last change alone would give the right document too.
+        # The last change alone would also give the right document.
         written = write_all([1, 2, 1])
         holder = ConfigHolder(written[0][0])
         result = holder.offer_changes(written[2][1].changes[-1:])
--- a/tests/test_config_processes.py
+++ b/tests/test_config_processes.py
@@ -1,4 +1,4 @@
-"""Operators, instances and the platform as separate processes, under failure."""
+"""Tests with operators, instances and the platform as processes that fail."""
 
 import io
 import json
@@ -19,7 +19,7 @@
 
 
 class ConfigProcessesTest(unittest.TestCase):
-    """Each test starts its own platform."""
+    """Configuration changes between processes; each test starts its own platform."""
 
     def setUp(self):
         self.group = new_process_group(self)
@@ -30,14 +30,14 @@
         httpx.post(f'{self.url}/standin/faults', json=faults, timeout=10)
 
     def document(self, *backends: str) -> str:
-        """Write a document with some backend servers; return its path."""
+        """Write a file with a document of some backend servers and return its path."""
         addresses = {name: f'127.0.0.1:{9000 + n}' for n, name in enumerate(backends)}
         path = self.group.folder / f'{"-".join(backends)}.json'
         path.write_text(json.dumps(document_plain(addresses)))
         return str(path)
 
     def tool(self, *arguments: str) -> tuple[int, str]:
-        """Run the tool; return its exit status and what it printed."""
+        """Run the command-line tool and return its exit status and its output."""
         output = io.StringIO()
         variables = {'CATKINSLIP_PLATFORM_URL': self.url, 'USER': 'ana'}
         environment = Environment(variables, output, output)
@@ -81,7 +81,8 @@
     def test_lost_and_cut_answers_are_resolved_and_applied_once(self):
         for number, fault in enumerate(('lose_answers', 'cut_answers'), 2):
             self.tool('apply', self.document('a'))
-            # The first write of an apply may be of a snapshot; this one is not.
+            # The first write of `apply` may be that of a snapshot; the one of `drain` is
+            # that of the head.
             self.order(**{fault: 1})
             status, _ = self.tool('drain', 'a', '--json')
             self.assertEqual(status, ExitStatus.SUCCESS)
@@ -131,7 +132,7 @@
         daemons = [self.start_daemon(f'entry-{n}') for n in range(2)]
         self.tool('apply', self.document('a'))
         self.assertEqual(self.tool('watch', '--wait', '20')[0], ExitStatus.SUCCESS)
-        # The tool asks the instances that are known; one may have joined just now.
+        # The tool checks the instances that are members; one may have joined only now.
         wait_until(lambda: [version_of(each) for each in daemons] == [1, 1])
         self.platform.send_signal(signal.SIGSTOP)
         alone = self.start_daemon('entry-alone')
@@ -149,7 +150,7 @@
         self.check_budget(time.monotonic() - began)
 
     def check_straggler(self, daemon: Process) -> None:
-        """Check that a paused instance is named and its pause is not for ever."""
+        """Check that the tool names a paused instance, then resume the instance."""
         daemon.send_signal(signal.SIGSTOP)
         status, said = self.tool('drain', 'a', '--wait', '0.1')
         self.assertEqual(status, ExitStatus.NOT_IN_FORCE)
@@ -157,7 +158,7 @@
         daemon.send_signal(signal.SIGCONT)
 
     def check_budget(self, seconds: float) -> None:
-        """Check the calls that the platform counted for each instance."""
+        """Check that no instance made more platform calls than its share of the budget."""
         callers = httpx.get(f'{self.url}/standin/callers').json()
         callers.pop('')
         share = 100 / 20
@@ -199,7 +200,7 @@
         self.assertIn('on all 1 instances', said)
 
     def kept(self, daemon: Process) -> int:
-        """Count how often an instance was shown an older version."""
+        """Return how often an instance logged that the platform had an older version."""
         return daemon.log_path.read_text().count('the one in force is kept')
 
 
--- a/tests/test_config_spread.py
+++ b/tests/test_config_spread.py
@@ -1,4 +1,4 @@
-"""The configuration between peers, and who asks the platform."""
+"""Tests of the exchange between peers, the choice of watchers and platform budgets."""
 
 import unittest
 from random import Random
@@ -22,7 +22,7 @@
 
 
 def fleet_with(size: int, ready: int, seed: int = 1) -> TopicFleet:
-    """Return a fleet of which some have the first configuration in force."""
+    """Return a fleet in which `ready` instances have the first configuration in force."""
     fleet = TopicFleet.of_size(size, seed)
     for topic in fleet.topics[:ready]:
         topic.config.offer(FIRST)
@@ -30,7 +30,7 @@
 
 
 class SpreadTest(unittest.TestCase):
-    """News reaches every instance, as a change where a change is enough."""
+    """An update reaches every instance, as changes alone where these are enough."""
 
     def test_change_reaches_a_fleet_in_few_rounds_and_few_bytes(self):
         for size in (3, 17, 300):
@@ -63,7 +63,7 @@
 
 
 class FreshInstanceTest(unittest.TestCase):
-    """A fresh instance without the platform hears enough peers first."""
+    """A fresh instance without the platform waits for the answers of enough peers."""
 
     def test_highest_of_a_majority_is_taken(self):
         fleet = fleet_with(6, 5)
@@ -99,7 +99,7 @@
 
 
 class WatchDutyTest(unittest.TestCase):
-    """A few instances per zone watch the platform."""
+    """A few instances per availability zone watch the platform."""
 
     def test_few_watch_and_a_leaving_one_is_replaced(self):
         members = [member(f'entry-{number}') for number in range(17)]
@@ -115,10 +115,10 @@
 
 
 class PlatformBudgetTest(unittest.TestCase):
-    """Counted calls never exceed the agreed budget, whatever happens."""
+    """The number of platform calls never exceeds the budget."""
 
     def count_calls(self, buckets: dict[str, TokenBucket], seconds: float, now=0.0):
-        """Let each bucket try every 5 ms; return the calls that went through."""
+        """Try a call with each bucket every 5 ms and return the number of allowed calls."""
         calls = 0
         for step in range(int(seconds / 0.005)):
             for bucket in buckets.values():
--- a/tests/test_config_watcher.py
+++ b/tests/test_config_watcher.py
@@ -1,4 +1,4 @@
-"""What an instance takes from the platform."""
+"""Tests of the configurations that an instance applies from the platform."""
 
 import unittest
 from random import Random
@@ -16,7 +16,7 @@
 
 
 class ConfigWatcherTest(unittest.TestCase):
-    """Accepted changes come into force and nothing older does."""
+    """Accepted changes come into force, and older configurations never do."""
 
     def setUp(self):
         self.store = FaultyStore()
@@ -35,7 +35,7 @@
         )
 
     async def settle(self, seconds: float = 3 * WATCH_SECONDS) -> int:
-        """Let time pass; return the workers in force."""
+        """Let some seconds pass and return the number of workers in force."""
         await trio.sleep(seconds)
         return len(self.config.current.document.register.backends)
 
@@ -87,7 +87,10 @@
         self.assertEqual(self.run_with_watcher(act), 3)
 
     async def restore(self, failed_reads: int) -> int:
-        """Replace the platform by one that counts again; return what is in force."""
+        """Restore the platform with lower object versions and return the workers in force.
+
+        With `failed_reads`, the instance sees failed reads of the platform in between.
+        """
         await self.change(2)
         await self.change(3)
         await self.settle(1)
