--- a/catkinslip/config/watcher.py
+++ b/catkinslip/config/watcher.py
@@ -57,8 +57,8 @@
                     error = await self._apply(found)
                 case Success(_):
                     # A platform that was restored without a failed call may have
-                    # lower object versions. A watch for a version above the old
-                    # one would then never return an object.
+                    # lower object versions. A watch that continues from the old
+                    # version could then wait forever.
                     self.object_version = 0
                     error = None
                 case Failure(error):
--- a/tests/test_config_difference.py
+++ b/tests/test_config_difference.py
@@ -52,8 +52,8 @@
 def held(directory: Directory, pool: BackendPool, wanted: Document) -> tuple:
     """Return the state of a directory and a pool for the servers of a document.
 
-    It consists of the loads, the connection limits, and whether the pool has a limit
-    for exactly the servers of the document.
+    It consists of the loads, the connection limits, and whether the directory has
+    exactly the servers of the document.
     """
     loads = {
         (service, backend_id): (load.draining, load.slots)
--- a/tests/test_config_processes.py
+++ b/tests/test_config_processes.py
@@ -81,8 +81,8 @@
     def test_lost_and_cut_answers_are_resolved_and_applied_once(self):
         for number, fault in enumerate(('lose_answers', 'cut_answers'), 2):
             self.tool('apply', self.document('a'))
-            # The first write of `apply` may be that of a snapshot; the one of `drain` is
-            # that of the head.
+            # The first write of `apply` may be that of a snapshot; `drain` here writes
+            # only the head.
             self.order(**{fault: 1})
             status, _ = self.tool('drain', 'a', '--json')
             self.assertEqual(status, ExitStatus.SUCCESS)
@@ -132,7 +132,7 @@
         daemons = [self.start_daemon(f'entry-{n}') for n in range(2)]
         self.tool('apply', self.document('a'))
         self.assertEqual(self.tool('watch', '--wait', '20')[0], ExitStatus.SUCCESS)
-        # The tool checks the instances that are members; one may have joined only now.
+        # The tool checks only current members; one may have joined just now.
         wait_until(lambda: [version_of(each) for each in daemons] == [1, 1])
         self.platform.send_signal(signal.SIGSTOP)
         alone = self.start_daemon('entry-alone')
@@ -158,7 +158,7 @@
         daemon.send_signal(signal.SIGCONT)
 
     def check_budget(self, seconds: float) -> None:
-        """Check that no instance made more platform calls than its share of the budget."""
+        """Check that each instance kept its platform calls within its budget."""
         callers = httpx.get(f'{self.url}/standin/callers').json()
         callers.pop('')
         share = 100 / 20
@@ -200,7 +200,7 @@
         self.assertIn('on all 1 instances', said)
 
     def kept(self, daemon: Process) -> int:
-        """Return how often an instance logged that the platform had an older version."""
+        """Return the number of older versions that an instance logged and ignored."""
         return daemon.log_path.read_text().count('the one in force is kept')
 
 
--- a/tests/test_config_spread.py
+++ b/tests/test_config_spread.py
@@ -22,7 +22,7 @@
 
 
 def fleet_with(size: int, ready: int, seed: int = 1) -> TopicFleet:
-    """Return a fleet in which `ready` instances have the first configuration in force."""
+    """Return a fleet in which `ready` instances have the configuration FIRST."""
     fleet = TopicFleet.of_size(size, seed)
     for topic in fleet.topics[:ready]:
         topic.config.offer(FIRST)
@@ -118,7 +118,7 @@
     """The number of platform calls never exceeds the budget."""
 
     def count_calls(self, buckets: dict[str, TokenBucket], seconds: float, now=0.0):
-        """Try a call with each bucket every 5 ms and return the number of allowed calls."""
+        """Try a call with each bucket every 5 ms; return the count of allowed calls."""
         calls = 0
         for step in range(int(seconds / 0.005)):
             for bucket in buckets.values():
--- a/tests/test_config_watcher.py
+++ b/tests/test_config_watcher.py
@@ -87,7 +87,7 @@
         self.assertEqual(self.run_with_watcher(act), 3)
 
     async def restore(self, failed_reads: int) -> int:
-        """Restore the platform with lower object versions and return the workers in force.
+        """Restore the platform with lower object versions; return the workers in force.
 
         With `failed_reads`, the instance sees failed reads of the platform in between.
         """
