--- a/tests/test_config_processes.py
+++ b/tests/test_config_processes.py
@@ -201,7 +201,7 @@
 
     def kept(self, daemon: Process) -> int:
         """Return the number of older versions that an instance logged and ignored."""
-        return daemon.log_path.read_text().count('the one in force is kept')
+        return daemon.log_path.read_text().count('platform returned an older version')
 
 
 def version_of(daemon: Process) -> int:
