--- a/tests/test_config_processes.py
+++ b/tests/test_config_processes.py
@@ -26,17 +26,17 @@
         self.platform = self.group.start_platform()
         self.url = f'http://{self.platform.address}'
 
-    def order(self, **faults):
+    def set_faults(self, **faults):
         httpx.post(f'{self.url}/standin/faults', json=faults, timeout=10)
 
-    def document(self, *backends: str) -> str:
+    def write_document(self, *backends: str) -> str:
         """Write a file with a document of some backend servers and return its path."""
         addresses = {name: f'127.0.0.1:{9000 + n}' for n, name in enumerate(backends)}
         path = self.group.folder / f'{"-".join(backends)}.json'
         path.write_text(json.dumps(document_plain(addresses)))
         return str(path)
 
-    def tool(self, *arguments: str) -> tuple[int, str]:
+    def run_tool(self, *arguments: str) -> tuple[int, str]:
         """Run the command-line tool and return its exit status and its output."""
         output = io.StringIO()
         variables = {'CATKINSLIP_PLATFORM_URL': self.url, 'USER': 'ana'}
@@ -56,82 +56,82 @@
         )
 
     def test_one_of_two_racing_operators_wins_and_the_other_is_told(self):
-        self.assertEqual(self.tool('apply', self.document('a'))[0], 0)
-        self.order(delay=0.3)
+        self.assertEqual(self.run_tool('apply', self.write_document('a'))[0], 0)
+        self.set_faults(delay=0.3)
         operators = {}
         for name in ('ana', 'bela'):
-            file = self.document(name)
+            file = self.write_document(name)
             operators[name] = subprocess.Popen(
                 [sys.executable, '-m', 'catkinslip', 'apply', file, '--json']
                 + ['--base', '0.1', '--author', name, '--platform-url', self.url],
                 cwd=ROOT,
                 stdout=subprocess.PIPE,
             )
-        said = {name: each.communicate()[0] for name, each in operators.items()}
+        output = {name: each.communicate()[0] for name, each in operators.items()}
         status = {name: each.returncode for name, each in operators.items()}
         self.assertEqual(
             set(status.values()), {ExitStatus.SUCCESS, ExitStatus.CONFLICT}
         )
         winner = min(status, key=status.get)
         loser = max(status, key=status.get)
-        self.assertEqual(json.loads(said[loser])['winner']['author'], winner)
-        accepted = json.loads(self.tool('read', '--document')[1])
+        self.assertEqual(json.loads(output[loser])['winner']['author'], winner)
+        accepted = json.loads(self.run_tool('read', '--document')[1])
         self.assertEqual(list(accepted['register']['backends']), [winner])
 
     def test_lost_and_cut_answers_are_resolved_and_applied_once(self):
         for number, fault in enumerate(('lose_answers', 'cut_answers'), 2):
-            self.tool('apply', self.document('a'))
+            self.run_tool('apply', self.write_document('a'))
             # The first write of `apply` may be that of a snapshot; `drain` here writes
             # only the head.
-            self.order(**{fault: 1})
-            status, _ = self.tool('drain', 'a', '--json')
+            self.set_faults(**{fault: 1})
+            status, _ = self.run_tool('drain', 'a', '--json')
             self.assertEqual(status, ExitStatus.SUCCESS)
-            changes = json.loads(self.tool('changes', '--json')[1])
+            changes = json.loads(self.run_tool('changes', '--json')[1])
             self.assertEqual(len(changes), 2 * (number - 1))
 
     def test_change_made_from_a_stale_reading_is_made_again_or_refused(self):
-        self.tool('apply', self.document('a'))
-        self.tool('drain', 'a')
-        self.order(stale_reads=1)
-        status, said = self.tool('apply', self.document('b'))
+        self.run_tool('apply', self.write_document('a'))
+        self.run_tool('drain', 'a')
+        self.set_faults(stale_reads=1)
+        status, output = self.run_tool('apply', self.write_document('b'))
         self.assertEqual(status, ExitStatus.CONFLICT)
-        self.assertIn('version 0.2 by ana', said)
-        self.order(stale_reads=1)
-        status, said = self.tool('undrain', 'a')
+        self.assertIn('version 0.2 by ana', output)
+        self.set_faults(stale_reads=1)
+        status, output = self.run_tool('undrain', 'a')
         self.assertEqual(status, ExitStatus.SUCCESS)
-        self.assertIn('Again, as version 0.2 by ana', said)
-        self.assertIn('Nothing to change', self.tool('undrain', 'a')[1])
-        self.tool('apply', self.document('a', 'b'))
-        self.order(stale_reads=1)
-        status, said = self.tool('drain', 'a')
+        self.assertIn('Again, as version 0.2 by ana', output)
+        self.assertIn('Nothing to change', self.run_tool('undrain', 'a')[1])
+        self.run_tool('apply', self.write_document('a', 'b'))
+        self.set_faults(stale_reads=1)
+        status, output = self.run_tool('drain', 'a')
         self.assertEqual(status, ExitStatus.SUCCESS)
-        self.assertIn('Again, as version 0.4 by ana', said)
-        accepted = json.loads(self.tool('read', '--document')[1])
+        self.assertIn('Again, as version 0.4 by ana', output)
+        accepted = json.loads(self.run_tool('read', '--document')[1])
         self.assertEqual(sorted(accepted['register']['backends']), ['a', 'b'])
 
     def test_nothing_changes_when_the_platform_is_down_or_the_document_is_bad(self):
-        self.tool('apply', self.document('a'))
-        self.order(down=True)
+        self.run_tool('apply', self.write_document('a'))
+        self.set_faults(down=True)
         self.assertEqual(
-            self.tool('apply', self.document('b'))[0], ExitStatus.UNREACHABLE
+            self.run_tool('apply', self.write_document('b'))[0], ExitStatus.UNREACHABLE
         )
-        self.order(down=False)
+        self.set_faults(down=False)
         bad = self.group.folder / 'bad.json'
         bad.write_text('{"register": {"backends": {"x": {"port": 1}}}}')
-        status, said = self.tool('apply', str(bad), '--json')
+        status, output = self.run_tool('apply', str(bad), '--json')
         self.assertEqual(status, ExitStatus.REJECTED)
-        places = [each['place'] for each in json.loads(said)['mistakes']]
+        places = [each['place'] for each in json.loads(output)['mistakes']]
         self.assertIn('register.backends.x.host', places)
-        status, _ = self.tool('apply', self.document('b'), '--wait', 'soon')
+        status, _ = self.run_tool('apply', self.write_document('b'), '--wait', 'soon')
         self.assertEqual(status, ExitStatus.USAGE)
-        accepted = json.loads(self.tool('read', '--document')[1])
+        accepted = json.loads(self.run_tool('read', '--document')[1])
         self.assertEqual(list(accepted['register']['backends']), ['a'])
 
     def test_fresh_instance_in_an_outage_takes_the_configuration_from_peers(self):
         began = time.monotonic()
         daemons = [self.start_daemon(f'entry-{n}') for n in range(2)]
-        self.tool('apply', self.document('a'))
-        self.assertEqual(self.tool('watch', '--wait', '20')[0], ExitStatus.SUCCESS)
+        self.run_tool('apply', self.write_document('a'))
+        self.assertEqual(self.run_tool('watch', '--wait', '20')[0], ExitStatus.SUCCESS)
         # The tool checks only current members; one may have joined just now.
         wait_until(lambda: [version_of(each) for each in daemons] == [1, 1])
         self.platform.send_signal(signal.SIGSTOP)
@@ -143,18 +143,18 @@
         fresh = self.start_daemon('entry-fresh', *daemons)
         wait_until(lambda: version_of(fresh) == 1)
         self.platform.send_signal(signal.SIGCONT)
-        self.check_straggler(daemons[0])
-        status, said = self.tool('watch', '--wait', '20')
-        self.assertEqual(status, ExitStatus.SUCCESS, said)
-        self.assertIn('Version 0.2 is in force on all 4 instances', said)
+        self.check_paused_instance(daemons[0])
+        status, output = self.run_tool('watch', '--wait', '20')
+        self.assertEqual(status, ExitStatus.SUCCESS, output)
+        self.assertIn('Version 0.2 is in force on all 4 instances', output)
         self.check_budget(time.monotonic() - began)
 
-    def check_straggler(self, daemon: Process) -> None:
+    def check_paused_instance(self, daemon: Process) -> None:
         """Check that the tool names a paused instance, then resume the instance."""
         daemon.send_signal(signal.SIGSTOP)
-        status, said = self.tool('drain', 'a', '--wait', '0.1')
+        status, output = self.run_tool('drain', 'a', '--wait', '0.1')
         self.assertEqual(status, ExitStatus.NOT_IN_FORCE)
-        self.assertIn(f'Not in force: {daemon.name} at', said)
+        self.assertIn(f'Not in force: {daemon.name} at', output)
         daemon.send_signal(signal.SIGCONT)
 
     def check_budget(self, seconds: float) -> None:
@@ -167,26 +167,26 @@
 
     def test_stale_reads_and_a_restored_platform_never_revert(self):
         daemon = self.start_daemon('entry-0')
-        self.tool('apply', self.document('a'))
-        self.tool('watch', '--wait', '20')
-        self.order(stale_watches=3)
-        self.tool('drain', 'a')
-        wait_until(lambda: self.kept(daemon))
+        self.run_tool('apply', self.write_document('a'))
+        self.run_tool('watch', '--wait', '20')
+        self.set_faults(stale_watches=3)
+        self.run_tool('drain', 'a')
+        wait_until(lambda: self.count_older_versions(daemon))
         held = version_of(daemon)
         self.assertGreaterEqual(held, 2)
         port = self.platform.address.rpartition(':')[2]
         self.platform.kill()
         self.group.start('restored', 'standins.platform', '--port', port)
-        before = self.kept(daemon)
-        status, said = self.tool('apply', self.document('b'))
-        self.assertEqual(status, ExitStatus.SUCCESS, said)
-        wait_until(lambda: self.kept(daemon) > before)
+        before = self.count_older_versions(daemon)
+        status, output = self.run_tool('apply', self.write_document('b'))
+        self.assertEqual(status, ExitStatus.SUCCESS, output)
+        wait_until(lambda: self.count_older_versions(daemon) > before)
         self.assertEqual(version_of(daemon), held)
         saved = self.group.folder / 'saved.json'
         saved.write_text(
-            self.tool('read', '--from', daemon.control_address, '--document')[1]
+            self.run_tool('read', '--from', daemon.control_address, '--document')[1]
         )
-        status, said = self.tool(
+        status, output = self.run_tool(
             'apply',
             str(saved),
             '--raise-epoch',
@@ -195,11 +195,11 @@
             '--control',
             daemon.control_address,
         )
-        self.assertEqual(status, ExitStatus.SUCCESS, said)
-        self.assertIn('Accepted as version 1.2', said)
-        self.assertIn('on all 1 instances', said)
+        self.assertEqual(status, ExitStatus.SUCCESS, output)
+        self.assertIn('Accepted as version 1.2', output)
+        self.assertIn('on all 1 instances', output)
 
-    def kept(self, daemon: Process) -> int:
+    def count_older_versions(self, daemon: Process) -> int:
         """Return the number of older versions that an instance logged and ignored."""
         return daemon.log_path.read_text().count('platform returned an older version')
 
