--- a/tests/test_config_changes.py
+++ b/tests/test_config_changes.py
@@ -58,7 +58,7 @@
         found = await read_config(self.store)
         return len(found.config.document.register.backends)
 
-    def test_loser_of_a_race_is_told_who_came_first(self):
+    def test_loser_of_a_race_gets_the_change_that_came_first(self):
         async def race():
             await self.change(1)
             base = await read_config(self.store)
@@ -219,13 +219,13 @@
 
         outcome_by_id, readings = self.run_async(operate)
         last = [value['changes'][-1] for value in store.written if value['changes']]
-        taken = {change['change_id'] for change in last}
+        accepted_ids = {change['change_id'] for change in last}
         for change_id, outcome in outcome_by_id.items():
             if isinstance(outcome, ChangeAccepted):
-                self.assertIn(change_id, taken)
+                self.assertIn(change_id, accepted_ids)
             elif not isinstance(outcome, ChangeUnknown):
-                self.assertNotIn(change_id, taken)
+                self.assertNotIn(change_id, accepted_ids)
         versions = {str(change['version']) for change in last}
-        self.assertEqual(len(versions), len(taken))
+        self.assertEqual(len(versions), len(accepted_ids))
         read_versions = [each.config.version for each in readings]
         self.assertEqual(read_versions, sorted(read_versions))
--- a/tests/test_config_checks.py
+++ b/tests/test_config_checks.py
@@ -14,7 +14,7 @@
 ADDRESS_BY_BACKEND = {'limits-3': '127.0.0.1:80', 'limits-4': '127.0.0.1:81'}
 
 
-def places(plain: object) -> list[str]:
+def locations(plain: object) -> list[str]:
     """Return the sorted locations of all mistakes in a document."""
     result = read_document(plain)
     return sorted(each.place for each in result.failure().mistakes)
@@ -42,7 +42,7 @@
             'services': {'limits': {'max_connections': 1.5}},
         }
         self.assertEqual(
-            places(self.plain),
+            locations(self.plain),
             [
                 'register.backends.limits-3.color',
                 'register.backends.limits-3.port',
@@ -70,7 +70,7 @@
             'services': {'y': {}},
         }
         self.assertEqual(
-            places(self.plain),
+            locations(self.plain),
             [
                 'register.backends.bad name',
                 'register.backends.bad name.host',
@@ -85,10 +85,10 @@
             ],
         )
 
-    def test_two_writings_of_an_address_are_one_address(self):
+    def test_two_spellings_of_an_address_are_one_address(self):
         self.backends['limits-3']['host'] = '::1'
         self.backends['limits-4'].update(host='0:0::1', port=80)
-        self.assertEqual(places(self.plain), ['register.backends.limits-4'])
+        self.assertEqual(locations(self.plain), ['register.backends.limits-4'])
 
     def test_text_that_is_no_document_is_refused(self):
         for text in (b'', b'{', b'[]', b'null', b'[' * 100_000, b'\xff', b'NaN'):
@@ -96,13 +96,13 @@
                 (mistake,) = parse_document(text).failure().mistakes
                 self.assertEqual(mistake.place, 'document')
 
-    def test_name_that_stands_twice_is_refused(self):
+    def test_duplicate_name_is_refused(self):
         text = json.dumps(self.plain).replace('limits-4', 'limits-3').encode()
         (mistake,) = parse_document(text).failure().mistakes
         self.assertEqual(mistake.place, 'limits-3')
 
     def test_document_beyond_the_size_of_a_value_is_refused(self):
-        self.assertEqual(places(many_workers(9_000, 440)), ['document'])
+        self.assertEqual(locations(many_workers(9_000, 440)), ['document'])
         self.assertLess(MAX_DOCUMENT_BYTES, 1 << 20)
         document_of(many_workers(4_600, 440))
 
--- a/tests/test_config_difference.py
+++ b/tests/test_config_difference.py
@@ -49,7 +49,7 @@
     )
 
 
-def held(directory: Directory, pool: BackendPool, wanted: Document) -> tuple:
+def server_state(directory: Directory, pool: BackendPool, wanted: Document) -> tuple:
     """Return the state of a directory and a pool for the servers of a document.
 
     It consists of the loads, the connection limits, and whether the directory has
@@ -89,12 +89,14 @@
             fresh = Directory(lambda: LeastInFlight(Random(1))), BackendPool()
             for part in fresh:
                 part.update(AcceptedConfig(document=wanted))
-            self.assertEqual(held(directory, pool, wanted), held(*fresh, wanted))
-            self.assertTrue(held(directory, pool, wanted)[2])
+            self.assertEqual(
+                server_state(directory, pool, wanted), server_state(*fresh, wanted)
+            )
+            self.assertTrue(server_state(directory, pool, wanted)[2])
 
     @settings(derandomize=True, deadline=None, max_examples=100)
     @given(st.lists(BACKENDS, min_size=1, max_size=5))
-    def test_health_knows_the_servers_of_the_last_step_only(self, steps):
+    def test_health_tracks_the_servers_of_the_last_step_only(self, steps):
         tracker = make_health()
         for backends in steps:
             wanted = AcceptedConfig(document=document(backends, {}))
@@ -107,8 +109,8 @@
             self.assertEqual(
                 tracker.probe_limits_by_service, fresh.probe_limits_by_service
             )
-            waited_for = tracker.reports.answered_at_by_key
-            self.assertEqual(set(waited_for), set(tracker.key_by_id.values()))
+            tracked_keys = tracker.reports.answered_at_by_key
+            self.assertEqual(set(tracked_keys), set(tracker.key_by_id.values()))
 
     def test_equal_documents_differ_in_nothing(self):
         difference = compare_documents(
--- a/tests/test_config_history.py
+++ b/tests/test_config_history.py
@@ -138,7 +138,7 @@
                 self.assertEqual(holder.current, written[number - 1][0])
         self.assertEqual(seen, sorted(set(seen)))
 
-    def test_holder_hands_on_exactly_the_changes_that_lack(self):
+    def test_holder_returns_exactly_the_missing_changes(self):
         written = write_all([1, 2, 3, 4])
         holder = ConfigHolder()
         holder.offer(written[1][0])
@@ -160,7 +160,7 @@
         self.assertEqual(result, OfferResult.GAP)
         self.assertEqual(holder.current, written[0][0])
 
-    def test_same_version_of_another_change_is_reported_and_not_taken(self):
+    def test_same_version_of_another_change_is_logged_and_not_applied(self):
         holder = ConfigHolder(config_with(1, 5, 'mine'))
         with self.assertLogs('config', 'ERROR') as logs:
             self.assertFalse(holder.offer(config_with(2, 5, 'other')))
--- a/tests/test_config_processes.py
+++ b/tests/test_config_processes.py
@@ -55,7 +55,7 @@
             **settings,
         )
 
-    def test_one_of_two_racing_operators_wins_and_the_other_is_told(self):
+    def test_one_of_two_racing_operators_wins_and_the_other_gets_a_conflict(self):
         self.assertEqual(self.run_tool('apply', self.write_document('a'))[0], 0)
         self.set_faults(delay=0.3)
         operators = {}
@@ -120,14 +120,14 @@
         bad.write_text('{"register": {"backends": {"x": {"port": 1}}}}')
         status, output = self.run_tool('apply', str(bad), '--json')
         self.assertEqual(status, ExitStatus.REJECTED)
-        places = [each['place'] for each in json.loads(output)['mistakes']]
-        self.assertIn('register.backends.x.host', places)
+        locations = [each['place'] for each in json.loads(output)['mistakes']]
+        self.assertIn('register.backends.x.host', locations)
         status, _ = self.run_tool('apply', self.write_document('b'), '--wait', 'soon')
         self.assertEqual(status, ExitStatus.USAGE)
         accepted = json.loads(self.run_tool('read', '--document')[1])
         self.assertEqual(list(accepted['register']['backends']), ['a'])
 
-    def test_fresh_instance_in_an_outage_takes_the_configuration_from_peers(self):
+    def test_fresh_instance_in_an_outage_gets_the_configuration_from_peers(self):
         began = time.monotonic()
         daemons = [self.start_daemon(f'entry-{n}') for n in range(2)]
         self.run_tool('apply', self.write_document('a'))
@@ -172,8 +172,8 @@
         self.set_faults(stale_watches=3)
         self.run_tool('drain', 'a')
         wait_until(lambda: self.count_older_versions(daemon))
-        held = version_of(daemon)
-        self.assertGreaterEqual(held, 2)
+        held_version = version_of(daemon)
+        self.assertGreaterEqual(held_version, 2)
         port = self.platform.address.rpartition(':')[2]
         self.platform.kill()
         self.group.start('restored', 'standins.platform', '--port', port)
@@ -181,7 +181,7 @@
         status, output = self.run_tool('apply', self.write_document('b'))
         self.assertEqual(status, ExitStatus.SUCCESS, output)
         wait_until(lambda: self.count_older_versions(daemon) > before)
-        self.assertEqual(version_of(daemon), held)
+        self.assertEqual(version_of(daemon), held_version)
         saved = self.group.folder / 'saved.json'
         saved.write_text(
             self.run_tool('read', '--from', daemon.control_address, '--document')[1]
--- a/tests/test_config_spread.py
+++ b/tests/test_config_spread.py
@@ -29,7 +29,7 @@
     return fleet
 
 
-class SpreadTest(unittest.TestCase):
+class GossipTest(unittest.TestCase):
     """An update reaches every instance, as changes alone where these are enough."""
 
     def test_change_reaches_a_fleet_in_few_rounds_and_few_bytes(self):
@@ -54,7 +54,7 @@
         self.assertEqual(behind.config.current, SECOND)
         self.assertIsNone(newer.news_for(behind.digest()))
 
-    def test_malformed_news_is_a_value_error_and_changes_nothing(self):
+    def test_malformed_update_is_a_value_error_and_changes_nothing(self):
         topic = fleet_with(2, 2).topics[0]
         for update in (None, 3, [], {'sender': 'x', 'whole': {'version': 'y'}}):
             with self.assertRaises(ValueError):
@@ -65,7 +65,7 @@
 class FreshInstanceTest(unittest.TestCase):
     """A fresh instance without the platform waits for the answers of enough peers."""
 
-    def test_highest_of_a_majority_is_taken(self):
+    def test_newest_of_a_majority_comes_into_force(self):
         fleet = fleet_with(6, 5)
         fresh = fleet.topics[5]
         fleet.topics[1].config.offer_changes(CHANGES)
@@ -98,7 +98,7 @@
         self.assertIsNone(Bootstrap().add('a', FIRST, 16))
 
 
-class WatchDutyTest(unittest.TestCase):
+class WatcherChoiceTest(unittest.TestCase):
     """A few instances per availability zone watch the platform."""
 
     def test_few_watch_and_a_leaving_one_is_replaced(self):
@@ -153,7 +153,7 @@
         )
         self.assertLessEqual(calls, share * 10.0)
 
-    def test_clock_that_stands_still_or_goes_back_gives_no_calls(self):
+    def test_clock_that_stops_or_goes_back_gives_no_calls(self):
         bucket = TokenBucket(1000.0)
         self.assertGreater(bucket.take(50.0), 0.0)
         self.assertGreater(bucket.take(40.0), 0.0)
