--- a/catkinslip/wiring/shared.py
+++ b/catkinslip/wiring/shared.py
@@ -7,8 +7,8 @@
 import httpx
 from attrs import frozen
 
-from catkinslip.config.duty import is_watcher
 from catkinslip.config.holder import ConfigHolder
+from catkinslip.config.watcher_choice import is_watcher
 from catkinslip.control.paths import SECRET_HEADER
 from catkinslip.crashes.guard import CrashGuard, make_guard
 from catkinslip.crashes.objects import ObjectCrashes
--- a/tests/test_config_spread.py
+++ b/tests/test_config_gossip.py
@@ -4,8 +4,12 @@
 from random import Random
 
 from catkinslip.config.bootstrap import MAX_ANSWERS, Bootstrap, answers_needed
-from catkinslip.config.duty import WATCHERS_PER_ZONE, choose_watchers, is_watcher
 from catkinslip.config.history import Head, extend_head
+from catkinslip.config.watcher_choice import (
+    WATCHERS_PER_ZONE,
+    choose_watchers,
+    is_watcher,
+)
 from catkinslip.membership.members import Member
 from catkinslip.store.backoff import Backoff
 from catkinslip.store.budget import BURST_CALLS, TokenBucket, share_of
