--- a/catkinslip/config/bootstrap.py
+++ b/catkinslip/config/bootstrap.py
@@ -21,7 +21,6 @@
     """The newest configuration among the answers of peers to a fresh instance."""
 
     #: Newest configuration received so far.
-
     newest: AcceptedConfig = Factory(AcceptedConfig)
     #: Instance IDs of the peers that have answered.
     answered: set[str] = Factory(set)
--- a/catkinslip/config/difference.py
+++ b/catkinslip/config/difference.py
@@ -13,7 +13,6 @@
     """Names of the services and backend servers that were added, changed or removed."""
 
     #: Backend servers that differ.
-
     backends: frozenset[str]
     #: Services whose own fields or one of whose backend servers differ.
     services: frozenset[str]
--- a/catkinslip/config/holder.py
+++ b/catkinslip/config/holder.py
@@ -33,7 +33,6 @@
     """The newest accepted configuration, which is never replaced by an older one."""
 
     #: The configuration in force.
-
     current: AcceptedConfig = Factory(AcceptedConfig)
     #: Functions that are called with each new configuration in force.
     listeners: list[Listener] = Factory(list)
--- a/catkinslip/config/topic.py
+++ b/catkinslip/config/topic.py
@@ -19,7 +19,7 @@
 from catkinslip.config.reading import MALFORMED
 from catkinslip.membership.topics import PeerTopic
 
-#: Number of exchanges in which an instance pushes a new version.
+#: Number of exchanges in which an instance pushes a version that is new to it.
 PUSHES_PER_CHANGE = 6
 #: Maximum size of the patches in one push, as JSON, in bytes.
 MAX_PUSH_BYTES = 2_000
@@ -45,7 +45,6 @@
     """Update for a peer: consecutive changes, a complete configuration, or neither."""
 
     #: Instance ID of the sender.
-
     sender: str
     changes: tuple[Change, ...] = ()
     #: Complete configuration; `changes` are then the last changes up to it.
@@ -64,7 +63,7 @@
     count_peers: Callable[[], int] = lambda: 0
     #: Answers of peers while no configuration is in force.
     bootstrap: Bootstrap = Factory(Bootstrap)
-    #: Version that is being pushed.
+    #: Version that was pushed last.
     pushed_version: ConfigVersion = ConfigVersion()
     #: Number of exchanges that still push this version.
     pushes_remaining: int = 0
--- a/catkinslip/config/watcher.py
+++ b/catkinslip/config/watcher.py
@@ -1,4 +1,4 @@
-"""Watch on the accepted configuration on the platform."""
+"""Reading of accepted configurations from the platform, by watches or polls."""
 
 import logging
 from collections.abc import Callable
@@ -37,7 +37,7 @@
 
 @define
 class ConfigWatcher:
-    """Reader of the platform that puts accepted configurations in force here."""
+    """Task that puts accepted configurations from the platform in force."""
 
     store: ObjectStore
     config: ConfigHolder
