--- a/catkinslip/cli/configuration_reads.py
+++ b/catkinslip/cli/configuration_reads.py
@@ -123,7 +123,7 @@
             self.printer.sentence(line)
 
     def _tell_absent(self, change_id: str, head: Head) -> ExitStatus:
-        if head.has_changes_after(ConfigVersion()):
+        if head.has_all_changes_after(ConfigVersion()):
             self.printer.error(f'Change {change_id} has not been accepted.')
             return ExitStatus.CONFLICT
         first = head.changes[0].version
--- a/catkinslip/config/changes.py
+++ b/catkinslip/config/changes.py
@@ -182,7 +182,7 @@
         return ChangeAccepted(attempted)
     if found.object_version <= base.object_version:
         return None
-    if not found.head.has_changes_after(base.config.version):
+    if not found.head.has_all_changes_after(base.config.version):
         return None
     later = found.head.changes_after(base.config.version)
     if not later:
--- a/catkinslip/config/history.py
+++ b/catkinslip/config/history.py
@@ -66,7 +66,7 @@
         found = (each for each in self.changes if each.change_id == change_id)
         return next(found, None)
 
-    def has_changes_after(self, version: ConfigVersion) -> bool:
+    def has_all_changes_after(self, version: ConfigVersion) -> bool:
         """Return whether the head still holds every change after a version."""
         if version >= self.version:
             return True
