--- a/catkinslip/config/bootstrap.py
+++ b/catkinslip/config/bootstrap.py
@@ -4,7 +4,8 @@
 
 from catkinslip.config.documents import AcceptedConfig
 
-#: Maximum number of peers that must have answered; bounds the cost of a start.
+#: Maximum number of answers that a fresh instance waits for; limits the cost of a
+#: start.
 MAX_ANSWERS = 5
 
 
--- a/catkinslip/config/documents.py
+++ b/catkinslip/config/documents.py
@@ -90,7 +90,7 @@
 
 @frozen
 class RequestRule:
-    """Rule whether requests with some methods and a path pattern are repeatable."""
+    """Rule that marks requests of some methods and a path as repeatable or not."""
 
     service: str
     path: str
