--- a/catkinslip/config/holder.py
+++ b/catkinslip/config/holder.py
@@ -1,4 +1,4 @@
-"""The configuration in force on one instance."""
+"""The configuration that is in force on this instance."""
 
 import logging
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 from attrs import Factory, define
 
 from catkinslip.config.documents import AcceptedConfig, ConfigVersion
-from catkinslip.config.history import Change, follow, trim
+from catkinslip.config.history import Change, config_after_change, trim_changes
 
 Listener = Callable[[AcceptedConfig], None]
 
@@ -15,36 +15,42 @@
 
 
 @unique
-class Step(Enum):
-    """What became of changes that were offered."""
-
-    #: The configuration in force is newer than before.
-    TAKEN = auto()
-    #: Nothing was newer than what is in force.
-    OLD = auto()
-    #: A change between was missing; a whole configuration is needed.
+class OfferResult(Enum):
+    """Result of offering changes to the configuration in force."""
+
+    #: Some changes were applied: the configuration in force is newer than before.
+    APPLIED = auto()
+    #: No change was newer than the configuration in force.
+    NOT_NEWER = auto()
+    #: A change in between is missing: a complete configuration is needed.
     GAP = auto()
-    #: The same version with another change; the one in force is kept.
+    #: The version in force came with another change ID; the one in force is kept.
     CONTRADICTION = auto()
 
 
 @define
 class ConfigHolder:
-    """Hold the newest accepted configuration and never go back."""
+    """The newest accepted configuration, which is never replaced by an older one."""
 
+    #: The configuration in force.
     current: AcceptedConfig = Factory(AcceptedConfig)
+    #: Functions that are called with each new configuration in force.
     listeners: list[Listener] = Factory(list)
-    #: The changes that led to the one in force, oldest first, without gaps.
+    #: The last changes up to the configuration in force, oldest first, without gaps.
     recent: tuple[Change, ...] = ()
+    #: Number of times that the version in force came with another change ID.
     contradictions: int = 0
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether any configuration is in force."""
+        """Return whether any configuration is in force."""
         return self.current.version > ConfigVersion()
 
     def offer(self, candidate: AcceptedConfig, recent: tuple[Change, ...] = ()) -> bool:
-        """Put a configuration in force if it is newer; tell whether it was."""
+        """Put a configuration in force if it is newer, and return whether it was.
+
+        `recent` are the last changes up to the configuration, oldest first.
+        """
         if candidate.version <= self.current.version:
             self._compare(candidate.version, candidate.change_id)
             return False
@@ -52,33 +58,36 @@
         self._put_in_force(candidate)
         return True
 
-    def offer_changes(self, changes: tuple[Change, ...]) -> Step:
-        """Put changes in force, oldest first, that follow the one in force."""
+    def offer_changes(self, changes: tuple[Change, ...]) -> OfferResult:
+        """Apply the changes, oldest first, that follow the configuration in force."""
         config = self.current
-        taken: list[Change] = []
+        applied: list[Change] = []
         for change in changes:
             if change.version <= config.version:
                 if not self._compare(change.version, change.change_id):
-                    return Step.CONTRADICTION
+                    return OfferResult.CONTRADICTION
                 continue
-            followed = follow(config, change)
-            if followed is None:
+            next_config = config_after_change(config, change)
+            if next_config is None:
                 break
-            config = followed
-            taken.append(change)
-        if taken:
-            self.recent = trim((*self.recent, *taken), keep=1)
+            config = next_config
+            applied.append(change)
+        if applied:
+            self.recent = trim_changes((*self.recent, *applied), keep=1)
             self._put_in_force(config)
         if changes and changes[-1].version > config.version:
-            return Step.GAP
-        return Step.TAKEN if taken else Step.OLD
+            return OfferResult.GAP
+        return OfferResult.APPLIED if applied else OfferResult.NOT_NEWER
 
     def changes_after(self, version: ConfigVersion) -> tuple[Change, ...] | None:
-        """Return the changes that lead from a version to the one in force."""
+        """Return the changes from a version to the one in force.
+
+        Return None if not all of them are held.
+        """
         later = tuple(each for each in self.recent if each.version > version)
-        wanted = self.current.version.number - version.number
+        expected_count = self.current.version.number - version.number
         same_epoch = version.epoch == self.current.version.epoch
-        return later if same_epoch and len(later) == wanted else None
+        return later if same_epoch and len(later) == expected_count else None
 
     def _put_in_force(self, config: AcceptedConfig) -> None:
         self.current = config
@@ -91,8 +100,8 @@
             return True
         self.contradictions += 1
         log.error(
-            'config: version %s is change %s here and %s elsewhere; '
-            'the one in force is kept, raise the epoch.',
+            'config: two changes with one version; the one in force is kept, raise '
+            'the epoch. version=%s in_force=%s other=%s',
             version,
             current.change_id,
             change_id,
--- a/catkinslip/config/shapes.py
+++ b/catkinslip/config/shapes.py
@@ -1,4 +1,4 @@
-"""Compare plain data with attrs classes and name the place of every mistake."""
+"""Checks of plain data against attrs classes, with the location of every mistake."""
 
 import types
 from collections.abc import Iterator
@@ -11,7 +11,8 @@
 
 from catkinslip.config.documents import Range
 
-WORD_BY_TYPE = {
+#: Description of each type in mistakes.
+DESCRIPTION_BY_TYPE = {
     str: 'text',
     int: 'a whole number',
     float: 'a number',
@@ -24,41 +25,45 @@
 
 @frozen
 class DocumentMistake:
-    """One mistake: where it stands and why it is one."""
+    """A mistake in a document: its location, such as `rules.routes.a`, and a reason."""
 
     place: str
     reason: str
 
 
-def check_shape(plain: Any, wanted: Any, place: str) -> Iterator[DocumentMistake]:
-    """Yield each place where plain data does not have a type."""
-    origin = get_origin(wanted)
+def check_shape(plain: Any, expected: Any, location: str) -> Iterator[DocumentMistake]:
+    """Yield each mistake in plain data that does not have the expected type."""
+    origin = get_origin(expected)
     if origin in (Union, types.UnionType):
-        choices = [each for each in get_args(wanted) if each is not type(None)]
+        choices = [each for each in get_args(expected) if each is not type(None)]
         if plain is not None:
-            yield from check_shape(plain, choices[0], place)
-    elif attrs.has(wanted):
-        yield from check_fields(plain, wanted, place)
+            yield from check_shape(plain, choices[0], location)
+    elif attrs.has(expected):
+        yield from check_fields(plain, expected, location)
     elif origin is dict:
-        yield from check_map(plain, get_args(wanted)[1], place)
+        yield from check_map(plain, get_args(expected)[1], location)
     elif origin is tuple:
-        yield from check_list(plain, get_args(wanted)[0], place)
-    elif not is_scalar(plain, wanted):
-        yield wrong_type(plain, wanted, place)
+        yield from check_list(plain, get_args(expected)[0], location)
+    elif not is_scalar(plain, expected):
+        yield wrong_type(plain, expected, location)
 
 
-def check_fields(plain: Any, wanted: type, place: str) -> Iterator[DocumentMistake]:
-    """Yield the mistakes in a map with the fields of a class."""
+def check_fields(
+    plain: Any, expected: type, location: str
+) -> Iterator[DocumentMistake]:
+    """Yield the mistakes in a map that holds the fields of a class."""
     if not isinstance(plain, dict):
-        yield wrong_type(plain, dict, place)
+        yield wrong_type(plain, dict, location)
         return
-    attribute_by_name = attrs.fields_dict(attrs.resolve_types(wanted))
+    attribute_by_name = attrs.fields_dict(attrs.resolve_types(expected))
     for name in plain:
         if name not in attribute_by_name:
-            known = ', '.join(attribute_by_name)
-            yield DocumentMistake(join(place, name), f'unknown field; known: {known}')
+            field_names = ', '.join(attribute_by_name)
+            yield DocumentMistake(
+                join(location, name), f'unknown field; allowed: {field_names}'
+            )
     for name, attribute in attribute_by_name.items():
-        inner = join(place, name)
+        inner = join(location, name)
         if name in plain:
             mistakes = list(check_shape(plain[name], attribute.type, inner))
             allowed = attribute.metadata.get('range')
@@ -67,55 +72,55 @@
             yield DocumentMistake(inner, 'is missing')
 
 
-def check_map(plain: Any, inner: Any, place: str) -> Iterator[DocumentMistake]:
-    """Yield the mistakes in a map of values of one type."""
+def check_map(plain: Any, inner: Any, location: str) -> Iterator[DocumentMistake]:
+    """Yield the mistakes in a map whose values have one type."""
     if not isinstance(plain, dict):
-        yield wrong_type(plain, dict, place)
+        yield wrong_type(plain, dict, location)
         return
     for key, value in plain.items():
-        yield from check_shape(value, inner, join(place, key))
+        yield from check_shape(value, inner, join(location, key))
 
 
-def check_list(plain: Any, inner: Any, place: str) -> Iterator[DocumentMistake]:
-    """Yield the mistakes in a list of values of one type."""
+def check_list(plain: Any, inner: Any, location: str) -> Iterator[DocumentMistake]:
+    """Yield the mistakes in a list whose values have one type."""
     if not isinstance(plain, list | tuple):
-        yield wrong_type(plain, tuple, place)
+        yield wrong_type(plain, tuple, location)
         return
     for index, value in enumerate(plain):
-        yield from check_shape(value, inner, f'{place}[{index}]')
+        yield from check_shape(value, inner, f'{location}[{index}]')
 
 
 def check_range(
-    value: Any, allowed: Range | None, place: str
+    value: Any, allowed: Range | None, location: str
 ) -> Iterator[DocumentMistake]:
-    """Yield a mistake if a number is out of its range."""
+    """Yield a mistake if a number is outside its allowed range."""
     if allowed is None or value is None or allowed.low <= value <= allowed.high:
         return
     bounds = f'from {allowed.low:g} to {allowed.high:g} {allowed.unit}'
-    yield DocumentMistake(place, f'{value!r} is not {bounds}')
+    yield DocumentMistake(location, f'{value!r} is not {bounds}')
 
 
-def is_scalar(plain: Any, wanted: type) -> bool:
-    """Tell whether a value is of a scalar type, with no conversion."""
-    if wanted is float:
+def is_scalar(plain: Any, expected: type) -> bool:
+    """Return whether a value has a scalar type without conversion."""
+    if expected is float:
         is_number = isinstance(plain, int | float) and not isinstance(plain, bool)
         return is_number and isfinite(plain)
-    if wanted is int:
+    if expected is int:
         return isinstance(plain, int) and not isinstance(plain, bool)
-    if issubclass(wanted, Enum):
-        return plain in [each.value for each in wanted]
-    return isinstance(plain, wanted)
+    if issubclass(expected, Enum):
+        return plain in [each.value for each in expected]
+    return isinstance(plain, expected)
 
 
-def wrong_type(plain: Any, wanted: type, place: str) -> DocumentMistake:
-    """Return the mistake of a value of the wrong type."""
+def wrong_type(plain: Any, expected: type, location: str) -> DocumentMistake:
+    """Return the mistake for a value of the wrong type."""
     shown = repr(plain) if len(repr(plain)) <= 40 else type(plain).__name__
-    word = WORD_BY_TYPE.get(wanted, wanted.__name__)
-    if issubclass(wanted, Enum):
-        word = 'one of ' + ', '.join(repr(each.value) for each in wanted)
-    return DocumentMistake(place, f'{shown} is not {word}')
+    description = DESCRIPTION_BY_TYPE.get(expected, expected.__name__)
+    if issubclass(expected, Enum):
+        description = 'one of ' + ', '.join(repr(each.value) for each in expected)
+    return DocumentMistake(location, f'{shown} is not {description}')
 
 
-def join(place: str, name: object) -> str:
-    """Return the place of a field."""
-    return f'{place}.{name}' if place else str(name)
+def join(location: str, name: object) -> str:
+    """Return the location of a field or key within another location."""
+    return f'{location}.{name}' if location else str(name)
--- a/catkinslip/config/topic.py
+++ b/catkinslip/config/topic.py
@@ -1,4 +1,4 @@
-"""Carry the accepted configuration between peers."""
+"""Exchange of the accepted configuration with peers."""
 
 import logging
 from collections.abc import Callable
@@ -11,17 +11,17 @@
 from catkinslip.config.history import (
     Change,
     Snapshot,
-    follow_all,
+    config_after_changes,
     from_snapshot,
-    last_within,
+    last_changes_within,
 )
-from catkinslip.config.holder import ConfigHolder, Step
+from catkinslip.config.holder import ConfigHolder, OfferResult
 from catkinslip.config.reading import MALFORMED
 from catkinslip.membership.topics import PeerTopic
 
-#: Exchanges in which an instance pushes a change that is new to it.
+#: Number of exchanges in which an instance pushes a version that is new to it.
 PUSHES_PER_CHANGE = 6
-#: Bytes of patches that one push holds at most.
+#: Maximum size of the patches in one push, as JSON, in bytes.
 MAX_PUSH_BYTES = 2_000
 
 Message = TypeVar('Message')
@@ -31,122 +31,140 @@
 
 @frozen
 class ConfigDigest:
-    """What an instance holds; a fresh one waits for several peers' answers."""
+    """The version that an instance has.
+
+    `waiting` marks a fresh instance that waits for the answers of several peers.
+    """
 
     version: ConfigVersion
     waiting: bool = False
 
 
 @frozen
-class ConfigNews:
-    """Changes that follow each other, or a whole configuration, or neither."""
+class ConfigUpdate:
+    """Update for a peer: consecutive changes, a complete configuration, or neither."""
 
+    #: Instance ID of the sender.
     sender: str
     changes: tuple[Change, ...] = ()
+    #: Complete configuration; `changes` are then the last changes up to it.
     whole: Snapshot | None = None
 
 
 @define
 class ConfigTopic(PeerTopic):
-    """Tell peers the version in force and give newer ones to those behind."""
+    """Peer topic that sends the version in force, and updates to peers behind it."""
 
     config: ConfigHolder
+    #: This instance's ID.
     sender: str = ''
-    #: Tells how many peers are known; it decides how many must answer a fresh one.
+    #: Function that returns the number of known peers, which determines how many peers
+    #: must answer a fresh instance.
     count_peers: Callable[[], int] = lambda: 0
+    #: Answers of peers while no configuration is in force.
     bootstrap: Bootstrap = Factory(Bootstrap)
+    #: Version that was pushed last.
     pushed_version: ConfigVersion = ConfigVersion()
-    pushes_left: int = 0
+    #: Number of exchanges that still push this version.
+    pushes_remaining: int = 0
     name = 'config'
 
     def digest(self) -> Any:
-        """Return the version in force, or the best one seen while waiting."""
+        """Return the digest that peers receive, which holds the version in force.
+
+        While an instance waits for the answers of peers, the digest holds the newest
+        version that it has received.
+        """
         if self.config.is_ready:
             return converter.unstructure(ConfigDigest(self.config.current.version))
-        digest = ConfigDigest(self.bootstrap.best.version, waiting=True)
+        digest = ConfigDigest(self.bootstrap.newest.version, waiting=True)
         return converter.unstructure(digest)
 
     def updates_for(self, digest: Any | None) -> Any | None:
-        """Return what a peer lacks, or the newest changes if that is not known."""
+        """Return the update for a peer with a digest; None if there is nothing to send.
+
+        Without a digest, the update holds the newest changes.
+        """
         if digest is None:
-            news = self._push()
+            update = self._push()
         else:
-            news = self._answer(parse(digest, ConfigDigest))
-        return None if news is None else converter.unstructure(news)
+            update = self._answer(parse(digest, ConfigDigest))
+        return None if update is None else converter.unstructure(update)
 
-    def receive(self, news: Any) -> None:
-        """Put a peer's configuration in force if it is newer."""
+    def receive(self, update: Any) -> None:
+        """Apply a peer's update; raise ValueError if it is malformed."""
         try:
-            self._take(converter.structure(news, ConfigNews))
+            self._apply(converter.structure(update, ConfigUpdate))
         except MALFORMED as error:
             raise ValueError(
-                f'malformed news of the configuration: {error!r}'
+                f'malformed update of the configuration: {error!r}'
             ) from None
 
-    def _push(self) -> ConfigNews | None:
+    def _push(self) -> ConfigUpdate | None:
         version = self.config.current.version
         if self.pushed_version != version:
             self.pushed_version = version
-            self.pushes_left = PUSHES_PER_CHANGE
-        changes = last_within(self.config.recent, MAX_PUSH_BYTES)
-        if self.pushes_left == 0 or not changes:
+            self.pushes_remaining = PUSHES_PER_CHANGE
+        changes = last_changes_within(self.config.recent, MAX_PUSH_BYTES)
+        if self.pushes_remaining == 0 or not changes:
             return None
-        self.pushes_left -= 1
-        return ConfigNews(self.sender, changes)
+        self.pushes_remaining -= 1
+        return ConfigUpdate(self.sender, changes)
 
-    def _answer(self, known: ConfigDigest) -> ConfigNews | None:
+    def _answer(self, peer_digest: ConfigDigest) -> ConfigUpdate | None:
         if not self.config.is_ready:
-            # A fresh instance's silence says nothing of what is in force.
+            # An instance without a configuration has no version to compare, so that it
+            # must not count as an answer.
             return None
         current = self.config.current
-        if known.version >= current.version:
-            return ConfigNews(self.sender) if known.waiting else None
-        changes = self.config.changes_after(known.version)
+        if peer_digest.version >= current.version:
+            return ConfigUpdate(self.sender) if peer_digest.waiting else None
+        changes = self.config.changes_after(peer_digest.version)
         if changes is not None:
-            return ConfigNews(self.sender, changes)
+            return ConfigUpdate(self.sender, changes)
         whole = Snapshot(
             current.version, current.change_id, current.author, current.plain
         )
-        return ConfigNews(self.sender, self.config.recent, whole)
+        return ConfigUpdate(self.sender, self.config.recent, whole)
 
-    def _take(self, news: ConfigNews) -> None:
+    def _apply(self, update: ConfigUpdate) -> None:
         if not self.config.is_ready:
-            self._take_first(news)
-        elif news.whole is None:
-            if self.config.offer_changes(news.changes) is Step.TAKEN:
-                self._log(f'from {news.sender}')
-        elif self.config.offer(parse_snapshot(news.whole), news.changes):
-            self._log(f'whole from {news.sender}')
-
-    def _take_first(self, news: ConfigNews) -> None:
-        best = self.bootstrap.best
-        later = tuple(each for each in news.changes if each.version > best.version)
+            self._collect_answer(update)
+        elif update.whole is None:
+            if self.config.offer_changes(update.changes) is OfferResult.APPLIED:
+                self._log(f'peer {update.sender}')
+        elif self.config.offer(parse_snapshot(update.whole), update.changes):
+            self._log(f'peer {update.sender} (complete)')
+
+    def _collect_answer(self, update: ConfigUpdate) -> None:
+        newest = self.bootstrap.newest
+        later = tuple(each for each in update.changes if each.version > newest.version)
         found = None
-        if news.whole is not None:
-            found = parse_snapshot(news.whole)
+        if update.whole is not None:
+            found = parse_snapshot(update.whole)
         elif later:
-            found = follow_all(best, later)
+            found = config_after_changes(newest, later)
             if found is None:
                 return
-        chosen = self.bootstrap.add(news.sender, found, self.count_peers())
+        chosen = self.bootstrap.add(update.sender, found, self.count_peers())
         if chosen is not None and self.config.offer(chosen):
-            self._log(f'from {len(self.bootstrap.answered)} peers')
+            self._log(f'{len(self.bootstrap.answered)} peers')
 
     def _log(self, source: str) -> None:
         version = self.config.current.version
-        log.info('config: version %s is in force, %s.', version, source)
+        log.info('config: new version in force. version=%s source=%s', version, source)
 
 
-def parse(plain: Any, wanted: type[Message]) -> Message:
-    """Read a peer's message; raise ValueError if it is malformed."""
+def parse(plain: Any, expected: type[Message]) -> Message:
+    """Parse a peer's message; raise ValueError if it is malformed."""
     try:
-        return converter.structure(plain, wanted)
+        return converter.structure(plain, expected)
     except MALFORMED as error:
-        raise ValueError(f'malformed {wanted.__name__}: {error!r}') from None
+        raise ValueError(f'malformed {expected.__name__}: {error!r}') from None
 
 
 def parse_snapshot(snapshot: Snapshot) -> AcceptedConfig:
-    """Read a peer's whole configuration; raise ValueError if it is malformed."""
+    """Parse a peer's complete configuration; raise ValueError if it is malformed."""
     try:
         return from_snapshot(snapshot)
     except MALFORMED as error:
--- a/tests/test_config_difference.py
+++ b/tests/test_config_difference.py
@@ -1,4 +1,4 @@
-"""Parts that take over only what changed hold what a fresh start would hold."""
+"""Tests that applying only the differences gives the state of a fresh start."""
 
 import unittest
 from random import Random
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from catkinslip.clock import SystemClock
-from catkinslip.config.difference import compare
+from catkinslip.config.difference import compare_documents
 from catkinslip.config.documents import AcceptedConfig, Document
 from catkinslip.health.tracker import HealthTracker, make_tracker
 from catkinslip.proxy.pool import BackendPool
@@ -34,7 +34,7 @@
 
 
 def document(backends: dict, overrides: dict) -> Document:
-    """Return a document whose services are those that its servers carry."""
+    """Return a document with some servers and exactly the services that they run."""
     register = {
         name: {**each, 'zone': 'zone-a', 'host': f'10.0.0.{ord(name)}'}
         for name, each in backends.items()
@@ -49,8 +49,12 @@
     )
 
 
-def held(directory: Directory, pool: BackendPool, wanted: Document) -> tuple:
-    """Return what both parts hold for the servers of a document."""
+def server_state(directory: Directory, pool: BackendPool, wanted: Document) -> tuple:
+    """Return the state of a directory and a pool for the servers of a document.
+
+    It consists of the loads, the connection limits, and whether the directory has
+    exactly the servers of the document.
+    """
     loads = {
         (service, backend_id): (load.draining, load.slots)
         for service, router in directory.router_by_service.items()
@@ -64,13 +68,13 @@
 
 
 def make_health() -> HealthTracker:
-    """Return a tracker that knows no servers yet."""
+    """Return a health tracker without servers."""
     directory = Directory(lambda: LeastInFlight(Random(1)))
     return make_tracker(directory, SystemClock(), Random(1), max_instances=1)
 
 
 class ConfigDifferenceTest(unittest.TestCase):
-    """Random documents, one after the other."""
+    """Sequences of random documents are applied one after the other."""
 
     @settings(derandomize=True, deadline=None, max_examples=150)
     @example([({'a': LIMITS, 'b': LIMITS}, {}), ({'a': CLAIMS, 'b': LIMITS}, {})])
@@ -85,12 +89,14 @@
             fresh = Directory(lambda: LeastInFlight(Random(1))), BackendPool()
             for part in fresh:
                 part.update(AcceptedConfig(document=wanted))
-            self.assertEqual(held(directory, pool, wanted), held(*fresh, wanted))
-            self.assertTrue(held(directory, pool, wanted)[2])
+            self.assertEqual(
+                server_state(directory, pool, wanted), server_state(*fresh, wanted)
+            )
+            self.assertTrue(server_state(directory, pool, wanted)[2])
 
     @settings(derandomize=True, deadline=None, max_examples=100)
     @given(st.lists(BACKENDS, min_size=1, max_size=5))
-    def test_health_knows_the_servers_of_the_last_step_only(self, steps):
+    def test_health_tracks_the_servers_of_the_last_step_only(self, steps):
         tracker = make_health()
         for backends in steps:
             wanted = AcceptedConfig(document=document(backends, {}))
@@ -103,9 +109,11 @@
             self.assertEqual(
                 tracker.probe_limits_by_service, fresh.probe_limits_by_service
             )
-            waited_for = tracker.reports.answered_at_by_key
-            self.assertEqual(set(waited_for), set(tracker.key_by_id.values()))
+            tracked_keys = tracker.reports.answered_at_by_key
+            self.assertEqual(set(tracked_keys), set(tracker.key_by_id.values()))
 
     def test_equal_documents_differ_in_nothing(self):
-        difference = compare(document({'a': LIMITS}, {}), document({'a': LIMITS}, {}))
+        difference = compare_documents(
+            document({'a': LIMITS}, {}), document({'a': LIMITS}, {})
+        )
         self.assertFalse(difference.backends | difference.services)
--- a/tests/test_config_spread.py
+++ b/tests/test_config_gossip.py
@@ -1,11 +1,15 @@
-"""The configuration between peers, and who asks the platform."""
+"""Tests of the exchange between peers, the choice of watchers and platform budgets."""
 
 import unittest
 from random import Random
 
 from catkinslip.config.bootstrap import MAX_ANSWERS, Bootstrap, answers_needed
-from catkinslip.config.duty import WATCHERS_PER_ZONE, is_watcher, watchers_of
 from catkinslip.config.history import Head, extend_head
+from catkinslip.config.watcher_choice import (
+    WATCHERS_PER_ZONE,
+    choose_watchers,
+    is_watcher,
+)
 from catkinslip.membership.members import Member
 from catkinslip.store.backoff import Backoff
 from catkinslip.store.budget import BURST_CALLS, TokenBucket, share_of
@@ -22,15 +26,15 @@
 
 
 def fleet_with(size: int, ready: int, seed: int = 1) -> TopicFleet:
-    """Return a fleet of which some have the first configuration in force."""
+    """Return a fleet in which `ready` instances have the configuration FIRST."""
     fleet = TopicFleet.of_size(size, seed)
     for topic in fleet.topics[:ready]:
         topic.config.offer(FIRST)
     return fleet
 
 
-class SpreadTest(unittest.TestCase):
-    """News reaches every instance, as a change where a change is enough."""
+class GossipTest(unittest.TestCase):
+    """An update reaches every instance, as changes alone where these are enough."""
 
     def test_change_reaches_a_fleet_in_few_rounds_and_few_bytes(self):
         for size in (3, 17, 300):
@@ -48,24 +52,24 @@
     def test_instance_a_little_behind_gets_the_changes_alone(self):
         behind, newer = fleet_with(2, 2).topics
         newer.config.offer_changes(CHANGES)
-        news = newer.updates_for(behind.digest())
-        self.assertIsNone(news['whole'])
-        behind.receive(news)
+        update = newer.updates_for(behind.digest())
+        self.assertIsNone(update['whole'])
+        behind.receive(update)
         self.assertEqual(behind.config.current, SECOND)
         self.assertIsNone(newer.updates_for(behind.digest()))
 
-    def test_malformed_news_is_a_value_error_and_changes_nothing(self):
+    def test_malformed_update_is_a_value_error_and_changes_nothing(self):
         topic = fleet_with(2, 2).topics[0]
-        for news in (None, 3, [], {'sender': 'x', 'whole': {'version': 'y'}}):
+        for update in (None, 3, [], {'sender': 'x', 'whole': {'version': 'y'}}):
             with self.assertRaises(ValueError):
-                topic.receive(news)
+                topic.receive(update)
         self.assertEqual(topic.config.current, FIRST)
 
 
 class FreshInstanceTest(unittest.TestCase):
-    """A fresh instance without the platform hears enough peers first."""
+    """A fresh instance without the platform waits for the answers of enough peers."""
 
-    def test_highest_of_a_majority_is_taken(self):
+    def test_newest_of_a_majority_comes_into_force(self):
         fleet = fleet_with(6, 5)
         fresh = fleet.topics[5]
         fleet.topics[1].config.offer_changes(CHANGES)
@@ -98,27 +102,27 @@
         self.assertIsNone(Bootstrap().add('a', FIRST, 16))
 
 
-class WatchDutyTest(unittest.TestCase):
-    """A few instances per zone watch the platform."""
+class WatcherChoiceTest(unittest.TestCase):
+    """A few instances per availability zone watch the platform."""
 
     def test_few_watch_and_a_leaving_one_is_replaced(self):
         members = [member(f'entry-{number}') for number in range(17)]
         members += [member(f'other-{number}', 'zone-b') for number in range(17)]
         chosen = [each for each in members if is_watcher(each, members)]
         self.assertEqual(len(chosen), 2 * WATCHERS_PER_ZONE)
-        first, second = watchers_of('zone-a', members)
+        first, second = choose_watchers('zone-a', members)
         left = [each for each in members if each is not first]
         left.append(member(first.member_id, leaving=True))
-        self.assertIn(second, watchers_of('zone-a', left))
-        self.assertEqual(len(watchers_of('zone-a', left)), WATCHERS_PER_ZONE)
+        self.assertIn(second, choose_watchers('zone-a', left))
+        self.assertEqual(len(choose_watchers('zone-a', left)), WATCHERS_PER_ZONE)
         self.assertTrue(is_watcher(members[0], members[:1]))
 
 
 class PlatformBudgetTest(unittest.TestCase):
-    """Counted calls never exceed the agreed budget, whatever happens."""
+    """The number of platform calls never exceeds the budget."""
 
     def count_calls(self, buckets: dict[str, TokenBucket], seconds: float, now=0.0):
-        """Let each bucket try every 5 ms; return the calls that went through."""
+        """Try a call with each bucket every 5 ms; return the count of allowed calls."""
         calls = 0
         for step in range(int(seconds / 0.005)):
             for bucket in buckets.values():
@@ -153,7 +157,7 @@
         )
         self.assertLessEqual(calls, share * 10.0)
 
-    def test_clock_that_stands_still_or_goes_back_gives_no_calls(self):
+    def test_clock_that_stops_or_goes_back_gives_no_calls(self):
         bucket = TokenBucket(1000.0)
         self.assertGreater(bucket.take(50.0), 0.0)
         self.assertGreater(bucket.take(40.0), 0.0)
--- a/tests/test_config_history.py
+++ b/tests/test_config_history.py
@@ -1,4 +1,4 @@
-"""Changes, snapshots and the holder, under random orders."""
+"""Tests of changes, snapshots and the configuration holder in random orders."""
 
 import unittest
 
@@ -18,10 +18,10 @@
     MAX_CHANGES,
     MAX_PATCH_BYTES,
     Head,
+    config_after_change,
     extend_head,
-    follow,
 )
-from catkinslip.config.holder import ConfigHolder, Step
+from catkinslip.config.holder import ConfigHolder, OfferResult
 from catkinslip.config.merge import merge_diff, merge_patch
 from catkinslip.config.reading import build_config
 from catkinslip.config.revision import revise_document
@@ -40,7 +40,10 @@
 
 
 def write_all(sizes: list[int]) -> list[tuple[AcceptedConfig, Head, dict]]:
-    """Return what the platform held after each of some changes."""
+    """Return configuration, head and snapshot after each change of a sequence.
+
+    Each size is the number of workers in the document of a change.
+    """
     config, head, snapshot_plain = AcceptedConfig(), Head(), {}
     written = []
     for number, size in enumerate(sizes, 1):
@@ -54,7 +57,7 @@
 
 
 class MergeTest(unittest.TestCase):
-    """Patches say exactly what changed."""
+    """A patch contains exactly the differences between two documents."""
 
     @SETTINGS
     @given(MAPS, MAPS)
@@ -77,13 +80,13 @@
     def test_change_whose_digest_differs_is_not_followed(self):
         before, after = config_with(2, 1), config_with(3, 2)
         head, _ = extend_head(Head(snapshot_name='s'), before, after, 0.0)
-        self.assertEqual(follow(before, head.last), after)
+        self.assertEqual(config_after_change(before, head.last), after)
         damaged = evolve(head.last, patch={'register': {'backends': None}})
-        self.assertIsNone(follow(before, damaged))
+        self.assertIsNone(config_after_change(before, damaged))
 
 
 class HeadTest(unittest.TestCase):
-    """Snapshot and changes give the document of the last change."""
+    """The snapshot and the changes give the document of the last change."""
 
     @SETTINGS
     @given(SIZES)
@@ -114,7 +117,7 @@
 
 
 class HolderTest(unittest.TestCase):
-    """The configuration in force only moves forward."""
+    """The configuration in force is never replaced by an older one."""
 
     @SETTINGS
     @given(SIZES, st.lists(st.tuples(st.integers(0, 7), st.booleans()), max_size=20))
@@ -135,31 +138,33 @@
                 self.assertEqual(holder.current, written[number - 1][0])
         self.assertEqual(seen, sorted(set(seen)))
 
-    def test_holder_hands_on_exactly_the_changes_that_lack(self):
+    def test_holder_returns_exactly_the_missing_changes(self):
         written = write_all([1, 2, 3, 4])
         holder = ConfigHolder()
         holder.offer(written[1][0])
-        self.assertEqual(holder.offer_changes(written[3][1].changes), Step.TAKEN)
+        self.assertEqual(
+            holder.offer_changes(written[3][1].changes), OfferResult.APPLIED
+        )
         changes = holder.changes_after(ConfigVersion(0, 2))
         self.assertEqual([each.version.number for each in changes], [3, 4])
         self.assertIsNone(holder.changes_after(ConfigVersion(0, 1)))
         behind = ConfigHolder(written[1][0])
-        self.assertEqual(behind.offer_changes(changes), Step.TAKEN)
+        self.assertEqual(behind.offer_changes(changes), OfferResult.APPLIED)
         self.assertEqual(behind.current, holder.current)
 
     def test_gap_leaves_everything_as_it_is(self):
-        # The last change alone would give the right document too.
+        # The last change alone would also give the right document.
         written = write_all([1, 2, 1])
         holder = ConfigHolder(written[0][0])
-        step = holder.offer_changes(written[2][1].changes[-1:])
-        self.assertEqual(step, Step.GAP)
+        result = holder.offer_changes(written[2][1].changes[-1:])
+        self.assertEqual(result, OfferResult.GAP)
         self.assertEqual(holder.current, written[0][0])
 
-    def test_same_version_of_another_change_is_reported_and_not_taken(self):
+    def test_same_version_of_another_change_is_logged_and_not_applied(self):
         holder = ConfigHolder(config_with(1, 5, 'mine'))
         with self.assertLogs('config', 'ERROR') as logs:
             self.assertFalse(holder.offer(config_with(2, 5, 'other')))
-        self.assertIn('version 0.5 is change mine here and other', logs.output[0])
+        self.assertIn('version=0.5 in_force=mine other=other', logs.output[0])
         self.assertEqual(holder.contradictions, 1)
         self.assertEqual(holder.current.change_id, 'mine')
 
