--- a/catkinslip/store/__init__.py
+++ b/catkinslip/store/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's object API."""
+"""Access to the platform's object API."""
--- a/catkinslip/store/backoff.py
+++ b/catkinslip/store/backoff.py
@@ -1,4 +1,4 @@
-"""Wait longer after each failure, with full jitter.
+"""Exponential backoff with full jitter after failures.
 
 https://aws.amazon.com/blogs/architecture/exponential-backoff-and-jitter/
 """
@@ -10,18 +10,21 @@
 
 @define
 class Backoff:
-    """Choose delays in seconds that double up to a bound."""
+    """Random delays in seconds whose upper bound doubles with each failure."""
 
+    #: Upper bound of the first delay, in seconds.
     first: float = 0.2
+    #: Maximum upper bound, in seconds.
     longest: float = 10.0
+    #: Number of failures since the last success.
     failures: int = 0
 
     def next_delay(self, random: Random) -> float:
-        """Count a failure and return the delay after it."""
+        """Count a failure and return the delay until the next attempt."""
         bound = min(self.longest, self.first * 2 ** min(self.failures, 32))
         self.failures += 1
         return random.uniform(0, bound)
 
     def reset(self) -> None:
-        """Forget the failures after a success."""
+        """Reset the number of failures after a success."""
         self.failures = 0
--- a/catkinslip/store/base.py
+++ b/catkinslip/store/base.py
@@ -1,4 +1,4 @@
-"""What the system asks of the platform."""
+"""Interface to the platform's object store and list of instances."""
 
 from abc import ABC, abstractmethod
 from typing import Any
@@ -17,7 +17,7 @@
 
 @frozen
 class StoredObject:
-    """An object as the platform holds it."""
+    """Object as the platform holds it."""
 
     key: ObjectKey
     version: int
@@ -26,29 +26,31 @@
 
 @frozen
 class Conflict:
-    """The object had another version, so nothing was written."""
+    """Error of a write that was not done because the object had another version."""
 
+    #: Version that the store holds; 0 if it is not known or no object exists.
     version: int
 
 
 @frozen
 class Unavailable:
-    """The platform did not take the call."""
+    """Error of a call that the platform did not accept or could not answer."""
 
     reason: str
 
 
 @frozen
 class AnswerLost:
-    """No answer came, so a write may or may not have taken effect."""
+    """Error of a call without an answer: a write may or may not have taken effect."""
 
     reason: str
 
 
 @frozen
 class OverBudget:
-    """The call was not sent because the budget of calls is spent."""
+    """Error of a call that was not sent because the budget of calls is spent."""
 
+    #: Seconds until the call may be sent.
     retry_after: float
 
 
@@ -57,7 +59,7 @@
 
 @frozen
 class ListedInstance:
-    """One line of the platform's lagging list of instances."""
+    """Entry of the platform's lagging list of instances."""
 
     name: str
     zone: str
@@ -67,17 +69,17 @@
 
 
 class ObjectStore(ABC):
-    """Read, write and watch versioned objects."""
+    """Store of versioned objects that can be read, written and watched."""
 
     @abstractmethod
     async def read(self, key: ObjectKey) -> Result[StoredObject | None, PlatformError]:
-        """Read an object; None when there is none."""
+        """Return an object, or None if there is none."""
 
     @abstractmethod
     async def write(
         self, key: ObjectKey, value: Any, expected_version: int
     ) -> Result[StoredObject, PlatformError]:
-        """Write an object if it has the version; 0 means there is none."""
+        """Write an object if its version is the expected one; 0 means none exists."""
 
     @abstractmethod
     async def delete(self, key: ObjectKey) -> Result[None, PlatformError]:
@@ -87,12 +89,12 @@
     async def wait_for_change(
         self, key: ObjectKey, known_version: int, wait: float
     ) -> Result[StoredObject | None, PlatformError]:
-        """Return the object once it has another version, or after `wait` seconds."""
+        """Return the object once its version changes, or None after `wait` seconds."""
 
     @abstractmethod
     async def list_instances(self) -> Result[list[ListedInstance], PlatformError]:
-        """Return the lagging list of live and leaving instances."""
+        """Return the platform's lagging list of live and leaving instances."""
 
     @abstractmethod
     async def announce(self, instance: ListedInstance) -> Result[None, PlatformError]:
-        """Put this instance on the list, or mark it as leaving."""
+        """Add this instance to the platform's list, or mark it as leaving."""
--- a/catkinslip/store/budget.py
+++ b/catkinslip/store/budget.py
@@ -1,15 +1,15 @@
-"""Share a budget of calls between instances that do not ask each other.
+"""Shares of a budget of calls for instances that do not coordinate with each other.
 
-Every instance divides the budget of the whole system by the greatest number of
-instances that may run, or by the number it sees if that is more. So the sum stays
-within the budget while views differ, while members are cut off from each other and
-while instances restart: a bucket starts empty. Over any time the calls of all are at
-most the budget for that time and one call of each instance.
+Every instance divides the budget of the whole system by the maximum number of instances
+that may run, or by the number that it sees if that is greater. So the sum stays within
+the budget while views differ, while members cannot reach each other and while instances
+restart: a bucket starts empty. Over any period the calls of all instances are at most
+the budget for that period plus one call of each instance.
 """
 
 from attrs import define
 
-#: Calls of one instance that may come at once.
+#: Maximum number of calls that one instance sends at once.
 BURST_CALLS = 1.0
 
 
@@ -20,16 +20,19 @@
 
 @define
 class TokenBucket:
-    """Allow calls at a rate, in calls per second; time comes in as seconds."""
+    """Token bucket that allows calls at a rate; times are passed in, in seconds."""
 
+    #: Calls per second.
     rate: float
+    #: Number of calls that may be sent now.
     tokens: float = 0.0
+    #: Time of the last refill, in seconds; None before the first one.
     filled_at: float | None = None
-    #: Calls that may be saved up.
+    #: Maximum number of tokens.
     burst: float = BURST_CALLS
 
     def set_rate(self, rate: float, now: float) -> None:
-        """Change the rate from now on."""
+        """Refill the bucket at the old rate and change the rate."""
         self._fill(now)
         self.rate = rate
 
--- a/catkinslip/store/budgeted.py
+++ b/catkinslip/store/budgeted.py
@@ -1,4 +1,4 @@
-"""An object store that keeps its calls within a budget."""
+"""Object store that keeps its calls within a budget."""
 
 from collections.abc import Callable
 
@@ -11,19 +11,20 @@
 from catkinslip.store.budget import TokenBucket, share_of
 from catkinslip.store.wrapped import Answer, Send, WrappedStore
 
-#: Time that a call waits for its turn before it is given up.
+#: Maximum number of seconds for which a call waits for the budget.
 MAX_WAIT_SECONDS = 2.0
 
 
 @define
 class BudgetedStore(WrappedStore):
-    """Let calls through as the budget allows; a waiting watch is one call."""
+    """Object store that sends calls as the budget allows; a watch counts as one."""
 
     clock: Clock
-    #: Calls per second of the whole system.
+    #: Budget of the whole system, in calls per second.
     budget: float
-    #: Instances that may run at once.
+    #: Maximum number of instances that may run at once.
     most_instances: int
+    #: Returns the number of instances that this instance sees.
     count_instances: Callable[[], int]
     bucket: TokenBucket
 
--- a/catkinslip/store/embedded.py
+++ b/catkinslip/store/embedded.py
@@ -1,4 +1,4 @@
-"""An object store inside one process, for a daemon without a platform."""
+"""Object store inside one process, for a daemon without a platform."""
 
 from typing import Any
 
@@ -18,20 +18,21 @@
 
 @define
 class EmbeddedStore(ObjectStore):
-    """Hold objects in memory."""
+    """Object store that holds its objects in memory."""
 
     object_by_key: dict[ObjectKey, StoredObject] = Factory(dict)
     instance_by_name: dict[str, ListedInstance] = Factory(dict)
+    #: Set at the next change of any object, and then replaced.
     changed: trio.Event = Factory(trio.Event)
 
     async def read(self, key: ObjectKey) -> Result[StoredObject | None, PlatformError]:
-        """Read an object; None when there is none."""
+        """Return an object, or None if there is none."""
         return Success(self.object_by_key.get(key))
 
     async def write(
         self, key: ObjectKey, value: Any, expected_version: int
     ) -> Result[StoredObject, PlatformError]:
-        """Write an object if it has the version; 0 means there is none."""
+        """Write an object if its version is the expected one; 0 means none exists."""
         found = self.object_by_key.get(key)
         version = found.version if found else 0
         if version != expected_version:
@@ -49,7 +50,7 @@
     async def wait_for_change(
         self, key: ObjectKey, known_version: int, wait: float
     ) -> Result[StoredObject | None, PlatformError]:
-        """Return the object once it has another version, or after `wait` seconds."""
+        """Return the object once its version changes, or None after `wait` seconds."""
         with trio.move_on_after(wait):
             while True:
                 found = self.object_by_key.get(key)
@@ -59,11 +60,11 @@
         return Success(None)
 
     async def list_instances(self) -> Result[list[ListedInstance], PlatformError]:
-        """Return the lagging list of live and leaving instances."""
+        """Return the platform's lagging list of live and leaving instances."""
         return Success(list(self.instance_by_name.values()))
 
     async def announce(self, instance: ListedInstance) -> Result[None, PlatformError]:
-        """Put this instance on the list, or mark it as leaving."""
+        """Add this instance to the platform's list, or mark it as leaving."""
         self.instance_by_name[instance.name] = instance
         return Success(None)
 
--- a/catkinslip/store/http.py
+++ b/catkinslip/store/http.py
@@ -1,6 +1,6 @@
-"""A client of the platform's object API over HTTP.
+"""HTTP client of the platform's object API.
 
-No call is sent again from here: a write that is sent twice could take effect twice.
+The client never sends a call again: a write that is sent twice could take effect twice.
 """
 
 from typing import Any
@@ -23,29 +23,34 @@
     Unavailable,
 )
 
-#: Names the calling instance, so that the platform can count calls by caller.
+#: Header with the ID of the calling instance, so that the platform can count calls by
+#: caller.
 CALLER_HEADER = 'Catkinslip-Instance'
+#: Errors after which a call is known not to have been sent.
 NOT_SENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
+#: Errors raised when a malformed answer is read.
 NOT_JSON_ERRORS = (cattrs.BaseValidationError, KeyError, TypeError, ValueError)
+#: Used where a refusal has no readable Retry-After header.
 DEFAULT_RETRY_AFTER_SECONDS = 1.0
 
 
 @define
 class HttpStore(ObjectStore):
-    """Call the object API and report each outcome as a value."""
+    """Object store behind the HTTP API, which returns each outcome as a value."""
 
     client: httpx.AsyncClient
+    #: Seconds until a call is given up.
     timeout: float
 
     async def read(self, key: ObjectKey) -> Result[StoredObject | None, PlatformError]:
-        """Read an object; None when there is none."""
+        """Return an object, or None if there is none."""
         result = await self._call('GET', object_path(key))
         return result.bind(lambda response: found_object(key, response))
 
     async def write(
         self, key: ObjectKey, value: Any, expected_version: int
     ) -> Result[StoredObject, PlatformError]:
-        """Write an object if it has the version; 0 means there is none."""
+        """Write an object if its version is the expected one; 0 means none exists."""
         condition = {'If-Match': str(expected_version)}
         if expected_version == 0:
             condition = {'If-None-Match': '*'}
@@ -63,7 +68,7 @@
     async def wait_for_change(
         self, key: ObjectKey, known_version: int, wait: float
     ) -> Result[StoredObject | None, PlatformError]:
-        """Return the object once it has another version, or after `wait` seconds."""
+        """Return the object once its version changes, or None after `wait` seconds."""
         parameters = {'after': str(known_version), 'wait': f'{wait:.3f}'}
         result = await self._call(
             'GET',
@@ -74,12 +79,12 @@
         return result.bind(lambda response: found_object(key, response))
 
     async def list_instances(self) -> Result[list[ListedInstance], PlatformError]:
-        """Return the lagging list of live and leaving instances."""
+        """Return the platform's lagging list of live and leaving instances."""
         result = await self._call('GET', '/v1/instances')
         return result.bind(listed_instances)
 
     async def announce(self, instance: ListedInstance) -> Result[None, PlatformError]:
-        """Put this instance on the list, or mark it as leaving."""
+        """Add this instance to the platform's list, or mark it as leaving."""
         path = f'/v1/instances/{instance.name}'
         result = await self._call('PUT', path, json=asdict(instance))
         return result.map(lambda _: None)
@@ -100,9 +105,9 @@
 def judge_status(
     method: str, response: httpx.Response
 ) -> Result[httpx.Response, PlatformError]:
-    """Tell an answer from a refusal by its status."""
+    """Return a response, or the error that its status stands for."""
     status = response.status_code
-    reason = f'the platform answered {status}'
+    reason = f'the platform answered with status {status}'
     if status in (httpx.codes.NOT_FOUND, httpx.codes.NOT_MODIFIED):
         return Success(response)
     if status == httpx.codes.PRECONDITION_FAILED:
@@ -110,7 +115,7 @@
     if status == httpx.codes.TOO_MANY_REQUESTS:
         return Failure(OverBudget(retry_after(response)))
     if response.is_server_error and method != 'GET':
-        # A gateway may answer for a platform that took the write.
+        # A gateway may answer for a platform that accepted the write.
         return Failure(AnswerLost(reason))
     if not response.is_success:
         return Failure(Unavailable(reason))
@@ -118,7 +123,7 @@
 
 
 def conflict_version(response: httpx.Response) -> int:
-    """Return the version in a conflict's answer, 0 when it names none."""
+    """Return the version that a conflict response names, or 0 if it names none."""
     try:
         return int(response.json()['version'])
     except NOT_JSON_ERRORS:
@@ -134,38 +139,44 @@
 
 
 def object_path(key: ObjectKey) -> str:
-    """Return the path of an object."""
+    """Return the URL path of an object."""
     return f'/v1/objects/{key.kind}/{key.name}'
 
 
 def found_object(
     key: ObjectKey, response: httpx.Response
 ) -> Result[StoredObject | None, PlatformError]:
-    """Read an object from an answer."""
+    """Return the object in a response; None if it is missing or unchanged."""
     if response.status_code in (httpx.codes.NOT_FOUND, httpx.codes.NOT_MODIFIED):
         return Success(None)
     try:
         plain = response.json()
         return Success(StoredObject(key, plain['version'], plain['value']))
     except NOT_JSON_ERRORS as error:
-        return Failure(Unavailable(f'the platform answered nonsense, {error!r}'))
+        return Failure(
+            Unavailable(f'the answer of the platform is malformed: {error!r}')
+        )
 
 
 def written_object(
     key: ObjectKey, value: Any, response: httpx.Response
 ) -> Result[StoredObject, PlatformError]:
-    """Read the version of a written object from an answer."""
+    """Return a written object with the version in a response."""
     try:
         return Success(StoredObject(key, response.json()['version'], value))
     except NOT_JSON_ERRORS as error:
-        return Failure(AnswerLost(f'the platform answered nonsense, {error!r}'))
+        return Failure(
+            AnswerLost(f'the answer of the platform is malformed: {error!r}')
+        )
 
 
 def listed_instances(
     response: httpx.Response,
 ) -> Result[list[ListedInstance], PlatformError]:
-    """Read the list of instances from an answer."""
+    """Return the list of instances in a response."""
     try:
         return Success(cattrs.structure(response.json(), list[ListedInstance]))
     except NOT_JSON_ERRORS as error:
-        return Failure(Unavailable(f'the platform answered nonsense, {error!r}'))
+        return Failure(
+            Unavailable(f'the answer of the platform is malformed: {error!r}')
+        )
