--- a/catkinslip/crashes/__init__.py
+++ b/catkinslip/crashes/__init__.py
@@ -1,1 +1,1 @@
-"""Requests under which backend servers ended."""
+"""Protection of backend servers from requests that crash them."""
--- a/catkinslip/crashes/base.py
+++ b/catkinslip/crashes/base.py
@@ -1,4 +1,4 @@
-"""What is kept of requests under which servers ended, and where."""
+"""Records of requests during which servers crashed, and their store."""
 
 from abc import ABC, abstractmethod
 
@@ -11,27 +11,27 @@
 
 @frozen
 class CrashRecord:
-    """The servers that ended under one request, as all instances share it."""
+    """Servers that crashed during one request, as shared by all instances."""
 
     key: RequestKey
-    #: Which query each of them ran, by the start of the server.
+    #: Hash of the query that each crashed server ran, by the name of its incarnation.
     query_by_server: dict[str, str] = Factory(dict)
-    #: How often the request was let through again after a verdict.
+    #: Number of times that the request was sent again after a verdict.
     trials: int = 0
-    #: The store's revision of it; 0 where it is not stored yet.
+    #: Revision of the record in the store; 0 if it is not stored yet.
     revision: int = 0
 
 
 class CrashStore(ABC):
-    """Keep records for all instances, also for those that start later."""
+    """Store of crash records for all instances, including those that start later."""
 
     @abstractmethod
     async def read(self, key: RequestKey) -> Result[CrashRecord | None, PlatformError]:
-        """Read a record; None when there is none."""
+        """Return the record of a request, or None if there is none."""
 
     @abstractmethod
     async def write(self, record: CrashRecord) -> Result[CrashRecord, PlatformError]:
-        """Write a record if the store holds the revision that it names."""
+        """Write a record if the store holds the revision that the record names."""
 
     @abstractmethod
     async def delete(self, record: CrashRecord) -> Result[None, PlatformError]:
--- a/catkinslip/crashes/book.py
+++ b/catkinslip/crashes/book.py
@@ -1,7 +1,8 @@
-"""Which requests ended servers, and what becomes of their next copy.
+"""Registry of requests during which servers crashed, and verdicts on their copies.
 
-The state is a set of servers by request, so that what several instances saw or heard
-twice counts once. Time comes in as an argument, in seconds that never go back.
+The state is a set of servers by request, so that a crash that several instances saw,
+or that was reported twice, counts once. Times are passed in, in seconds of a monotonic
+clock.
 """
 
 import logging
@@ -27,15 +28,18 @@
     without,
 )
 
-#: So many servers are worth a write to the store and news to all instances.
+#: Number of crashed servers from which a request is written to the store, and so
+#: reaches all instances.
 STORED_SERVERS = 2
-#: Callers are told to come back after this long where no trial is left.
+#: Seconds after which a caller may retry a request for which no trial is left.
 LONGEST_RETRY_SECONDS = 3600.0
-#: 1.3 kB each with three servers (mean of 4,000): 5 MB of the 128 MB of an instance.
+#: Maximum number of suspect requests: 1.3 kB each with three servers (mean of 4,000),
+#: 5 MB of the 128 MB of an instance.
 MOST_SUSPECTS = 4_000
-#: Servers kept of one request; the first three decide.
+#: Maximum number of servers kept for one request; the first three decide the verdict.
 MOST_SERVERS = 8
-#: And cold ones: the first keeps it from all others that are cold.
+#: Maximum number of cold servers kept besides; the first is enough to keep the request
+#: away from all other cold servers.
 MOST_COLD_SERVERS = 2
 
 log = logging.getLogger('crashes')
@@ -43,21 +47,23 @@
 
 @define
 class CrashBook:
-    """Hold the requests under which servers ended, in bounded memory."""
+    """Registry of the requests during which servers crashed, in bounded memory."""
 
+    #: Suspect requests, by the key that their copies share.
     suspect_by_key: dict[RequestKey, Suspect] = Factory(dict)
-    #: How many of them each target has; requests for others cost nothing.
+    #: Number of suspect requests by target; requests for other targets cost nothing.
     count_by_target: Counter[str] = Factory(Counter)
-    #: What the last look at the store showed.
+    #: Keys of the records in the last listing of the store.
     stored_keys: set[RequestKey] = Factory(set)
-    #: Own observations, for the metrics.
+    #: Number of crashes that this instance saw, for the metrics.
     ends: int = 0
+    #: Number of verdicts that took effect on this instance, for the metrics.
     verdicts: int = 0
-    #: Set when the store must be told something.
+    #: Set while there are changes to write to the store.
     has_unsaved: trio.Event = Factory(trio.Event)
 
     def judge(self, key: RequestKey, query: str, now: float) -> Judgement:
-        """Return what becomes of a request that has come."""
+        """Return the verdict on a request that has arrived, and its retry delay."""
         suspect = self.suspect_by_key.get(key)
         if suspect is None:
             return FREE
@@ -80,7 +86,7 @@
         *,
         is_cold: bool = False,
     ) -> int:
-        """Take that a server ended under a request; return how many have by now."""
+        """Record a crash during a request; return the number of crashed servers."""
         self.ends += 1
         server = cold_name(server) if is_cold else server
         suspect = self._add(key, {server: query}, now, 'seen here')
@@ -96,16 +102,17 @@
         now: float,
         teller: str,
     ) -> None:
-        """Take what another instance tells of a request."""
-        self._add(key, query_by_server, now, f'told by {teller}')
+        """Apply a peer's report of the servers that crashed during a request."""
+        self._add(key, query_by_server, now, f'reported by {teller}')
 
     def answered(self, key: RequestKey, query: str) -> None:
-        """Take that a server ran a request and answered: its ends were chance."""
+        """Record an answer to a request, so that crashes with its query are dropped."""
         suspect = self.suspect_by_key.get(key)
         if suspect is None or query not in suspect.record.query_by_server.values():
             return
         log.info(
-            'crashes: a request is answered, its ends were chance. request=%s', key
+            'crashes: a suspect request was answered, crashes dropped. request=%s',
+            key,
         )
         kept = without(suspect.record.query_by_server, query)
         suspect.unsaved = without(suspect.unsaved, query)
@@ -117,9 +124,10 @@
             self._forget(key)
 
     def take_stored(self, stored: Mapping[str, CrashRecord], now: float) -> None:
-        """Take over all records that the store holds, by name."""
+        """Apply a listing of all records that the store holds, by name."""
         keys = {record.key for record in stored.values()}
-        # What is new here may have been written after this look at the store.
+        # Keeps records that the last listing lacked: they may have been written after
+        # this listing was read.
         for key in self.stored_keys - keys:
             suspect = self.suspect_by_key.get(key)
             if suspect is not None:
@@ -129,7 +137,7 @@
             self.take_record(record, now)
 
     def lost_by_store(self) -> None:
-        """Take that the store may have lost every record, and is to be told again."""
+        """Mark all stored records as unsaved, as the store may have lost them."""
         self.stored_keys = set()
         for suspect in self.suspect_by_key.values():
             if suspect.record.revision:
@@ -139,7 +147,7 @@
                 self.has_unsaved.set()
 
     def take_record(self, record: CrashRecord, now: float) -> None:
-        """Take over one record of the store unless it is older."""
+        """Apply a record of the store unless its revision is known already."""
         suspect = self.suspect_by_key.get(record.key)
         if suspect is None:
             suspect = self._new(record.key, now)
@@ -152,43 +160,43 @@
         suspect.record = evolve(
             record,
             query_by_server={**stored, **suspect.unsaved},
-            # A copy of the store may lack the last ones.
+            # A store that was restored from a backup may lack the last trials.
             trials=max(record.trials, known.trials),
         )
         if is_news(known, suspect.record):
             suspect.changed_at = now
-        self._note_verdict(known, suspect, f'stored at {record.revision}')
+        self._note_verdict(known, suspect, f'stored at revision {record.revision}')
 
     def reread(self, record: CrashRecord, now: float) -> None:
-        """Take what the store holds instead of what was to be written."""
+        """Apply the record that the store holds after a conflict on a write."""
         self.take_record(record, now)
         suspect = self.suspect_by_key.get(record.key)
         if suspect is not None:
             suspect.must_save = bool(suspect.unsaved)
 
     def saved(self, record: CrashRecord, now: float) -> None:
-        """Take that the store took a record."""
+        """Mark a record as saved, with the revision that the store returned."""
         suspect = self.suspect_by_key.get(record.key)
         if suspect is not None:
             suspect.must_save = False
             self.take_record(record, now)
 
     def deleted(self, key: RequestKey) -> None:
-        """Take that the store holds no record any more."""
+        """Mark the record of a request as deleted from the store."""
         suspect = self.suspect_by_key.get(key)
         if suspect is not None:
             suspect.must_save = False
             self._take_removal(suspect)
 
     def to_save(self) -> list[Suspect]:
-        """Return what the store must be told, the gravest first."""
+        """Return the suspects to write to the store, those with most servers first."""
         waiting = [each for each in self.suspect_by_key.values() if each.must_save]
         if not waiting:
             self.has_unsaved = trio.Event()
         return sorted(waiting, key=lambda each: -each.servers)
 
     def forget_old(self, now: float) -> list[CrashRecord]:
-        """Forget what came long ago; return what the store should forget too."""
+        """Remove expired unstored suspects; return the expired records of the store."""
         old = [
             suspect
             for suspect in self.suspect_by_key.values()
@@ -224,7 +232,8 @@
         if len(suspect.record.query_by_server) == len(before.query_by_server):
             return
         log.info(
-            'crashes: servers ended under a request. request=%s servers=%d was=%d %s%s',
+            'crashes: servers crashed during a request. '
+            'request=%s servers=%d was=%d %s%s',
             suspect.record.key,
             servers,
             was,
@@ -248,7 +257,7 @@
         return least.record.key
 
     def _take_removal(self, suspect: Suspect) -> None:
-        """Keep only what was learned since."""
+        """Keep only the unsaved crashes of a request whose record the store removed."""
         key = suspect.record.key
         suspect.record = CrashRecord(key, dict(suspect.unsaved))
         if not suspect.unsaved:
@@ -265,9 +274,10 @@
 def news_of(
     known: Mapping[str, str], told: Mapping[str, str]
 ) -> Iterator[tuple[str, str]]:
-    """Yield the servers that are new, as far as there is room.
+    """Yield the reported servers that are new, up to the maximum for a request.
 
-    Cold ones take no room of those that decide.
+    Cold servers have a maximum of their own, so that they do not displace those that
+    decide the verdict.
     """
     for is_cold, most in ((False, MOST_SERVERS), (True, MOST_COLD_SERVERS)):
         of_kind = [it for it in told if is_cold != bool(count_ends([it]))]
--- a/catkinslip/crashes/guard.py
+++ b/catkinslip/crashes/guard.py
@@ -1,4 +1,4 @@
-"""Ask the book before a request is sent, and tell it of servers that ended."""
+"""Checks of requests against the crash registry, and detection of crashes."""
 
 import logging
 from abc import ABC, abstractmethod
@@ -18,43 +18,49 @@
 from catkinslip.proxy.calls import Call
 from catkinslip.proxy.outcomes import NotRun, Reason
 
-#: The port of a process that ended refuses within a round trip. Who answers nothing
-#: is out of reach: that tells nothing of the request.
+#: Seconds allowed for the check of a port. The port of a process that ended refuses
+#: within a round trip. A server that does not answer is unreachable, which is no
+#: evidence against the request.
 CHECK_SECONDS = 0.1
-#: With so many ends in a row the call itself is sent to no further server.
+#: Number of crashed servers from which the call itself is sent to no further server.
 STOPPING_SERVERS = 2
-#: The trial went to another copy, or the store did not answer.
+#: Seconds after which a caller may retry a request whose trial went to another copy, or
+#: for whose trial the store did not answer.
 UNGRANTED_SECONDS = 5.0
 
 log = logging.getLogger('crashes')
 
 
 class CrashListener(ABC):
-    """Learn of what this instance saw, to tell other instances."""
+    """Listener for crashes that this instance saw, to report them to others."""
 
     @abstractmethod
     def saw_end(self, key: RequestKey, query_by_server: dict[str, str]) -> None:
-        """Learn of all servers that ended under a request, as known here."""
+        """Handle a crash during a request, given all its crashed servers known here."""
 
 
 @define
 class CrashGuard:
-    """Guard servers from requests that end them."""
+    """Protection of servers from requests that crash them."""
 
     clock: Clock
     book: CrashBook = Factory(CrashBook)
+    #: Source of trials; None without a store, so that no trial is granted.
     keeper: CrashKeeper | None = None
     listeners: list[CrashListener] = Factory(list)
+    #: Number of refused calls, for the metrics.
     refused: int = 0
+    #: Recent requests whose connections broke at servers with an open port.
     broken: BrokenRequests = Factory(BrokenRequests)
+    #: Detection of crashes by changes of the registered servers.
     starts: StartWatch = Factory(StartWatch)
 
     async def refuse(self, call: Call) -> NotRun | None:
-        """Return why a call is sent to no server; None lets it through.
+        """Return the refusal of a call, or None if the call may be sent.
 
-        A call under which one or two servers ended is marked, so that no second
-        server runs it. The refusal comes at once: no slot, probe, place in the queue
-        or budget is used.
+        A call during which one or two servers crashed is marked as suspect, so that no
+        second server runs it. The refusal is immediate: no slot, probe, position in
+        the queue or budget is used.
         """
         if not self._may_know(call):
             return None
@@ -65,18 +71,18 @@
             return None
         if judgement.verdict is Verdict.TRIAL:
             if self.keeper is not None and await self.keeper.grant_trial(key):
-                # Also a server that sheds it counts as one that it reached.
+                # A server that sheds the trial counts as one that it reached, too.
                 call.max_attempts = 1
                 return None
             judgement = Judgement(Verdict.REFUSED, UNGRANTED_SECONDS)
         self.refused += 1
         log.info(
-            'crashes: %s is refused, it ended servers. request=%s back_s=%.0f',
+            'crashes: %s is refused, it crashed servers. request=%s back_s=%.0f',
             call.request_id,
             key,
             judgement.retry_after,
         )
-        detail = 'Servers ended under this request.'
+        detail = 'Servers crashed during this request.'
         return NotRun(Reason.CRASHES, detail, retry_after=judgement.retry_after)
 
     def _may_know(self, call: Call) -> bool:
@@ -86,9 +92,9 @@
     async def examine(
         self, call: Call, server: str, address: Address, *, is_cold: bool = False
     ) -> bool:
-        """Look whether a server whose connection broke has ended; tell if it has.
+        """Return whether a server whose connection broke has crashed, and record it.
 
-        The time until a refused connection is a round trip, 0.4 ms in the own zone.
+        A refused connection takes one round trip, 0.4 ms in the instance's own zone.
         """
         with trio.CancelScope(shield=True):
             is_seen = await has_ended(address)
@@ -102,23 +108,24 @@
         return True
 
     def update(self, config: AcceptedConfig) -> None:
-        """Take over a configuration, and count the ends that it shows.
+        """Apply a configuration, and record the crashes that it reveals.
 
-        Where sockets outlive their processes 29 servers ended later than 3 s after the
-        third under one request; with it none, three runs (12 servers, 3 instances).
+        Where sockets outlive their processes, 29 servers crashed later than 3 s after
+        the third during one request when these crashes were not recorded; none did
+        when they were, in three runs (12 servers, 3 instances).
         """
         now = self.clock.monotonic()
         for server in self.starts.update(config.document.register.backends, now):
             for broken in self.broken.take(server, now):
                 log.info(
-                    'crashes: %s had ended as its connection broke. request=%s',
+                    'crashes: %s had crashed when its connection broke. request=%s',
                     server,
                     broken.key,
                 )
                 self._count(broken)
 
     def _count(self, broken: BrokenRequest) -> int:
-        """Count a server that ended under a request; return how many did by now."""
+        """Record a crash and notify the listeners; return the number of crashes."""
         key, now = broken.key, self.clock.monotonic()
         servers = self.book.ended(
             key, broken.query, broken.server, now, is_cold=broken.is_cold
@@ -129,20 +136,20 @@
         return servers
 
     def answered(self, call: Call) -> None:
-        """Take that a server ran a call and answered it."""
+        """Record that a server ran a call and answered it."""
         if self._may_know(call):
             self.book.answered(key_of(call), query_of(call))
 
 
 def make_guard(clock: Clock, store: CrashStore) -> CrashGuard:
-    """Return a guard whose book the store is kept in step with."""
+    """Return a guard whose registry is synchronized with a store."""
     guard = CrashGuard(clock)
     guard.keeper = CrashKeeper(guard.book, store, clock)
     return guard
 
 
 async def has_ended(address: Address) -> bool:
-    """Tell whether nobody listens at an address any more."""
+    """Return whether a connection to an address is refused."""
     family = trio.socket.AF_INET6 if ':' in address.host else trio.socket.AF_INET
     with trio.socket.socket(family) as sock, trio.move_on_after(CHECK_SECONDS):
         try:
@@ -150,5 +157,5 @@
         except ConnectionRefusedError:
             return True
         except OSError as error:
-            log.debug('crashes: a server is out of reach. error=%r', error)
+            log.debug('crashes: a server is unreachable. error=%r', error)
     return False
--- a/catkinslip/crashes/identity.py
+++ b/catkinslip/crashes/identity.py
@@ -1,8 +1,9 @@
-"""What makes two requests the same one, though each attempt has an ID of its own.
+"""Identity of requests, by which copies are recognised whatever their request IDs are.
 
-The same is what a server cannot tell apart: method, host, path, body, and who the
-caller says it is. The address that a request came from is not part of it: a caller
-moves, and many callers may send what crashes servers.
+Two requests are the same if a server cannot distinguish them by method, host, path,
+body and the caller's credentials. The address from which a request came is not
+included: the address of a caller may change, and many callers may send a request that
+crashes servers.
 """
 
 from hashlib import blake2b
@@ -12,21 +13,23 @@
 from catkinslip.proxy import headers as names
 from catkinslip.proxy.calls import Call
 
-#: So long that nobody can make another caller's request look like one that crashes.
+#: Bytes of a content hash: long enough that nobody can make another caller's request
+#: look like one that crashes servers.
 CONTENT_BYTES = 16
-#: Only tells whether the rest is worth a look.
+#: Bytes of a target or query hash. The target hash only shows whether the content hash
+#: is needed.
 TARGET_BYTES = 8
-#: Names the caller, where a service asks for it.
+#: Header that identifies the caller, where a service requires it.
 CREDENTIALS = b'authorization'
 
 
 @frozen(cache_hash=True)
 class RequestKey:
-    """A request in few bytes, in hexadecimal."""
+    """Key that all copies of a request share, as hexadecimal hashes."""
 
     #: Hash of method, host and path.
     target: str
-    #: Hash of all that makes up the request.
+    #: Hash of all parts that identify the request, without its query.
     content: str
 
     def __str__(self) -> str:
@@ -34,9 +37,9 @@
 
 
 def target_of(call: Call) -> str:
-    """Return a hash of where a request goes, without its query.
+    """Return a hash of a request's method, host and path, without the query.
 
-    It takes 3 us (mean of 100,000).
+    Takes 3 us (mean of 100,000).
     """
     host = names.find(call.headers, b'host') or b''
     path = call.target.partition(b'?')[0]
@@ -44,10 +47,11 @@
 
 
 def key_of(call: Call) -> RequestKey:
-    """Return what a request is known by; of a streamed body its start and length.
+    """Return the key that all copies of a request share.
 
-    It takes 17 us for a body of 4 kB (mean of 100,000), so it is asked for only where
-    servers ended under a request for the same target.
+    A streamed body is identified by its start and its length. Takes 17 us for a body of
+    4 kB (mean of 100,000), so that a request is checked by its key only where servers
+    crashed during a request for the same target.
     """
     target = target_of(call)
     credentials = names.find(call.headers, CREDENTIALS) or b''
@@ -57,12 +61,12 @@
 
 
 def query_of(call: Call) -> str:
-    """Return a hash of the query, which a request may vary and still crash servers."""
+    """Return a hash of a request's query, which may differ between crashing copies."""
     return hash_of((call.target.partition(b'?')[2],), TARGET_BYTES)
 
 
 def hash_of(parts: tuple[bytes, ...], size: int) -> str:
-    """Return a hash of some parts in order."""
+    """Return a hash of several parts in their order."""
     digest = blake2b(digest_size=size)
     for part in parts:
         digest.update(b'%d:' % len(part))
--- a/catkinslip/crashes/keeper.py
+++ b/catkinslip/crashes/keeper.py
@@ -1,4 +1,4 @@
-"""Keep the store's records in step with the book, and ask it for trials."""
+"""Synchronization of the crash registry with the store, and claims of trials."""
 
 import logging
 
@@ -13,13 +13,14 @@
 from catkinslip.crashes.suspect import Suspect
 from catkinslip.store.base import Conflict
 
-#: Between two writes of an instance. 313 instances make 1,252 writes a second at the
-#: most, where their store takes 3,200; 17 make 68, where theirs takes 400.
+#: Seconds between two writes of an instance. 313 instances make at most 1,252 writes a
+#: second, where their store accepts 3,200; 17 make 68, where theirs accepts 400.
 SAVE_SECONDS = 0.25
-#: A store that refuses is asked again after this.
+#: Seconds until the next call after a refused write or deletion.
 RETRY_SECONDS = 0.5
-#: A request waits so long for the grant of its trial.
+#: Seconds for which a request waits for the store's answer on its trial.
 TRIAL_ANSWER_SECONDS = 0.3
+#: Seconds between two removals of expired suspects.
 FORGET_SECONDS = 60.0
 
 log = logging.getLogger('crashes')
@@ -27,14 +28,14 @@
 
 @define
 class CrashKeeper:
-    """Write what the book learned, one record after the other."""
+    """Writer of the changes of a crash registry to a store, one record at a time."""
 
     book: CrashBook
     store: CrashStore
     clock: Clock
 
     async def run(self) -> None:
-        """Save and forget until cancelled."""
+        """Write changed records and delete expired ones until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._forget_old)
             while True:
@@ -44,7 +45,7 @@
                     await trio.sleep(SAVE_SECONDS)
 
     async def grant_trial(self, key: RequestKey) -> bool:
-        """Ask for the one next trial that all instances together have."""
+        """Return whether the store grants the next trial, one for all instances."""
         suspect = self.book.suspect_by_key.get(key)
         if suspect is None:
             return False
@@ -54,7 +55,7 @@
                 case Success(stored):
                     self.book.saved(stored, self.clock.monotonic())
                     log.info(
-                        'crashes: one more server may run a request. '
+                        'crashes: trial granted, one more server may run a request. '
                         'request=%s servers=%d trial=%d',
                         key,
                         len(record.query_by_server),
@@ -64,7 +65,9 @@
                 case Failure(Conflict()):
                     await self._read(key)
                 case Failure(error):
-                    log.info('crashes: no trial. request=%s error=%s', key, error)
+                    log.info(
+                        'crashes: trial not granted. request=%s error=%s', key, error
+                    )
         return False
 
     async def _save(self, suspect: Suspect) -> None:
@@ -79,19 +82,21 @@
                 await self._read(record.key)
             case Failure(error):
                 log.warning(
-                    'crashes: not stored yet. request=%s error=%s', record.key, error
+                    'crashes: record not written yet. request=%s error=%s',
+                    record.key,
+                    error,
                 )
                 await trio.sleep(RETRY_SECONDS)
 
     async def _read(self, key: RequestKey) -> None:
-        """Take what another instance wrote meanwhile."""
+        """Apply the record that another instance wrote in the meantime."""
         match await self.store.read(key):
             case Success(CrashRecord() as record):
                 self.book.reread(record, self.clock.monotonic())
             case Success(None):
                 self.book.deleted(key)
             case Failure(error):
-                log.warning('crashes: not read. request=%s error=%s', key, error)
+                log.warning('crashes: record not read. request=%s error=%s', key, error)
 
     async def _delete(self, record: CrashRecord) -> None:
         match await self.store.delete(record):
@@ -101,7 +106,9 @@
                 await self._read(record.key)
             case Failure(error):
                 log.warning(
-                    'crashes: not deleted. request=%s error=%s', record.key, error
+                    'crashes: record not deleted. request=%s error=%s',
+                    record.key,
+                    error,
                 )
                 await trio.sleep(RETRY_SECONDS)
 
--- a/catkinslip/crashes/objects.py
+++ b/catkinslip/crashes/objects.py
@@ -1,4 +1,4 @@
-"""Keep the records in the objects of the product's own platform."""
+"""Storage of crash records as objects of the product's own platform."""
 
 from typing import Any
 
@@ -9,18 +9,20 @@
 from catkinslip.crashes.identity import RequestKey
 from catkinslip.store.base import ObjectKey, ObjectStore, PlatformError, Unavailable
 
+#: Kind of the objects that hold crash records.
 KIND = 'crashes'
+#: Errors raised when a malformed record is read.
 MALFORMED = (AttributeError, KeyError, TypeError, ValueError)
 
 
 @define
 class ObjectCrashes(CrashStore):
-    """Keep one object for each request under which servers ended."""
+    """Crash store with one object for each request during which servers crashed."""
 
     store: ObjectStore
 
     async def read(self, key: RequestKey) -> Result[CrashRecord | None, PlatformError]:
-        """Read a record; None when there is none."""
+        """Return the record of a request, or None if there is none."""
         result = await self.store.read(object_key(key))
         if isinstance(result, Failure):
             return result
@@ -30,10 +32,10 @@
         try:
             return Success(record_from_plain(stored.value, stored.version))
         except MALFORMED as error:
-            return Failure(Unavailable(f'a record cannot be read, {error!r}'))
+            return Failure(Unavailable(f'a crash record is malformed: {error!r}'))
 
     async def write(self, record: CrashRecord) -> Result[CrashRecord, PlatformError]:
-        """Write a record if the store holds the revision that it names."""
+        """Write a record if the store holds the revision that the record names."""
         result = await self.store.write(
             object_key(record.key), record_to_plain(record), record.revision
         )
@@ -45,12 +47,12 @@
 
 
 def object_key(key: RequestKey) -> ObjectKey:
-    """Return where the record of a request lies."""
+    """Return the key of the object that holds the record of a request."""
     return ObjectKey(KIND, str(key))
 
 
 def record_to_plain(record: CrashRecord) -> dict[str, Any]:
-    """Return a record as a store holds it."""
+    """Return a crash record as plain data for a store."""
     return {
         'target': record.key.target,
         'content': record.key.content,
@@ -60,14 +62,18 @@
 
 
 def record_from_plain(plain: Any, revision: int) -> CrashRecord:
-    """Read a record; raise one of MALFORMED for anything else."""
+    """Return a crash record from plain data; raise one of MALFORMED for other data."""
     ends = plain['ends']
     texts = (plain['target'], plain['content'], *ends, *ends.values())
     if not all(isinstance(text, str) and text for text in texts):
-        raise TypeError('a record holds texts')
+        raise TypeError(
+            'target, content, servers and queries must be non-empty strings'
+        )
     if type(plain['trials']) is not int or plain['trials'] < 0:
-        raise ValueError(f'{plain["trials"]!r} is no count of trials')
+        raise ValueError(
+            f'trials must be an integer of at least 0, not {plain["trials"]!r}'
+        )
     if type(revision) is not int or revision < 1:
-        raise ValueError(f'{revision!r} is no revision')
+        raise ValueError(f'revision must be an integer of at least 1, not {revision!r}')
     key = RequestKey(plain['target'], plain['content'])
     return CrashRecord(key, dict(ends), plain['trials'], revision)
--- a/catkinslip/crashes/suspect.py
+++ b/catkinslip/crashes/suspect.py
@@ -1,4 +1,4 @@
-"""One request under which servers ended, and the verdict on its next copy."""
+"""Suspect requests, during which servers crashed, and verdicts on their next copies."""
 
 from collections.abc import Iterable, Mapping
 from enum import Enum, unique
@@ -7,40 +7,42 @@
 
 from catkinslip.crashes.base import CrashRecord
 
-#: A request that ended so many servers is sent to no other. Fewer may be chance: the
-#: requests beside a crashing one look alike, as do those of a rack that fails.
+#: Number of crashed servers from which a request is sent to no other server. Fewer may
+#: be coincidence: the requests beside a crashing one look alike, as do those of a rack
+#: that fails.
 GUILTY_SERVERS = 3
-#: One server more shows whether the request still ends servers. Two such trials, and
-#: not three, as all instances together may send it thrice more. The first comes soon:
-#: an innocent one that many callers send is refused to all of them.
+#: Seconds from the last new crash or trial to the next trial, in which one more server
+#: shows whether the request still crashes servers. There are two trials and not three,
+#: as all instances together may send the request three times more. The first comes
+#: soon, as an innocent request that many callers send is refused to all of them.
 TRIAL_SECONDS = (10.0, 300.0)
-#: One or two servers are forgotten by then: a request that ends one every five minutes
-#: is still found.
+#: Seconds without the request after which one or two crashes expire: a request that
+#: crashes a server every five minutes is still detected.
 SUSPECT_SECONDS = 600.0
-#: A verdict ends so long after the request came last.
+#: Seconds without the request after which a verdict expires.
 VERDICT_SECONDS = 86_400.0
 
-#: Marks the start of a server that was cold when it ended.
+#: Suffix of the names of servers that were cold when they crashed.
 COLD_SUFFIX = '/cold'
 
 
 @unique
 class Verdict(Enum):
-    """What becomes of a request."""
+    """Restriction on the sending of a request."""
 
-    #: Nothing is known against it.
+    #: No crash is known; the request is sent without restriction.
     FREE = 'free'
-    #: Servers ended under it: one server may run it, without retries or hedges.
+    #: Servers crashed: one server may run the request, without retries or hedges.
     ALONE = 'alone'
-    #: It ended too many; one server may run it if the store grants a trial.
+    #: Too many servers crashed; one may run the request if the store grants a trial.
     TRIAL = 'trial'
-    #: It is sent to no server.
+    #: The request is sent to no server.
     REFUSED = 'refused'
 
 
 @frozen
 class Judgement:
-    """A verdict on a request, and after how many seconds it may be another one."""
+    """Verdict on a request, and the seconds after which it may change."""
 
     verdict: Verdict
     retry_after: float = 0.0
@@ -52,27 +54,28 @@
 
 @define
 class Suspect:
-    """What this instance knows of one request; times are in seconds."""
+    """State of one suspect request on this instance; times are in seconds."""
 
+    #: All known crashes and trials, including the unsaved crashes.
     record: CrashRecord
-    #: Ends that the store is not known to hold.
+    #: Queries by server, of crashes that the store is not known to hold.
     unsaved: dict[str, str] = Factory(dict)
-    #: Whether the store must be told.
+    #: Whether the record has to be written to the store.
     must_save: bool = False
-    #: When an end or a trial was last learned.
+    #: Time of the last new crash or trial.
     changed_at: float = 0.0
-    #: When the request last came, or ended a server.
+    #: Time at which the request last arrived or crashed a server.
     seen_at: float = 0.0
 
     @property
     def servers(self) -> int:
-        """Return how many servers ended under it, but for cold ones."""
+        """Return the number of crashed servers, without those that were cold."""
         return count_ends(self.record.query_by_server)
 
     def is_guilty(self, query: str) -> bool:
-        """Tell whether a copy with a query is to be refused.
+        """Return whether a copy of the request with a query is to be refused.
 
-        Other queries are refused too where several ended servers.
+        Copies with any query are refused where several queries crashed servers.
         """
         if self.servers < GUILTY_SERVERS:
             return False
@@ -80,7 +83,7 @@
         return query in queries or len(queries) > 1
 
     def trial_at(self) -> float | None:
-        """Return when the next trial may begin; None where none is left."""
+        """Return the time from which the next trial may start; None if none is left."""
         trials = self.record.trials
         if trials >= len(TRIAL_SECONDS):
             return None
@@ -88,36 +91,36 @@
 
 
 def cold_name(server: str) -> str:
-    """Return the name under which the end of a cold server is kept."""
+    """Return the name under which the crash of a cold server is recorded."""
     return f'{server}{COLD_SUFFIX}'
 
 
 def count_ends(servers: Iterable[str]) -> int:
-    """Return how many servers ended, but for cold ones.
+    """Return the number of crashed servers, without those that were cold.
 
-    A cold server ends where too much comes at once, whatever it is; the request is kept
-    from others that are cold, and no more.
+    A cold server crashes if too many requests arrive at once, whatever they are; so its
+    crash only keeps the request away from other cold servers.
     """
     return sum(not server.endswith(COLD_SUFFIX) for server in servers)
 
 
 def without(query_by_server: Mapping[str, str], query: str) -> dict[str, str]:
-    """Return the ends under other queries."""
+    """Return the crashes without those under a query."""
     return {k: v for k, v in query_by_server.items() if v != query}
 
 
 def is_news(before: CrashRecord, after: CrashRecord) -> bool:
-    """Tell whether a record tells of another end or trial."""
+    """Return whether a record has a crash or trial that an earlier one lacks."""
     is_more = after.query_by_server.keys() - before.query_by_server.keys()
     return bool(is_more) or after.trials != before.trials
 
 
 def lifetime(suspect: Suspect) -> float:
-    """Return after how many seconds without the request it is forgotten."""
+    """Return the seconds without the request after which a suspect expires."""
     is_grave = suspect.servers >= GUILTY_SERVERS
     return VERDICT_SECONDS if is_grave else SUSPECT_SECONDS
 
 
 def guilty(suspects: Iterable[Suspect]) -> int:
-    """Return how many requests are refused."""
+    """Return the number of suspects that are refused."""
     return sum(each.servers >= GUILTY_SERVERS for each in suspects)
--- a/catkinslip/crashes/telling.py
+++ b/catkinslip/crashes/telling.py
@@ -1,7 +1,7 @@
-"""Tell instances in all zones within milliseconds of servers that ended.
+"""Datagrams that report crashed servers to instances in all zones within milliseconds.
 
-Each datagram goes out twice, as some are lost. Whoever got none learns from the store
-once two servers ended.
+Each datagram is sent twice, as some are lost. An instance that receives neither reads
+the crashes from the store once two servers crashed.
 """
 
 import logging
@@ -19,13 +19,16 @@
 from catkinslip.crashes.suspect import GUILTY_SERVERS
 from catkinslip.models import Address
 
-#: At most 210 bytes each; a datagram stays below one packet of 1,500 bytes.
+#: Maximum number of reports in a datagram. A report takes at most 210 bytes; a datagram
+#: stays below one packet of 1,500 bytes.
 MOST_TOLD = 6
-#: Requests that wait to be told; a rack that fails under more has nothing to tell.
+#: Maximum number of requests that wait to be reported; if a rack fails during more of
+#: them, the crashes are no evidence.
 MOST_WAITING = 60
-#: Between two datagrams: those that serve get at most 20 of them a second from one
-#: instance, each twice, 50 kB in its worst second.
+#: Seconds between two datagrams: each serving instance receives at most 20 of them a
+#: second from one instance, each twice, 50 kB in its worst second.
 FLUSH_SECONDS = 0.05
+#: Seconds after which a datagram is sent again.
 REPEAT_SECONDS = 0.1
 
 log = logging.getLogger('crashes')
@@ -35,27 +38,32 @@
 
 @define
 class CrashTeller(CrashListener):
-    """Send what this instance saw, and take what others did."""
+    """Exchange of crash reports with other instances by datagrams."""
 
+    #: ID of this instance, which its datagrams carry.
     own_id: str
     book: CrashBook
     clock: Clock
+    #: Returns the addresses of the other instances that serve.
     targets: Callable[[], list[Address]]
+    #: Sends a datagram to several addresses.
     post: Post
+    #: Crashes to report: the query that each server ran, by request.
     query_by_server_by_key: dict[RequestKey, dict[str, str]] = Factory(dict)
+    #: Set while there are crashes to report.
     has_news: trio.Event = Factory(trio.Event)
 
     def saw_end(self, key: RequestKey, query_by_server: dict[str, str]) -> None:
-        """Learn of all servers that ended under a request, as known here."""
+        """Queue the last servers that crashed during a request for a datagram."""
         waiting = self.query_by_server_by_key
         if len(waiting) >= MOST_WAITING and key not in waiting:
-            log.info('crashes: too many ends wait to be told. request=%s', key)
+            log.info('crashes: too many requests wait to be reported. request=%s', key)
             return
         waiting[key] = dict(list(query_by_server.items())[-GUILTY_SERVERS:])
         self.has_news.set()
 
     async def run(self) -> None:
-        """Send news until cancelled."""
+        """Send datagrams with crash reports until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 await self.has_news.wait()
@@ -76,10 +84,12 @@
         return orjson.dumps({'ends': ends_to_plain(told), 'by': self.own_id})
 
     def take(self, told: dict) -> None:
-        """Take over a datagram; raise one of `messages.MALFORMED` for another one."""
+        """Apply a datagram; raise one of `messages.MALFORMED` if it is malformed."""
         teller = str(told['by'])
         for each in ends_from_plain(told['ends']):
             ends = each.query_by_server
             if not 1 <= len(ends) <= GUILTY_SERVERS:
-                raise ValueError(f'{len(ends)} servers are told of one request')
+                raise ValueError(
+                    f'a crash report has {len(ends)} servers, allowed are 1 to 3'
+                )
             self.book.heard(each.key, ends, self.clock.monotonic(), teller)
--- a/catkinslip/crashes/topic.py
+++ b/catkinslip/crashes/topic.py
@@ -1,4 +1,4 @@
-"""Carry the ends of servers under requests between peers."""
+"""Topic of the peer exchange that carries reports of crashed servers."""
 
 from collections.abc import Callable
 from typing import Any
@@ -17,25 +17,28 @@
 )
 from catkinslip.membership.topics import PeerTopic
 
-#: 142 to 238 bytes each, the gravest first.
+#: Maximum number of reports to a peer, of 142 to 238 bytes each; requests with the most
+#: crashed servers come first.
 MOST_TOLD = 40
 
 
 @define
 class CrashTopic(PeerTopic, CrashListener):
-    """Tell peers which servers ended under which request."""
+    """Peer topic with the servers that crashed during each suspect request."""
 
     book: CrashBook
+    #: Returns the time of a monotonic clock, in seconds.
     monotonic: Callable[[], float]
+    #: Starts an exchange with several peers at once.
     spread_soon: Callable[[], None] = lambda: None
     name = 'crashes'
 
     def saw_end(self, key: RequestKey, query_by_server: dict[str, str]) -> None:
-        """Tell several peers at once of an end that was seen here."""
+        """Start an exchange with several peers after a crash that this instance saw."""
         self.spread_soon()
 
     def digest(self) -> Any:
-        """Return a hash of all ends that are known."""
+        """Return a hash of all known crashes."""
         ends = sorted(
             f'{key}{sorted(each.record.query_by_server)}'
             for key, each in self.book.suspect_by_key.items()
@@ -43,7 +46,7 @@
         return xxhash.xxh3_64_hexdigest('\n'.join(ends).encode())
 
     def news_for(self, digest: Any | None) -> Any | None:
-        """Return the gravest ends for a peer that knows others."""
+        """Return the reports with most crashes for a peer whose digest differs."""
         suspects = self.book.suspect_by_key
         if not suspects or digest == self.digest():
             return None
@@ -54,10 +57,10 @@
         )
 
     def receive(self, news: Any) -> None:
-        """Take a peer's ends over; raise ValueError when they are malformed."""
+        """Apply the crash reports of a peer; raise ValueError if they are malformed."""
         now = self.monotonic()
         try:
             for each in ends_from_plain(news):
                 self.book.heard(each.key, each.query_by_server, now, 'a peer')
         except MALFORMED as error:
-            raise ValueError(f'malformed news of crashes: {error!r}') from None
+            raise ValueError(f'malformed crash reports: {error!r}') from None
--- a/catkinslip/crashes/unseen.py
+++ b/catkinslip/crashes/unseen.py
@@ -1,8 +1,8 @@
-"""Connections that broke under requests, until it shows whether the server ended.
+"""Detection of crashes behind ports that still accept connections.
 
-A port that still takes connections is no proof that the process behind it lives: a
-supervisor may hold the socket, or the next process may be there within a round trip.
-Another start of the server, or another server at its address, soon after is one.
+An open port does not prove that the process behind it is alive: a supervisor may hold
+the socket, or the next process may listen within a round trip. A new incarnation of the
+server, or another server at its address, soon after a connection broke proves a crash.
 """
 
 from collections import deque
@@ -13,23 +13,26 @@
 from catkinslip.config.documents import Backend
 from catkinslip.crashes.identity import RequestKey
 
-#: A start is told by the server's entry within seconds; what broke longer before it
-#: most likely had another cause.
+#: Seconds for which a broken connection or a removed server may be followed by the sign
+#: of a crash. The server's entry shows a new incarnation within seconds; a connection
+#: that broke longer before most likely had another cause.
 SUSPICIOUS_SECONDS = 4.0
-#: Breaks that are remembered of all servers; a rack that fails breaks some hundreds.
+#: Maximum number of broken connections kept of all servers; a rack that fails breaks
+#: some hundreds.
 MOST_BREAKS = 512
 
+#: Host and port of a server.
 Place = tuple[str, int]
 
 
 def server_name(backend_id: str, incarnation: int) -> str:
-    """Return the name of one start of a server."""
+    """Return the name of one incarnation of a server."""
     return f'{backend_id}/{incarnation}'
 
 
 @frozen
 class BrokenRequest:
-    """A request whose connection to a server broke; the time is in seconds."""
+    """Request whose connection to a server broke; the time is in seconds."""
 
     server: str
     key: RequestKey
@@ -40,16 +43,16 @@
 
 @define
 class BrokenRequests:
-    """Remember requests whose connections broke at servers that seemed to live."""
+    """Recent requests whose connections broke at servers with an open port."""
 
     recent: deque[BrokenRequest] = Factory(lambda: deque(maxlen=MOST_BREAKS))
 
     def add(self, broken: BrokenRequest) -> None:
-        """Take that a request's connection broke though the server's port is open."""
+        """Record a request whose connection to a server with an open port broke."""
         self.recent.append(broken)
 
     def take(self, server: str, now: float) -> list[BrokenRequest]:
-        """Return what lately broke at a server that has ended since, and forget it."""
+        """Remove and return the recent broken requests of a server that has crashed."""
         while self.recent and now - self.recent[0].at > SUSPICIOUS_SECONDS:
             self.recent.popleft()
         found = [each for each in self.recent if each.server == server]
@@ -61,18 +64,20 @@
 
 @define
 class StartWatch:
-    """Find servers that ended, as another start or server took their places.
+    """Detector of crashes by the incarnation or server that replaces a crashed server.
 
-    One that is gone without another in its place may be out of reach, and one that was
-    leaving ends as it should.
+    A server that is removed without a replacement may be unreachable, and one that was
+    leaving stops as intended.
     """
 
+    #: Registered servers, by backend ID.
     backend_by_id: dict[str, Backend] = Factory(dict)
-    #: Servers that went without a word, by their places, and when.
+    #: Servers removed without leaving first, and the times of removal in seconds, by
+    #: address.
     gone_by_place: dict[Place, tuple[str, float]] = Factory(dict)
 
     def update(self, backends: dict[str, Backend], now: float) -> list[str]:
-        """Take the registered servers; return those that are known to have ended."""
+        """Apply the registered servers; return those now known to have crashed."""
         before, self.backend_by_id = self.backend_by_id, backends
         changed = differing(before, backends)
         ended = []
