--- a/tests/test_crashes_book.py
+++ b/tests/test_crashes_book.py
@@ -1,4 +1,4 @@
-"""The book of requests under which servers ended, without any I/O."""
+"""The registry of requests during which servers crashed, without any I/O."""
 
 import unittest
 
@@ -23,7 +23,7 @@
 
 
 def book_with(ends: int, query: str = 'q') -> CrashBook:
-    """Return a book in which some servers ended under one request."""
+    """Return a registry in which servers crashed during one request."""
     book = CrashBook()
     for number in range(ends):
         book.ended(KEY, query, f'i-{number}/1', NOW)
@@ -31,14 +31,14 @@
 
 
 def stored(ends: int, revision: int, trials: int = 0) -> CrashRecord:
-    """Return a record of the store."""
+    """Return a record as the store holds it, with some crashed servers."""
     return CrashRecord(
         KEY, {f'i-{number}/1': 'q' for number in range(ends)}, trials, revision
     )
 
 
 class VerdictTest(unittest.TestCase):
-    """What becomes of the next copy of a request."""
+    """Verdict on the next copy of a request."""
 
     def verdict(self, book, query='q', now=NOW, key=KEY):
         return book.judge(key, query, now).verdict
@@ -108,7 +108,7 @@
 
 
 class StoreTest(unittest.TestCase):
-    """What the book takes from the store and asks it to keep."""
+    """Changes that the registry reads from the store and writes to it."""
 
     def test_first_end_is_not_stored_and_the_second_is(self):
         book = book_with(1)
@@ -169,7 +169,7 @@
 
 
 class MemoryTest(unittest.TestCase):
-    """The book stays small and forgets."""
+    """Bounds of the registry, and expiry of its suspects."""
 
     def test_suspects_and_servers_are_bounded_and_the_gravest_stay(self):
         book = book_with(3)
--- a/tests/test_crashes_identity.py
+++ b/tests/test_crashes_identity.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same one, and what is logged of broken connections."""
+"""Identity of requests, and the log line of a broken connection."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 
 
 def call(target: bytes = b'/q/a', **fields) -> Call:
-    """Return a caller's request."""
+    """Return the call of a request from a caller."""
     method, body = fields.pop('method', b'POST'), fields.pop('body', b'x')
     host = fields.pop('host', b'a.example')
     peer = fields.pop('peer', '10.0.0.1')
@@ -26,7 +26,7 @@
 
 
 class IdentityTest(unittest.TestCase):
-    """A request is known again by method, host, path, body and credentials."""
+    """Identity of a request by method, host, path, body and credentials."""
 
     def test_same_request_under_another_id_and_query(self):
         known = key_of(call())
@@ -52,7 +52,7 @@
 
 
 class BreakLogTest(unittest.TestCase):
-    """A connection that ends under a request is told with the request's identity."""
+    """Log line and metric of a connection that broke during a request."""
 
     def test_break_is_logged_and_counted(self):
         async def check(platform):
--- a/tests/test_crashes_incident.py
+++ b/tests/test_crashes_incident.py
@@ -1,18 +1,11 @@
-"""One request ended server after server, though nothing else was wrong.
-
-A lookup crashed each server that ran it, and its caller sent it again. Its attempts
-rode on kept connections; when the server died 70 ms later, the end of the connection
-was taken for an idle close, and the request went to the same address once more. There
-the connection was refused, so the attempt counted as not run, and the next server got
-it. Nobody kept count: each return had a new ID and reached another instance. 50
-servers ended under one request, 20 of its sends came long after the third had. One
-call, of which the caller was told 503, that nothing had run, and when to come back:
-
-    33.810 routing: lora21a goes to i-35fee17868, delay=1.00 ...
-    33.880 routing: goes again to 10.3.64.39:8029, the kept connection was closed.
-    33.884 routing: lora21a goes to i-945e3a9af1, delay=1.07 ...
-    33.953 routing: goes again to 10.1.64.33:8029, the kept connection was closed.
-    33.956 request: lora21a ended as not run, connect-failed. ms=176
+"""One request that crashes each server that runs it, and is sent again by its caller.
+
+When a server crashed 70 ms after it got the request on a kept connection, the end of
+the connection was mistaken for an idle close, and the request was sent to the same
+address again. There the connection was refused, so the attempt counted as not run, and
+the request went to the next server; the caller got 503 with a retry delay after 176 ms.
+No instance counted the crashes, as each copy had a new ID and reached another instance:
+50 servers crashed, and 20 of the sends came long after the third crash.
 """
 
 import unittest
@@ -39,7 +32,7 @@
 INSTANCES = 3
 WORK_SECONDS = 0.02
 RESTART_SECONDS = 0.2
-#: After the third server every instance must know within so many seconds.
+#: Seconds after the third crash within which every instance must refuse the request.
 WINDOW_SECONDS = 1.0
 PLAY_SECONDS = 3.0
 PAUSE_SECONDS = 0.04
@@ -48,7 +41,7 @@
 
 
 async def crash_prone_fleet(platform: SmallPlatform) -> None:
-    """Start instances and servers that one path ends, and warm their connections."""
+    """Start instances, and servers that one path crashes, and open connections."""
     platform.restart_seconds = RESTART_SECONDS
     for number in range(SERVERS):
         await platform.add_worker(
@@ -64,14 +57,14 @@
 
 
 async def patient_fleet(platform: SmallPlatform) -> None:
-    """Start the same, with calls that a busy machine does not make give up."""
+    """Start the same fleet, with time-outs that a busy machine does not exceed."""
     platform.store.put('config', 'main', config_spec('0000000b', GENEROUS_SECONDS))
     platform.deadline_ms = int(GENEROUS_SECONDS * 1000)
     await crash_prone_fleet(platform)
 
 
 class IncidentTest(unittest.TestCase):
-    """What one request that crashes servers may cost."""
+    """Bounds on the crashes that one request may cause."""
 
     def test_few_servers_end_once_three_did(self):
         async def check(platform):
@@ -95,13 +88,10 @@
         on_platform(check)
 
     def test_copies_from_other_addresses_are_the_same_request(self):
-        # Calls whose two servers both ended came to instances of two zones by turns
-        # within 0.7 s, and to those of all four within 3.2 s. Callers are told their
-        # own zone's instances, and each zone's callers have a network of their own:
-        #   26.396 edge-tri-quimper-2 goes again to ..., the kept connection was closed
-        #   26.603 edge-halle-brest-4 goes again to ...
-        #   26.714 edge-tri-quimper-3 goes again to ...
-        #   26.944 edge-halle-brest-6 goes again to ...
+        # Copies whose two servers both crashed reached instances of two zones in turn
+        # within 0.7 s, and of all four zones within 3.2 s. Callers get the addresses of
+        # the instances of their own zone, and the callers of each zone have a network
+        # of their own, so copies come from several addresses.
         async def check(platform):
             await crash_prone_fleet(platform)
             for number in range(20):
@@ -153,7 +143,7 @@
 
 
 async def crash(platform: SmallPlatform, servers: int, entry: int = 0) -> None:
-    """Send the crashing request to one instance until so many servers ended."""
+    """Send the crashing request to one instance until some servers crashed."""
     number = 0
     while platform.crashes(CRASHING) < servers:
         number += 1
@@ -162,7 +152,7 @@
 
 
 async def ends_of(platform: SmallPlatform, entry: int, sends: int = 4) -> int:
-    """Return how many servers end under copies sent to one instance."""
+    """Return how many servers crash during copies sent to one instance."""
     before = platform.crashes(CRASHING)
     for number in range(sends):
         await platform.get(CRASHING, entry, request_id=f'f{number}')
@@ -170,7 +160,7 @@
 
 
 class TellingTest(unittest.TestCase):
-    """Instances that saw no server end know of it all the same."""
+    """Refusal by instances that saw none of the crashes."""
 
     def test_others_refuse_what_one_instance_saw(self):
         async def check(platform):
@@ -231,7 +221,7 @@
             await wait_for(
                 lambda: all(not each.book.suspect_by_key for each in platform.entries)
             )
-            # Some turns of the split go to a service without servers.
+            # Some requests of the split route go to a service without servers.
             while (await platform.get(CRASHING, 1)).status_code != 200:
                 await trio.sleep(PAUSE_SECONDS)
 
@@ -246,7 +236,7 @@
                 worker.fault = Fault.SHED
             sheds = 0
             with mock.patch.object(suspect, 'TRIAL_SECONDS', (0.0,) * 20):
-                # Some turns of the split go to a service without servers.
+                # Some requests of the split route go to a service without servers.
                 while not sheds:
                     await platform.get(CRASHING)
                     sheds = sum(each.sheds for each in platform.worker_by_id.values())
@@ -264,7 +254,7 @@
                 async with trio.open_nursery() as nursery:
                     for number in range(4 * INSTANCES):
                         nursery.start_soon(platform.get, CRASHING, number % INSTANCES)
-                # None where the turn of the split goes to a service without servers.
+                # None if the split route chooses a service without servers.
                 self.assertLessEqual(platform.crashes(CRASHING) - before, 1)
                 (name,) = stored_names(platform)
                 spec = platform.store.item_by_key['crashes', name]['spec']
@@ -272,7 +262,7 @@
             with mock.patch.object(suspect, 'TRIAL_SECONDS', (0.0,) * 20):
                 for worker in platform.worker_by_id.values():
                     worker.crashing_paths = set()
-                # Some turns of the split go to a service without servers.
+                # Some requests of the split route go to a service without servers.
                 while (await platform.get(CRASHING)).status_code != 200:
                     await trio.sleep(PAUSE_SECONDS)
             await wait_for(lambda: not stored_names(platform))
@@ -281,7 +271,7 @@
 
 
 class SeenTest(unittest.TestCase):
-    """What operators see of a refused request."""
+    """Metrics and log lines of a refused request."""
 
     def test_metrics_tell_ends_verdicts_and_refusals(self):
         async def check(platform):
@@ -317,17 +307,17 @@
 
 
 async def all_know(platform: SmallPlatform, seconds: float) -> bool:
-    """Tell whether all instances know of three servers that ended within a time."""
+    """Return whether all instances record three crashes within some seconds."""
     return await wait_at_most(seconds, lambda: all(map(knows, platform.entries)))
 
 
 def knows(entry: Entry) -> bool:
-    """Tell whether an instance knows of a request that ended three servers."""
+    """Return whether an instance recorded a request that crashed three servers."""
     return any(each.servers >= 3 for each in entry.book.suspect_by_key.values())
 
 
 def is_settled(entry: Entry) -> bool:
-    """Tell whether an instance knows of three servers and the store holds them."""
+    """Return whether an instance recorded three crashes and the store has them."""
     suspects = entry.book.suspect_by_key.values()
     return any(
         each.record.revision and each.servers >= 3 and not each.unsaved
--- a/tests/test_crashes_sharing.py
+++ b/tests/test_crashes_sharing.py
@@ -1,4 +1,4 @@
-"""Ends of servers told to peers, and records kept in a store."""
+"""Crash reports to peers, crash records in a store, and trials."""
 
 import unittest
 
@@ -31,7 +31,7 @@
 
 
 class TopicTest(unittest.TestCase):
-    """Peers of the product's own exchange learn of each end once."""
+    """Crash reports in the product's own peer exchange, each sent once."""
 
     def topic(self, book: CrashBook) -> CrashTopic:
         return CrashTopic(book, lambda: NOW)
@@ -58,7 +58,7 @@
 
 
 class DatagramTest(unittest.TestCase):
-    """What instances on the platform tell each other at once."""
+    """Datagrams with crash reports between instances on the platform."""
 
     def teller(self, book: CrashBook, posted: list) -> CrashTeller:
         return CrashTeller(
@@ -96,7 +96,7 @@
 
 
 class RecordTest(unittest.TestCase):
-    """Records in the objects of the product's own platform."""
+    """Crash records as objects of the product's own platform."""
 
     def test_write_needs_the_revision_that_is_stored(self):
         async def run():
@@ -128,7 +128,7 @@
 
 
 class TrialTest(unittest.TestCase):
-    """A trial needs the store's word."""
+    """Trials, which need a grant of the store."""
 
     def guilty_guard(self) -> tuple[CrashGuard, object]:
         clock = SystemClock()
--- a/tests/test_crashes_unseen.py
+++ b/tests/test_crashes_unseen.py
@@ -1,11 +1,10 @@
-"""A server ended, and its port did not show it.
-
-A supervisor holds the socket while the process behind it starts again: connections are
-taken and cut for a second, none is refused. Only a refused port counted as an end, so
-nothing was counted: 24 copies of one request ended 37 servers, 27 of them later than
-three seconds after the third, and the caller was told 502 each time. The server that
-follows has another start; that it followed right after the connection broke is what
-shows that the one before ended under the request.
+"""Crashes of servers whose ports still accept connections.
+
+A supervisor holds the socket while the process behind it restarts: for a second,
+connections are accepted and cut, and none is refused. When only a refused connection
+counted as a crash, 24 copies of one request crashed 37 servers, 27 of them later than
+three seconds after the third, and the caller got 502 each time. A new incarnation of
+the server right after the connection broke shows that the previous one crashed.
 """
 
 import unittest
@@ -27,10 +26,10 @@
 SERVERS = 12
 INSTANCES = 3
 CRASHING = '/q/crashes'
-#: The time for which the socket is held, and until the next server is registered.
+#: Seconds for which the socket is held, and until the next server is registered.
 HELD_SECONDS = 0.3
-#: Later than this after the third end, few more may follow. The bound is 3 s; a start
-#: is known after the time for which its socket is held, a watch and a poll.
+#: Seconds after the third crash, after which few more may follow. The bound is 3 s;
+#: a new incarnation is seen after the socket was held and after a watch and a poll.
 WINDOW_SECONDS = 2.0
 PLAY_SECONDS = 6.0
 PAUSE_SECONDS = 0.08
@@ -49,7 +48,7 @@
 
 
 async def ask_often(platform: SmallPlatform, path: str, seconds: float) -> list[float]:
-    """Send copies of a request for a while; return when servers ended."""
+    """Send copies of a request for some seconds; return the times of crashes."""
     end = trio.current_time() + seconds
     ended_at: list[float] = []
     number = 0
@@ -63,12 +62,12 @@
 
 
 def knows_leaving(entry: Entry) -> bool:
-    """Tell whether an instance knows that all servers leave."""
+    """Return whether all servers are leaving in the view of an instance."""
     return all(it.is_draining for it in entry.assembler.current_backends.values())
 
 
 class HeldSocketTest(unittest.TestCase):
-    """Servers that end behind a socket that stays open."""
+    """Servers that crash behind a socket that stays open."""
 
     def test_few_servers_end_once_three_did(self):
         async def check(platform):
@@ -102,7 +101,7 @@
             statuses = []
             for number in range(12):
                 if number % 4 == 0:
-                    # One server ends for a cause of its own.
+                    # One server stops for another reason.
                     name = next(iter(platform.worker_by_id))
                     platform.worker_by_id.pop(name).process.cancel()
                 answer = await platform.get(
@@ -126,7 +125,7 @@
                 status = {**item['status'], 'state': 'draining'}
                 store.put('servers', name, item['spec'], status)
             entries = platform.entries
-            # A server leaves for seconds: each instance learns of it.
+            # A server is leaving for seconds, so that each instance sees it.
             await wait_for(lambda: all(map(knows_leaving, entries)))
             for name in list(platform.worker_by_id):
                 item = store.item_by_key['servers', name]
@@ -150,7 +149,7 @@
 
 
 class BrokenRequestsTest(unittest.TestCase):
-    """What is remembered of connections that broke."""
+    """Memory of the connections that broke."""
 
     def test_breaks_are_forgotten_with_time_and_number(self):
         known = BrokenRequests()
@@ -169,7 +168,7 @@
 
 
 class StartWatchTest(unittest.TestCase):
-    """Which servers are known to have ended."""
+    """Detection of crashed servers by the registered ones."""
 
     def setUp(self):
         self.watch = StartWatch()
