--- a/catkinslip/crashes/guard.py
+++ b/catkinslip/crashes/guard.py
@@ -9,9 +9,9 @@
 from catkinslip.clock import Clock
 from catkinslip.config.documents import AcceptedConfig
 from catkinslip.crashes.base import CrashStore
-from catkinslip.crashes.book import CrashBook
 from catkinslip.crashes.identity import RequestKey, key_of, query_of, target_of
 from catkinslip.crashes.keeper import CrashKeeper
+from catkinslip.crashes.registry import CrashRegistry
 from catkinslip.crashes.suspect import Judgement, Verdict
 from catkinslip.crashes.unseen import BrokenRequest, BrokenRequests, StartWatch
 from catkinslip.models import Address
@@ -44,7 +44,7 @@
     """Protection of servers from requests that crash them."""
 
     clock: Clock
-    book: CrashBook = Factory(CrashBook)
+    registry: CrashRegistry = Factory(CrashRegistry)
     #: Source of trials; None without a store, so that no trial is granted.
     keeper: CrashKeeper | None = None
     listeners: list[CrashListener] = Factory(list)
@@ -65,7 +65,7 @@
         if not self._may_know(call):
             return None
         key = key_of(call)
-        judgement = self.book.judge(key, query_of(call), self.clock.monotonic())
+        judgement = self.registry.judge(key, query_of(call), self.clock.monotonic())
         call.is_suspect = judgement.verdict is not Verdict.FREE
         if judgement.verdict in (Verdict.FREE, Verdict.ALONE):
             return None
@@ -86,7 +86,7 @@
         return NotRun(Reason.CRASHES, detail, retry_after=judgement.retry_after)
 
     def _may_know(self, call: Call) -> bool:
-        by_target = self.book.count_by_target
+        by_target = self.registry.count_by_target
         return bool(by_target) and target_of(call) in by_target
 
     async def examine(
@@ -127,10 +127,10 @@
     def _count(self, broken: BrokenRequest) -> int:
         """Record a crash and notify the listeners; return the number of crashes."""
         key, now = broken.key, self.clock.monotonic()
-        servers = self.book.ended(
+        servers = self.registry.ended(
             key, broken.query, broken.server, now, is_cold=broken.is_cold
         )
-        known = self.book.suspect_by_key[key].record.query_by_server
+        known = self.registry.suspect_by_key[key].record.query_by_server
         for listener in self.listeners:
             listener.saw_end(key, known)
         return servers
@@ -138,13 +138,13 @@
     def answered(self, call: Call) -> None:
         """Record that a server ran a call and answered it."""
         if self._may_know(call):
-            self.book.answered(key_of(call), query_of(call))
+            self.registry.answered(key_of(call), query_of(call))
 
 
 def make_guard(clock: Clock, store: CrashStore) -> CrashGuard:
     """Return a guard whose registry is synchronized with a store."""
     guard = CrashGuard(clock)
-    guard.keeper = CrashKeeper(guard.book, store, clock)
+    guard.keeper = CrashKeeper(guard.registry, store, clock)
     return guard
 
 
--- a/catkinslip/crashes/keeper.py
+++ b/catkinslip/crashes/keeper.py
@@ -8,8 +8,8 @@
 
 from catkinslip.clock import Clock
 from catkinslip.crashes.base import CrashRecord, CrashStore
-from catkinslip.crashes.book import CrashBook
 from catkinslip.crashes.identity import RequestKey
+from catkinslip.crashes.registry import CrashRegistry
 from catkinslip.crashes.suspect import Suspect
 from catkinslip.store.base import Conflict
 
@@ -30,7 +30,7 @@
 class CrashKeeper:
     """Writer of the changes of a crash registry to a store, one record at a time."""
 
-    book: CrashBook
+    registry: CrashRegistry
     store: CrashStore
     clock: Clock
 
@@ -39,21 +39,21 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._forget_old)
             while True:
-                await self.book.has_unsaved.wait()
-                for suspect in self.book.to_save():
+                await self.registry.has_unsaved.wait()
+                for suspect in self.registry.to_save():
                     await self._save(suspect)
                     await trio.sleep(SAVE_SECONDS)
 
     async def grant_trial(self, key: RequestKey) -> bool:
         """Return whether the store grants the next trial, one for all instances."""
-        suspect = self.book.suspect_by_key.get(key)
+        suspect = self.registry.suspect_by_key.get(key)
         if suspect is None:
             return False
         record = evolve(suspect.record, trials=suspect.record.trials + 1)
         with trio.move_on_after(TRIAL_ANSWER_SECONDS):
             match await self.store.write(record):
                 case Success(stored):
-                    self.book.saved(stored, self.clock.monotonic())
+                    self.registry.saved(stored, self.clock.monotonic())
                     log.info(
                         'crashes: trial granted, one more server may run a request. '
                         'request=%s servers=%d trial=%d',
@@ -77,7 +77,7 @@
             return
         match await self.store.write(record):
             case Success(stored):
-                self.book.saved(stored, self.clock.monotonic())
+                self.registry.saved(stored, self.clock.monotonic())
             case Failure(Conflict()):
                 await self._read(record.key)
             case Failure(error):
@@ -92,16 +92,16 @@
         """Apply the record that another instance wrote in the meantime."""
         match await self.store.read(key):
             case Success(CrashRecord() as record):
-                self.book.reread(record, self.clock.monotonic())
+                self.registry.reread(record, self.clock.monotonic())
             case Success(None):
-                self.book.deleted(key)
+                self.registry.deleted(key)
             case Failure(error):
                 log.warning('crashes: record not read. request=%s error=%s', key, error)
 
     async def _delete(self, record: CrashRecord) -> None:
         match await self.store.delete(record):
             case Success(_):
-                self.book.deleted(record.key)
+                self.registry.deleted(record.key)
             case Failure(Conflict()):
                 await self._read(record.key)
             case Failure(error):
@@ -115,5 +115,5 @@
     async def _forget_old(self) -> None:
         while True:
             await trio.sleep(FORGET_SECONDS)
-            for record in self.book.forget_old(self.clock.monotonic()):
+            for record in self.registry.forget_old(self.clock.monotonic()):
                 await self._delete(record)
--- a/catkinslip/crashes/book.py
+++ b/catkinslip/crashes/registry.py
@@ -46,7 +46,7 @@
 
 
 @define
-class CrashBook:
+class CrashRegistry:
     """Registry of the requests during which servers crashed, in bounded memory."""
 
     #: Suspect requests, by the key that their copies share.
--- a/catkinslip/crashes/telling.py
+++ b/catkinslip/crashes/telling.py
@@ -12,10 +12,10 @@
 from attrs import Factory, define
 
 from catkinslip.clock import Clock
-from catkinslip.crashes.book import CrashBook
 from catkinslip.crashes.guard import CrashListener
 from catkinslip.crashes.identity import RequestKey
 from catkinslip.crashes.messages import ToldEnds, ends_from_plain, ends_to_plain
+from catkinslip.crashes.registry import CrashRegistry
 from catkinslip.crashes.suspect import GUILTY_SERVERS
 from catkinslip.models import Address
 
@@ -42,7 +42,7 @@
 
     #: ID of this instance, which its datagrams carry.
     own_id: str
-    book: CrashBook
+    registry: CrashRegistry
     clock: Clock
     #: Returns the addresses of the other instances that serve.
     targets: Callable[[], list[Address]]
@@ -92,4 +92,4 @@
                 raise ValueError(
                     f'a crash report has {len(ends)} servers, allowed are 1 to 3'
                 )
-            self.book.heard(each.key, ends, self.clock.monotonic(), teller)
+            self.registry.heard(each.key, ends, self.clock.monotonic(), teller)
--- a/catkinslip/crashes/topic.py
+++ b/catkinslip/crashes/topic.py
@@ -6,7 +6,6 @@
 import xxhash
 from attrs import define
 
-from catkinslip.crashes.book import CrashBook
 from catkinslip.crashes.guard import CrashListener
 from catkinslip.crashes.identity import RequestKey
 from catkinslip.crashes.messages import (
@@ -15,6 +14,7 @@
     ends_from_plain,
     ends_to_plain,
 )
+from catkinslip.crashes.registry import CrashRegistry
 from catkinslip.membership.topics import PeerTopic
 
 #: Maximum number of reports to a peer, of 142 to 238 bytes each; requests with the most
@@ -26,7 +26,7 @@
 class CrashTopic(PeerTopic, CrashListener):
     """Peer topic with the servers that crashed during each suspect request."""
 
-    book: CrashBook
+    registry: CrashRegistry
     #: Returns the time of a monotonic clock, in seconds.
     monotonic: Callable[[], float]
     #: Starts an exchange with several peers at once.
@@ -41,13 +41,13 @@
         """Return a hash of all known crashes."""
         ends = sorted(
             f'{key}{sorted(each.record.query_by_server)}'
-            for key, each in self.book.suspect_by_key.items()
+            for key, each in self.registry.suspect_by_key.items()
         )
         return xxhash.xxh3_64_hexdigest('\n'.join(ends).encode())
 
     def news_for(self, digest: Any | None) -> Any | None:
         """Return the reports with most crashes for a peer whose digest differs."""
-        suspects = self.book.suspect_by_key
+        suspects = self.registry.suspect_by_key
         if not suspects or digest == self.digest():
             return None
         gravest = sorted(suspects.items(), key=lambda pair: -pair[1].servers)
@@ -61,6 +61,6 @@
         now = self.monotonic()
         try:
             for each in ends_from_plain(news):
-                self.book.heard(each.key, each.query_by_server, now, 'a peer')
+                self.registry.heard(each.key, each.query_by_server, now, 'a peer')
         except MALFORMED as error:
             raise ValueError(f'malformed crash reports: {error!r}') from None
--- a/catkinslip/metrics/crashes.py
+++ b/catkinslip/metrics/crashes.py
@@ -17,7 +17,7 @@
 
     def families(self) -> Iterable[Family]:
         """Return the measured values of now."""
-        book = self.guard.book
+        book = self.guard.registry
         events = counter(
             'catkinslip_crashes_total',
             'Servers seen to end under a request, verdicts learned, calls refused.',
--- a/catkinslip/wiring/daemon.py
+++ b/catkinslip/wiring/daemon.py
@@ -101,7 +101,7 @@
     config_topic = ConfigTopic(
         shared.config, members.own.member_id, lambda: len(members.live()) - 1
     )
-    crash_topic = CrashTopic(shared.guard.book, outside.environment.clock.monotonic)
+    crash_topic = CrashTopic(shared.guard.registry, outside.environment.clock.monotonic)
     topics = (config_topic, crash_topic, *health_topics(shared.health))
     peers = PeerExchange(
         members,
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -10,8 +10,8 @@
 from catkinslip.addresses.zonal import ZoneAddresses
 from catkinslip.config.holder import ConfigHolder
 from catkinslip.crashes.base import CrashRecord, CrashStore
-from catkinslip.crashes.book import CrashBook
 from catkinslip.crashes.guard import CrashGuard, make_guard
+from catkinslip.crashes.registry import CrashRegistry
 from catkinslip.crashes.telling import CrashTeller
 from catkinslip.discovery.answers import PeerAnswers
 from catkinslip.discovery.assembly import Assembler
@@ -152,9 +152,9 @@
         return self.assembler.is_ready and self.evacuations.is_known
 
     @property
-    def book(self) -> CrashBook:
+    def book(self) -> CrashRegistry:
         """Return what is known of requests that end servers."""
-        return self.guard.book
+        return self.guard.registry
 
     def tasks(self) -> tuple[Callable[[], Awaitable[None]], ...]:
         """Return what runs beside the requests until the instance ends."""
@@ -219,9 +219,9 @@
     directory.on_news = sharer.queue_load
     crashes = make_follower('crashes', outside.crashes)
     guard = make_guard(clock, outside.crash_store)
-    crashes.restore_listeners.append(guard.book.lost_by_store)
+    crashes.restore_listeners.append(guard.registry.lost_by_store)
     crashes.listeners.append(
-        lambda: guard.book.take_stored(crashes.value_by_name, clock.monotonic())
+        lambda: guard.registry.take_stored(crashes.value_by_name, clock.monotonic())
     )
 
     def serving_addresses() -> list[Address]:
@@ -229,7 +229,7 @@
 
     teller = CrashTeller(
         settings.own.instance_id,
-        guard.book,
+        guard.registry,
         clock,
         serving_addresses,
         sharer.send_datagram,
--- a/tests/test_clock_suspension.py
+++ b/tests/test_clock_suspension.py
@@ -20,7 +20,7 @@
 from catkinslip.store.budget import TokenBucket
 from standins.raw import RawBackend, ok
 from tests.builders import plain_call
-from tests.test_crashes_book import KEY, book_with
+from tests.test_crashes_registry import KEY, registry_with
 
 SUSPENDED_SECONDS = 10.0
 GENEROUS_SECONDS = 20.0
@@ -126,7 +126,7 @@
     def test_verdict_is_not_younger_than_it_is(self):
         async def check(machine):
             clock = SystemClock()
-            book = book_with(3)
+            book = registry_with(3)
             suspect = book.suspect_by_key[KEY]
             suspect.changed_at = clock.monotonic() - TRIAL_SECONDS[0] / 2
             judged = book.judge(KEY, 'q', clock.monotonic()).verdict
--- /dev/null
+++ b/tests/test_crashes_registry.py
@@ -0,0 +1,203 @@
+"""The registry of requests during which servers crashed, without any I/O."""
+
+import unittest
+
+from catkinslip.crashes.base import CrashRecord
+from catkinslip.crashes.identity import RequestKey
+from catkinslip.crashes.registry import (
+    LONGEST_RETRY_SECONDS,
+    MOST_SERVERS,
+    MOST_SUSPECTS,
+    CrashRegistry,
+)
+from catkinslip.crashes.suspect import (
+    SUSPECT_SECONDS,
+    TRIAL_SECONDS,
+    VERDICT_SECONDS,
+    Verdict,
+)
+
+KEY = RequestKey('t1', 'c1')
+OTHER = RequestKey('t1', 'c2')
+NOW = 1000.0
+
+
+def registry_with(ends: int, query: str = 'q') -> CrashRegistry:
+    """Return a registry in which servers crashed during one request."""
+    registry = CrashRegistry()
+    for number in range(ends):
+        registry.ended(KEY, query, f'i-{number}/1', NOW)
+    return registry
+
+
+def stored(ends: int, revision: int, trials: int = 0) -> CrashRecord:
+    """Return a record as the store holds it, with some crashed servers."""
+    return CrashRecord(
+        KEY, {f'i-{number}/1': 'q' for number in range(ends)}, trials, revision
+    )
+
+
+class VerdictTest(unittest.TestCase):
+    """Verdict on the next copy of a request."""
+
+    def verdict(self, registry, query='q', now=NOW, key=KEY):
+        return registry.judge(key, query, now).verdict
+
+    def test_few_ends_leave_one_server_and_three_none(self):
+        for ends, verdict in (
+            (0, Verdict.FREE),
+            (1, Verdict.ALONE),
+            (2, Verdict.ALONE),
+            (3, Verdict.REFUSED),
+        ):
+            self.assertEqual(self.verdict(registry_with(ends)), verdict)
+
+    def test_other_content_for_the_same_target_is_free(self):
+        self.assertEqual(self.verdict(registry_with(3), key=OTHER), Verdict.FREE)
+
+    def test_other_query_is_refused_only_where_several_ended_servers(self):
+        registry = registry_with(3)
+        self.assertEqual(self.verdict(registry, 'other'), Verdict.ALONE)
+        registry = registry_with(2)
+        registry.ended(KEY, 'other', 'i-9/1', NOW)
+        self.assertEqual(self.verdict(registry, 'third'), Verdict.REFUSED)
+
+    def test_one_end_that_is_told_often_counts_once(self):
+        registry = CrashRegistry()
+        for _ in range(5):
+            registry.ended(KEY, 'q', 'i-1/1', NOW)
+            registry.heard(KEY, {'i-1/1': 'q'}, NOW, 'edge-2')
+        self.assertEqual(self.verdict(registry), Verdict.ALONE)
+
+    def test_restarted_server_counts_again(self):
+        registry = CrashRegistry()
+        for incarnation in range(3):
+            registry.ended(KEY, 'q', f'i-1/{incarnation}', NOW)
+        self.assertEqual(self.verdict(registry), Verdict.REFUSED)
+
+    def test_answer_clears_what_was_chance(self):
+        registry = registry_with(2)
+        registry.answered(KEY, 'q')
+        self.assertEqual(self.verdict(registry), Verdict.FREE)
+        self.assertFalse(registry.count_by_target)
+
+    def test_answer_to_a_copy_that_was_under_way_ends_a_verdict(self):
+        registry = registry_with(3)
+        self.assertEqual(self.verdict(registry), Verdict.REFUSED)
+        registry.answered(KEY, 'q')
+        self.assertEqual(self.verdict(registry), Verdict.FREE)
+
+    def test_answer_to_another_query_clears_nothing(self):
+        registry = registry_with(2)
+        registry.answered(KEY, 'other')
+        registry.ended(KEY, 'q', 'i-9/1', NOW)
+        self.assertEqual(self.verdict(registry), Verdict.REFUSED)
+
+    def test_trials_are_two_and_then_none(self):
+        registry = registry_with(3)
+        now = NOW
+        for trials, seconds in enumerate(TRIAL_SECONDS):
+            self.assertEqual(registry.judge(KEY, 'q', now).retry_after, seconds)
+            now += seconds
+            self.assertEqual(self.verdict(registry, now=now), Verdict.TRIAL)
+            registry.saved(stored(3, revision=trials + 1, trials=trials + 1), now)
+            self.assertEqual(self.verdict(registry, now=now), Verdict.REFUSED)
+        last = registry.judge(KEY, 'q', now + 1e6)
+        self.assertEqual(last.verdict, Verdict.REFUSED)
+        self.assertEqual(last.retry_after, LONGEST_RETRY_SECONDS)
+
+
+class StoreTest(unittest.TestCase):
+    """Changes that the registry reads from the store and writes to it."""
+
+    def test_first_end_is_not_stored_and_the_second_is(self):
+        registry = registry_with(1)
+        self.assertEqual(registry.to_save(), [])
+        registry.ended(KEY, 'q', 'i-1/1', NOW)
+        self.assertEqual(len(registry.to_save()), 1)
+        registry.saved(stored(2, revision=5), NOW)
+        self.assertEqual(registry.to_save(), [])
+
+    def test_gravest_is_stored_first(self):
+        registry = registry_with(3)
+        for number in range(2):
+            registry.ended(OTHER, 'q', f'i-{number}/1', NOW)
+        keys = [suspect.record.key for suspect in registry.to_save()]
+        self.assertEqual(keys, [KEY, OTHER])
+
+    def test_records_of_the_store_hold_at_once(self):
+        registry = CrashRegistry()
+        registry.take_stored({'a': stored(3, revision=4)}, NOW)
+        self.assertEqual(registry.judge(KEY, 'q', NOW).verdict, Verdict.REFUSED)
+
+    def test_older_record_does_not_bring_back_a_trial(self):
+        registry = CrashRegistry()
+        registry.take_record(stored(3, revision=7, trials=2), NOW)
+        registry.take_record(stored(3, revision=4, trials=0), NOW)
+        self.assertEqual(registry.judge(KEY, 'q', NOW + 1e5).verdict, Verdict.REFUSED)
+
+    def test_removed_record_is_forgotten_but_for_newer_ends(self):
+        registry = CrashRegistry()
+        registry.take_stored({'a': stored(3, revision=4)}, NOW)
+        registry.ended(KEY, 'q', 'i-9/1', NOW)
+        registry.take_stored({}, NOW)
+        self.assertEqual(registry.judge(KEY, 'q', NOW).verdict, Verdict.ALONE)
+
+    def test_look_at_the_store_of_before_the_write_removes_nothing(self):
+        registry = registry_with(3)
+        registry.saved(stored(3, revision=9), NOW)
+        registry.take_stored({}, NOW)
+        self.assertEqual(registry.judge(KEY, 'q', NOW).verdict, Verdict.REFUSED)
+        registry.take_stored({'a': stored(3, revision=9)}, NOW)
+        registry.take_stored({}, NOW)
+        self.assertEqual(registry.judge(KEY, 'q', NOW).verdict, Verdict.FREE)
+
+    def test_end_that_is_not_stored_yet_outlives_a_record_without_it(self):
+        registry = registry_with(2)
+        registry.ended(KEY, 'q', 'i-9/1', NOW)
+        registry.take_record(stored(2, revision=4), NOW)
+        self.assertEqual(registry.judge(KEY, 'q', NOW).verdict, Verdict.REFUSED)
+
+    def test_answer_to_a_stored_one_is_told_to_the_store(self):
+        registry = CrashRegistry()
+        registry.take_stored({'a': stored(2, revision=4)}, NOW)
+        registry.answered(KEY, 'q')
+        (suspect,) = registry.to_save()
+        self.assertFalse(suspect.record.query_by_server)
+        registry.deleted(KEY)
+        self.assertEqual(registry.judge(KEY, 'q', NOW).verdict, Verdict.FREE)
+
+
+class MemoryTest(unittest.TestCase):
+    """Bounds of the registry, and expiry of its suspects."""
+
+    def test_suspects_and_servers_are_bounded_and_the_gravest_stay(self):
+        registry = registry_with(3)
+        for number in range(MOST_SUSPECTS + 10):
+            registry.ended(RequestKey(f'c{number}', 'd'), 'q', 'i-1/1', NOW)
+        self.assertEqual(len(registry.suspect_by_key), MOST_SUSPECTS)
+        self.assertEqual(len(registry.count_by_target), MOST_SUSPECTS)
+        self.assertEqual(registry.judge(KEY, 'q', NOW).verdict, Verdict.REFUSED)
+        registry = registry_with(MOST_SERVERS + 5)
+        self.assertEqual(registry.suspect_by_key[KEY].servers, MOST_SERVERS)
+
+    def test_suspicion_and_verdict_end_after_their_time_without_the_request(self):
+        for ends, seconds in ((2, SUSPECT_SECONDS), (3, VERDICT_SECONDS)):
+            registry = registry_with(ends)
+            self.assertEqual(registry.forget_old(NOW + seconds - 1), [])
+            self.assertTrue(registry.suspect_by_key)
+            registry.forget_old(NOW + seconds + 1)
+            self.assertFalse(registry.suspect_by_key)
+
+    def test_request_that_keeps_coming_stays_refused(self):
+        registry = registry_with(3)
+        registry.judge(KEY, 'q', NOW + VERDICT_SECONDS)
+        registry.forget_old(NOW + VERDICT_SECONDS + 1)
+        self.assertTrue(registry.suspect_by_key)
+
+    def test_stored_one_is_to_be_deleted_there_first(self):
+        registry = CrashRegistry()
+        registry.take_stored({'a': stored(3, revision=4)}, NOW)
+        (record,) = registry.forget_old(NOW + VERDICT_SECONDS + 1)
+        self.assertEqual(record.key, KEY)
+        self.assertTrue(registry.suspect_by_key)
--- a/tests/test_crashes_sharing.py
+++ b/tests/test_crashes_sharing.py
@@ -7,18 +7,18 @@
 
 from catkinslip.clock import SystemClock
 from catkinslip.crashes.base import CrashRecord
-from catkinslip.crashes.book import MOST_SERVERS, CrashBook
 from catkinslip.crashes.guard import UNGRANTED_SECONDS, CrashGuard
 from catkinslip.crashes.identity import RequestKey, key_of, query_of
 from catkinslip.crashes.keeper import CrashKeeper
 from catkinslip.crashes.objects import ObjectCrashes, record_from_plain, record_to_plain
+from catkinslip.crashes.registry import MOST_SERVERS, CrashRegistry
 from catkinslip.crashes.suspect import Verdict
 from catkinslip.crashes.telling import CrashTeller
 from catkinslip.crashes.topic import MOST_TOLD, CrashTopic
 from catkinslip.store.base import Conflict
 from catkinslip.store.embedded import EmbeddedStore
 from tests.builders import plain_call
-from tests.test_crashes_book import KEY, NOW, book_with
+from tests.test_crashes_registry import KEY, NOW, registry_with
 
 MALFORMED_ENDS = (
     None,
@@ -33,41 +33,41 @@
 class TopicTest(unittest.TestCase):
     """Crash reports in the product's own peer exchange, each sent once."""
 
-    def topic(self, book: CrashBook) -> CrashTopic:
-        return CrashTopic(book, lambda: NOW)
+    def topic(self, registry: CrashRegistry) -> CrashTopic:
+        return CrashTopic(registry, lambda: NOW)
 
     def test_peer_learns_and_then_there_is_nothing_new(self):
-        one, two = self.topic(book_with(3)), self.topic(CrashBook())
+        one, two = self.topic(registry_with(3)), self.topic(CrashRegistry())
         two.receive(one.news_for(two.digest()))
-        self.assertEqual(two.book.judge(KEY, 'q', NOW).verdict, Verdict.REFUSED)
+        self.assertEqual(two.registry.judge(KEY, 'q', NOW).verdict, Verdict.REFUSED)
         self.assertIsNone(one.news_for(two.digest()))
         self.assertIsNone(two.news_for(one.digest()))
 
     def test_gravest_are_told_and_their_number_is_bounded(self):
-        book = book_with(3)
+        registry = registry_with(3)
         for number in range(3 * MOST_TOLD):
-            book.ended(RequestKey(f't{number}', 'c'), 'q', 'i-1/1', NOW)
-        news = self.topic(book).news_for(None)
+            registry.ended(RequestKey(f't{number}', 'c'), 'q', 'i-1/1', NOW)
+        news = self.topic(registry).news_for(None)
         self.assertEqual(len(news), MOST_TOLD)
         self.assertEqual(news[0][:2], [KEY.target, KEY.content])
 
     def test_malformed_news_are_refused(self):
         for news in MALFORMED_ENDS:
             with self.assertRaises(ValueError):
-                self.topic(CrashBook()).receive(news)
+                self.topic(CrashRegistry()).receive(news)
 
 
 class DatagramTest(unittest.TestCase):
     """Datagrams with crash reports between instances on the platform."""
 
-    def teller(self, book: CrashBook, posted: list) -> CrashTeller:
+    def teller(self, registry: CrashRegistry, posted: list) -> CrashTeller:
         return CrashTeller(
-            'edge-1', book, SystemClock(), list, lambda data, _: posted.append(data)
+            'edge-1', registry, SystemClock(), list, lambda data, _: posted.append(data)
         )
 
     def test_each_end_goes_out_twice_and_fits_a_packet(self):
         posted: list[bytes] = []
-        teller = self.teller(CrashBook(), posted)
+        teller = self.teller(CrashRegistry(), posted)
 
         async def run():
             for number in range(20):
@@ -82,7 +82,7 @@
         self.assertLess(max(map(len, posted)), 1472)
 
     def test_malformed_datagrams_are_refused(self):
-        teller = self.teller(CrashBook(), [])
+        teller = self.teller(CrashRegistry(), [])
         servers = {f'i-{number}': 'q' for number in range(MOST_SERVERS)}
         for told in (
             {},
@@ -135,8 +135,10 @@
         guard, call = CrashGuard(clock), plain_call('limits')
         for number in range(3):
             server = f'i-{number}/1'
-            guard.book.ended(key_of(call), query_of(call), server, clock.monotonic())
-        guard.book.suspect_by_key[key_of(call)].changed_at -= 1000.0
+            guard.registry.ended(
+                key_of(call), query_of(call), server, clock.monotonic()
+            )
+        guard.registry.suspect_by_key[key_of(call)].changed_at -= 1000.0
         return guard, call
 
     def test_without_a_store_there_is_none(self):
@@ -149,7 +151,7 @@
         granted = []
         for _ in range(2):
             guard, call = self.guilty_guard()
-            guard.keeper = CrashKeeper(guard.book, store, guard.clock)
+            guard.keeper = CrashKeeper(guard.registry, store, guard.clock)
             granted.append(trio.run(guard.refuse, call) is None)
         self.assertEqual(granted, [True, False])
         self.assertEqual(call.max_attempts, None)
--- a/tests/test_discovery_restored.py
+++ b/tests/test_discovery_restored.py
@@ -7,7 +7,7 @@
 import trio.testing
 from attrs import Factory, define, evolve
 
-from catkinslip.crashes.book import CrashBook
+from catkinslip.crashes.registry import CrashRegistry
 from catkinslip.crashes.suspect import Verdict
 from catkinslip.discovery.assembly import LAPSE_GRACE_SECONDS, Assembler
 from catkinslip.discovery.base import BackendEntry, Listing, News
@@ -22,7 +22,7 @@
     news,
     rule_set,
 )
-from tests.test_crashes_book import KEY, NOW, book_with, stored
+from tests.test_crashes_registry import KEY, NOW, registry_with, stored
 from tests.test_discovery_assembly import run, started
 from tests.test_discovery_follower import follow
 
@@ -202,7 +202,7 @@
         run(check)
 
     def test_verdict_that_the_copy_lacks_stands_and_is_written_again(self):
-        book = book_with(0)
+        book = registry_with(0)
         book.take_stored({'a': stored(3, at(1, 71))}, NOW)
         book.lost_by_store()
         book.take_stored({}, NOW)
@@ -210,7 +210,7 @@
         self.assertEqual([it.record.revision for it in book.to_save()], [0])
 
     def test_trials_that_the_copy_lacks_are_not_given_again(self):
-        book = CrashBook()
+        book = CrashRegistry()
         book.take_stored({'a': stored(3, at(1, 71), trials=2)}, NOW)
         book.lost_by_store()
         book.take_stored({'a': stored(3, at(2, 60), trials=1)}, NOW)
