--- a/catkinslip/crashes/guard.py
+++ b/catkinslip/crashes/guard.py
@@ -127,7 +127,7 @@
     def _count(self, broken: BrokenRequest) -> int:
         """Record a crash and notify the listeners; return the number of crashes."""
         key, now = broken.key, self.clock.monotonic()
-        servers = self.registry.ended(
+        servers = self.registry.record_crash(
             key, broken.query, broken.server, now, is_cold=broken.is_cold
         )
         known = self.registry.suspect_by_key[key].record.query_by_server
@@ -135,10 +135,10 @@
             listener.saw_end(key, known)
         return servers
 
-    def answered(self, call: Call) -> None:
+    def record_answer(self, call: Call) -> None:
         """Record that a server ran a call and answered it."""
         if self._may_know(call):
-            self.registry.answered(key_of(call), query_of(call))
+            self.registry.record_answer(key_of(call), query_of(call))
 
 
 def make_guard(clock: Clock, store: CrashStore) -> CrashGuard:
--- a/catkinslip/crashes/keeper.py
+++ b/catkinslip/crashes/keeper.py
@@ -37,10 +37,10 @@
     async def run(self) -> None:
         """Write changed records and delete expired ones until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._forget_old)
+            nursery.start_soon(self._remove_expired)
             while True:
                 await self.registry.has_unsaved.wait()
-                for suspect in self.registry.to_save():
+                for suspect in self.registry.list_unsaved():
                     await self._save(suspect)
                     await trio.sleep(SAVE_SECONDS)
 
@@ -53,7 +53,7 @@
         with trio.move_on_after(TRIAL_ANSWER_SECONDS):
             match await self.store.write(record):
                 case Success(stored):
-                    self.registry.saved(stored, self.clock.monotonic())
+                    self.registry.mark_saved(stored, self.clock.monotonic())
                     log.info(
                         'crashes: trial granted, one more server may run a request. '
                         'request=%s servers=%d trial=%d',
@@ -77,7 +77,7 @@
             return
         match await self.store.write(record):
             case Success(stored):
-                self.registry.saved(stored, self.clock.monotonic())
+                self.registry.mark_saved(stored, self.clock.monotonic())
             case Failure(Conflict()):
                 await self._read(record.key)
             case Failure(error):
@@ -92,16 +92,16 @@
         """Apply the record that another instance wrote in the meantime."""
         match await self.store.read(key):
             case Success(CrashRecord() as record):
-                self.registry.reread(record, self.clock.monotonic())
+                self.registry.apply_conflicting_record(record, self.clock.monotonic())
             case Success(None):
-                self.registry.deleted(key)
+                self.registry.mark_deleted(key)
             case Failure(error):
                 log.warning('crashes: record not read. request=%s error=%s', key, error)
 
     async def _delete(self, record: CrashRecord) -> None:
         match await self.store.delete(record):
             case Success(_):
-                self.registry.deleted(record.key)
+                self.registry.mark_deleted(record.key)
             case Failure(Conflict()):
                 await self._read(record.key)
             case Failure(error):
@@ -112,8 +112,8 @@
                 )
                 await trio.sleep(RETRY_SECONDS)
 
-    async def _forget_old(self) -> None:
+    async def _remove_expired(self) -> None:
         while True:
             await trio.sleep(FORGET_SECONDS)
-            for record in self.registry.forget_old(self.clock.monotonic()):
+            for record in self.registry.remove_expired(self.clock.monotonic()):
                 await self._delete(record)
--- a/catkinslip/crashes/registry.py
+++ b/catkinslip/crashes/registry.py
@@ -77,7 +77,7 @@
             return Judgement(Verdict.TRIAL)
         return Judgement(Verdict.REFUSED, trial_at - now)
 
-    def ended(
+    def record_crash(
         self,
         key: RequestKey,
         query: str,
@@ -95,17 +95,17 @@
             self.has_unsaved.set()
         return suspect.servers
 
-    def heard(
+    def apply_peer_report(
         self,
         key: RequestKey,
         query_by_server: Mapping[str, str],
         now: float,
-        teller: str,
+        peer: str,
     ) -> None:
         """Apply a peer's report of the servers that crashed during a request."""
-        self._add(key, query_by_server, now, f'reported by {teller}')
+        self._add(key, query_by_server, now, f'reported by {peer}')
 
-    def answered(self, key: RequestKey, query: str) -> None:
+    def record_answer(self, key: RequestKey, query: str) -> None:
         """Record an answer to a request, so that crashes with its query are dropped."""
         suspect = self.suspect_by_key.get(key)
         if suspect is None or query not in suspect.record.query_by_server.values():
@@ -123,7 +123,7 @@
         elif not kept:
             self._forget(key)
 
-    def take_stored(self, stored: Mapping[str, CrashRecord], now: float) -> None:
+    def apply_listing(self, stored: Mapping[str, CrashRecord], now: float) -> None:
         """Apply a listing of all records that the store holds, by name."""
         keys = {record.key for record in stored.values()}
         # Keeps records that the last listing lacked: they may have been written after
@@ -134,9 +134,9 @@
                 self._take_removal(suspect)
         self.stored_keys = keys
         for record in stored.values():
-            self.take_record(record, now)
+            self.apply_record(record, now)
 
-    def lost_by_store(self) -> None:
+    def mark_records_unsaved(self) -> None:
         """Mark all stored records as unsaved, as the store may have lost them."""
         self.stored_keys = set()
         for suspect in self.suspect_by_key.values():
@@ -146,7 +146,7 @@
                 suspect.must_save = True
                 self.has_unsaved.set()
 
-    def take_record(self, record: CrashRecord, now: float) -> None:
+    def apply_record(self, record: CrashRecord, now: float) -> None:
         """Apply a record of the store unless its revision is known already."""
         suspect = self.suspect_by_key.get(record.key)
         if suspect is None:
@@ -167,35 +167,35 @@
             suspect.changed_at = now
         self._note_verdict(known, suspect, f'stored at revision {record.revision}')
 
-    def reread(self, record: CrashRecord, now: float) -> None:
+    def apply_conflicting_record(self, record: CrashRecord, now: float) -> None:
         """Apply the record that the store holds after a conflict on a write."""
-        self.take_record(record, now)
+        self.apply_record(record, now)
         suspect = self.suspect_by_key.get(record.key)
         if suspect is not None:
             suspect.must_save = bool(suspect.unsaved)
 
-    def saved(self, record: CrashRecord, now: float) -> None:
+    def mark_saved(self, record: CrashRecord, now: float) -> None:
         """Mark a record as saved, with the revision that the store returned."""
         suspect = self.suspect_by_key.get(record.key)
         if suspect is not None:
             suspect.must_save = False
-            self.take_record(record, now)
+            self.apply_record(record, now)
 
-    def deleted(self, key: RequestKey) -> None:
+    def mark_deleted(self, key: RequestKey) -> None:
         """Mark the record of a request as deleted from the store."""
         suspect = self.suspect_by_key.get(key)
         if suspect is not None:
             suspect.must_save = False
             self._take_removal(suspect)
 
-    def to_save(self) -> list[Suspect]:
+    def list_unsaved(self) -> list[Suspect]:
         """Return the suspects to write to the store, those with most servers first."""
         waiting = [each for each in self.suspect_by_key.values() if each.must_save]
         if not waiting:
             self.has_unsaved = trio.Event()
         return sorted(waiting, key=lambda each: -each.servers)
 
-    def forget_old(self, now: float) -> list[CrashRecord]:
+    def remove_expired(self, now: float) -> list[CrashRecord]:
         """Remove expired unstored suspects; return the expired records of the store."""
         old = [
             suspect
@@ -216,7 +216,7 @@
     ) -> Suspect:
         suspect = self.suspect_by_key.get(key) or self._new(key, now)
         known = suspect.record.query_by_server
-        new = list(news_of(known, query_by_server))
+        new = list(new_servers(known, query_by_server))
         if new:
             before = suspect.record
             suspect.unsaved.update(new)
@@ -271,8 +271,8 @@
             del self.count_by_target[key.target]
 
 
-def news_of(
-    known: Mapping[str, str], told: Mapping[str, str]
+def new_servers(
+    known: Mapping[str, str], reported: Mapping[str, str]
 ) -> Iterator[tuple[str, str]]:
     """Yield the reported servers that are new, up to the maximum for a request.
 
@@ -280,8 +280,8 @@
     decide the verdict.
     """
     for is_cold, most in ((False, MOST_SERVERS), (True, MOST_COLD_SERVERS)):
-        of_kind = [it for it in told if is_cold != bool(count_ends([it]))]
+        of_kind = [it for it in reported if is_cold != bool(count_ends([it]))]
         ends = count_ends(known)
         held = len(known) - ends if is_cold else ends
         new = [server for server in of_kind if server not in known]
-        yield from ((server, told[server]) for server in new[: most - held])
+        yield from ((server, reported[server]) for server in new[: most - held])
--- a/catkinslip/crashes/telling.py
+++ b/catkinslip/crashes/telling.py
@@ -92,4 +92,6 @@
                 raise ValueError(
                     f'a crash report has {len(ends)} servers, allowed are 1 to 3'
                 )
-            self.registry.heard(each.key, ends, self.clock.monotonic(), teller)
+            self.registry.apply_peer_report(
+                each.key, ends, self.clock.monotonic(), teller
+            )
--- a/catkinslip/crashes/topic.py
+++ b/catkinslip/crashes/topic.py
@@ -61,6 +61,8 @@
         now = self.monotonic()
         try:
             for each in ends_from_plain(news):
-                self.registry.heard(each.key, each.query_by_server, now, 'a peer')
+                self.registry.apply_peer_report(
+                    each.key, each.query_by_server, now, 'a peer'
+                )
         except MALFORMED as error:
             raise ValueError(f'malformed crash reports: {error!r}') from None
--- a/catkinslip/crashes/unseen.py
+++ b/catkinslip/crashes/unseen.py
@@ -95,10 +95,10 @@
             server, gone_at = self.gone_by_place.pop(place, ('', now))
             if server and now - gone_at <= SUSPICIOUS_SECONDS:
                 ended.append(server)
-        self._forget_old(now)
+        self._remove_expired(now)
         return ended
 
-    def _forget_old(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         for place, (_, gone_at) in list(self.gone_by_place.items()):
             if now - gone_at > SUSPICIOUS_SECONDS:
                 del self.gone_by_place[place]
--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -315,7 +315,7 @@
                 await self._give_up(other)
         outcome = await launch.attempt.pass_on(head)
         if isinstance(outcome, Answered) and outcome.status not in SERVER_ERRORS:
-            self.guard.answered(self.call)
+            self.guard.record_answer(self.call)
         elif launch.attempt.broken is not None:
             await self._examine(launch)
         self._finish(launch, outcome)
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -219,9 +219,9 @@
     directory.on_news = sharer.queue_load
     crashes = make_follower('crashes', outside.crashes)
     guard = make_guard(clock, outside.crash_store)
-    crashes.restore_listeners.append(guard.registry.lost_by_store)
+    crashes.restore_listeners.append(guard.registry.mark_records_unsaved)
     crashes.listeners.append(
-        lambda: guard.registry.take_stored(crashes.value_by_name, clock.monotonic())
+        lambda: guard.registry.apply_listing(crashes.value_by_name, clock.monotonic())
     )
 
     def serving_addresses() -> list[Address]:
--- a/tests/test_crashes_registry.py
+++ b/tests/test_crashes_registry.py
@@ -26,7 +26,7 @@
     """Return a registry in which servers crashed during one request."""
     registry = CrashRegistry()
     for number in range(ends):
-        registry.ended(KEY, query, f'i-{number}/1', NOW)
+        registry.record_crash(KEY, query, f'i-{number}/1', NOW)
     return registry
 
 
@@ -59,38 +59,38 @@
         registry = registry_with(3)
         self.assertEqual(self.verdict(registry, 'other'), Verdict.ALONE)
         registry = registry_with(2)
-        registry.ended(KEY, 'other', 'i-9/1', NOW)
+        registry.record_crash(KEY, 'other', 'i-9/1', NOW)
         self.assertEqual(self.verdict(registry, 'third'), Verdict.REFUSED)
 
     def test_one_end_that_is_told_often_counts_once(self):
         registry = CrashRegistry()
         for _ in range(5):
-            registry.ended(KEY, 'q', 'i-1/1', NOW)
-            registry.heard(KEY, {'i-1/1': 'q'}, NOW, 'edge-2')
+            registry.record_crash(KEY, 'q', 'i-1/1', NOW)
+            registry.apply_peer_report(KEY, {'i-1/1': 'q'}, NOW, 'edge-2')
         self.assertEqual(self.verdict(registry), Verdict.ALONE)
 
     def test_restarted_server_counts_again(self):
         registry = CrashRegistry()
         for incarnation in range(3):
-            registry.ended(KEY, 'q', f'i-1/{incarnation}', NOW)
+            registry.record_crash(KEY, 'q', f'i-1/{incarnation}', NOW)
         self.assertEqual(self.verdict(registry), Verdict.REFUSED)
 
     def test_answer_clears_what_was_chance(self):
         registry = registry_with(2)
-        registry.answered(KEY, 'q')
+        registry.record_answer(KEY, 'q')
         self.assertEqual(self.verdict(registry), Verdict.FREE)
         self.assertFalse(registry.count_by_target)
 
     def test_answer_to_a_copy_that_was_under_way_ends_a_verdict(self):
         registry = registry_with(3)
         self.assertEqual(self.verdict(registry), Verdict.REFUSED)
-        registry.answered(KEY, 'q')
+        registry.record_answer(KEY, 'q')
         self.assertEqual(self.verdict(registry), Verdict.FREE)
 
     def test_answer_to_another_query_clears_nothing(self):
         registry = registry_with(2)
-        registry.answered(KEY, 'other')
-        registry.ended(KEY, 'q', 'i-9/1', NOW)
+        registry.record_answer(KEY, 'other')
+        registry.record_crash(KEY, 'q', 'i-9/1', NOW)
         self.assertEqual(self.verdict(registry), Verdict.REFUSED)
 
     def test_trials_are_two_and_then_none(self):
@@ -100,7 +100,7 @@
             self.assertEqual(registry.judge(KEY, 'q', now).retry_after, seconds)
             now += seconds
             self.assertEqual(self.verdict(registry, now=now), Verdict.TRIAL)
-            registry.saved(stored(3, revision=trials + 1, trials=trials + 1), now)
+            registry.mark_saved(stored(3, revision=trials + 1, trials=trials + 1), now)
             self.assertEqual(self.verdict(registry, now=now), Verdict.REFUSED)
         last = registry.judge(KEY, 'q', now + 1e6)
         self.assertEqual(last.verdict, Verdict.REFUSED)
@@ -112,59 +112,59 @@
 
     def test_first_end_is_not_stored_and_the_second_is(self):
         registry = registry_with(1)
-        self.assertEqual(registry.to_save(), [])
-        registry.ended(KEY, 'q', 'i-1/1', NOW)
-        self.assertEqual(len(registry.to_save()), 1)
-        registry.saved(stored(2, revision=5), NOW)
-        self.assertEqual(registry.to_save(), [])
+        self.assertEqual(registry.list_unsaved(), [])
+        registry.record_crash(KEY, 'q', 'i-1/1', NOW)
+        self.assertEqual(len(registry.list_unsaved()), 1)
+        registry.mark_saved(stored(2, revision=5), NOW)
+        self.assertEqual(registry.list_unsaved(), [])
 
     def test_gravest_is_stored_first(self):
         registry = registry_with(3)
         for number in range(2):
-            registry.ended(OTHER, 'q', f'i-{number}/1', NOW)
-        keys = [suspect.record.key for suspect in registry.to_save()]
+            registry.record_crash(OTHER, 'q', f'i-{number}/1', NOW)
+        keys = [suspect.record.key for suspect in registry.list_unsaved()]
         self.assertEqual(keys, [KEY, OTHER])
 
     def test_records_of_the_store_hold_at_once(self):
         registry = CrashRegistry()
-        registry.take_stored({'a': stored(3, revision=4)}, NOW)
+        registry.apply_listing({'a': stored(3, revision=4)}, NOW)
         self.assertEqual(registry.judge(KEY, 'q', NOW).verdict, Verdict.REFUSED)
 
     def test_older_record_does_not_bring_back_a_trial(self):
         registry = CrashRegistry()
-        registry.take_record(stored(3, revision=7, trials=2), NOW)
-        registry.take_record(stored(3, revision=4, trials=0), NOW)
+        registry.apply_record(stored(3, revision=7, trials=2), NOW)
+        registry.apply_record(stored(3, revision=4, trials=0), NOW)
         self.assertEqual(registry.judge(KEY, 'q', NOW + 1e5).verdict, Verdict.REFUSED)
 
     def test_removed_record_is_forgotten_but_for_newer_ends(self):
         registry = CrashRegistry()
-        registry.take_stored({'a': stored(3, revision=4)}, NOW)
-        registry.ended(KEY, 'q', 'i-9/1', NOW)
-        registry.take_stored({}, NOW)
+        registry.apply_listing({'a': stored(3, revision=4)}, NOW)
+        registry.record_crash(KEY, 'q', 'i-9/1', NOW)
+        registry.apply_listing({}, NOW)
         self.assertEqual(registry.judge(KEY, 'q', NOW).verdict, Verdict.ALONE)
 
     def test_look_at_the_store_of_before_the_write_removes_nothing(self):
         registry = registry_with(3)
-        registry.saved(stored(3, revision=9), NOW)
-        registry.take_stored({}, NOW)
+        registry.mark_saved(stored(3, revision=9), NOW)
+        registry.apply_listing({}, NOW)
         self.assertEqual(registry.judge(KEY, 'q', NOW).verdict, Verdict.REFUSED)
-        registry.take_stored({'a': stored(3, revision=9)}, NOW)
-        registry.take_stored({}, NOW)
+        registry.apply_listing({'a': stored(3, revision=9)}, NOW)
+        registry.apply_listing({}, NOW)
         self.assertEqual(registry.judge(KEY, 'q', NOW).verdict, Verdict.FREE)
 
     def test_end_that_is_not_stored_yet_outlives_a_record_without_it(self):
         registry = registry_with(2)
-        registry.ended(KEY, 'q', 'i-9/1', NOW)
-        registry.take_record(stored(2, revision=4), NOW)
+        registry.record_crash(KEY, 'q', 'i-9/1', NOW)
+        registry.apply_record(stored(2, revision=4), NOW)
         self.assertEqual(registry.judge(KEY, 'q', NOW).verdict, Verdict.REFUSED)
 
     def test_answer_to_a_stored_one_is_told_to_the_store(self):
         registry = CrashRegistry()
-        registry.take_stored({'a': stored(2, revision=4)}, NOW)
-        registry.answered(KEY, 'q')
-        (suspect,) = registry.to_save()
+        registry.apply_listing({'a': stored(2, revision=4)}, NOW)
+        registry.record_answer(KEY, 'q')
+        (suspect,) = registry.list_unsaved()
         self.assertFalse(suspect.record.query_by_server)
-        registry.deleted(KEY)
+        registry.mark_deleted(KEY)
         self.assertEqual(registry.judge(KEY, 'q', NOW).verdict, Verdict.FREE)
 
 
@@ -174,7 +174,7 @@
     def test_suspects_and_servers_are_bounded_and_the_gravest_stay(self):
         registry = registry_with(3)
         for number in range(MOST_SUSPECTS + 10):
-            registry.ended(RequestKey(f'c{number}', 'd'), 'q', 'i-1/1', NOW)
+            registry.record_crash(RequestKey(f'c{number}', 'd'), 'q', 'i-1/1', NOW)
         self.assertEqual(len(registry.suspect_by_key), MOST_SUSPECTS)
         self.assertEqual(len(registry.count_by_target), MOST_SUSPECTS)
         self.assertEqual(registry.judge(KEY, 'q', NOW).verdict, Verdict.REFUSED)
@@ -184,20 +184,20 @@
     def test_suspicion_and_verdict_end_after_their_time_without_the_request(self):
         for ends, seconds in ((2, SUSPECT_SECONDS), (3, VERDICT_SECONDS)):
             registry = registry_with(ends)
-            self.assertEqual(registry.forget_old(NOW + seconds - 1), [])
+            self.assertEqual(registry.remove_expired(NOW + seconds - 1), [])
             self.assertTrue(registry.suspect_by_key)
-            registry.forget_old(NOW + seconds + 1)
+            registry.remove_expired(NOW + seconds + 1)
             self.assertFalse(registry.suspect_by_key)
 
     def test_request_that_keeps_coming_stays_refused(self):
         registry = registry_with(3)
         registry.judge(KEY, 'q', NOW + VERDICT_SECONDS)
-        registry.forget_old(NOW + VERDICT_SECONDS + 1)
+        registry.remove_expired(NOW + VERDICT_SECONDS + 1)
         self.assertTrue(registry.suspect_by_key)
 
     def test_stored_one_is_to_be_deleted_there_first(self):
         registry = CrashRegistry()
-        registry.take_stored({'a': stored(3, revision=4)}, NOW)
-        (record,) = registry.forget_old(NOW + VERDICT_SECONDS + 1)
+        registry.apply_listing({'a': stored(3, revision=4)}, NOW)
+        (record,) = registry.remove_expired(NOW + VERDICT_SECONDS + 1)
         self.assertEqual(record.key, KEY)
         self.assertTrue(registry.suspect_by_key)
--- a/tests/test_crashes_sharing.py
+++ b/tests/test_crashes_sharing.py
@@ -46,7 +46,7 @@
     def test_gravest_are_told_and_their_number_is_bounded(self):
         registry = registry_with(3)
         for number in range(3 * MOST_TOLD):
-            registry.ended(RequestKey(f't{number}', 'c'), 'q', 'i-1/1', NOW)
+            registry.record_crash(RequestKey(f't{number}', 'c'), 'q', 'i-1/1', NOW)
         news = self.topic(registry).news_for(None)
         self.assertEqual(len(news), MOST_TOLD)
         self.assertEqual(news[0][:2], [KEY.target, KEY.content])
@@ -135,7 +135,7 @@
         guard, call = CrashGuard(clock), plain_call('limits')
         for number in range(3):
             server = f'i-{number}/1'
-            guard.registry.ended(
+            guard.registry.record_crash(
                 key_of(call), query_of(call), server, clock.monotonic()
             )
         guard.registry.suspect_by_key[key_of(call)].changed_at -= 1000.0
--- a/tests/test_discovery_restored.py
+++ b/tests/test_discovery_restored.py
@@ -203,17 +203,17 @@
 
     def test_verdict_that_the_copy_lacks_stands_and_is_written_again(self):
         book = registry_with(0)
-        book.take_stored({'a': stored(3, at(1, 71))}, NOW)
-        book.lost_by_store()
-        book.take_stored({}, NOW)
+        book.apply_listing({'a': stored(3, at(1, 71))}, NOW)
+        book.mark_records_unsaved()
+        book.apply_listing({}, NOW)
         self.assertEqual(book.judge(KEY, 'q', NOW).verdict, Verdict.REFUSED)
-        self.assertEqual([it.record.revision for it in book.to_save()], [0])
+        self.assertEqual([it.record.revision for it in book.list_unsaved()], [0])
 
     def test_trials_that_the_copy_lacks_are_not_given_again(self):
         book = CrashRegistry()
-        book.take_stored({'a': stored(3, at(1, 71), trials=2)}, NOW)
-        book.lost_by_store()
-        book.take_stored({'a': stored(3, at(2, 60), trials=1)}, NOW)
+        book.apply_listing({'a': stored(3, at(1, 71), trials=2)}, NOW)
+        book.mark_records_unsaved()
+        book.apply_listing({'a': stored(3, at(2, 60), trials=1)}, NOW)
         self.assertEqual(book.suspect_by_key[KEY].record.trials, 2)
         self.assertEqual(book.suspect_by_key[KEY].record.revision, at(2, 60))
 
