--- a/catkinslip/crashes/guard.py
+++ b/catkinslip/crashes/guard.py
@@ -12,7 +12,7 @@
 from catkinslip.crashes.identity import RequestKey, key_of, query_of, target_of
 from catkinslip.crashes.keeper import CrashKeeper
 from catkinslip.crashes.registry import CrashRegistry
-from catkinslip.crashes.suspect import Judgement, Verdict
+from catkinslip.crashes.suspect import Decision, Verdict
 from catkinslip.crashes.unseen import BrokenRequest, BrokenRequests, StartWatch
 from catkinslip.models import Address
 from catkinslip.proxy.calls import Call
@@ -65,25 +65,25 @@
         if not self._may_know(call):
             return None
         key = key_of(call)
-        judgement = self.registry.judge(key, query_of(call), self.clock.monotonic())
-        call.is_suspect = judgement.verdict is not Verdict.FREE
-        if judgement.verdict in (Verdict.FREE, Verdict.ALONE):
+        decision = self.registry.decide(key, query_of(call), self.clock.monotonic())
+        call.is_suspect = decision.verdict is not Verdict.FREE
+        if decision.verdict in (Verdict.FREE, Verdict.ALONE):
             return None
-        if judgement.verdict is Verdict.TRIAL:
+        if decision.verdict is Verdict.TRIAL:
             if self.keeper is not None and await self.keeper.grant_trial(key):
                 # A server that sheds the trial counts as one that it reached, too.
                 call.max_attempts = 1
                 return None
-            judgement = Judgement(Verdict.REFUSED, UNGRANTED_SECONDS)
+            decision = Decision(Verdict.REFUSED, UNGRANTED_SECONDS)
         self.refused += 1
         log.info(
             'crashes: %s is refused, it crashed servers. request=%s back_s=%.0f',
             call.request_id,
             key,
-            judgement.retry_after,
+            decision.retry_after,
         )
         detail = 'Servers crashed during this request.'
-        return NotRun(Reason.CRASHES, detail, retry_after=judgement.retry_after)
+        return NotRun(Reason.CRASHES, detail, retry_after=decision.retry_after)
 
     def _may_know(self, call: Call) -> bool:
         by_target = self.registry.count_by_target
--- a/catkinslip/crashes/registry.py
+++ b/catkinslip/crashes/registry.py
@@ -18,7 +18,7 @@
     ALONE,
     FREE,
     GUILTY_SERVERS,
-    Judgement,
+    Decision,
     Suspect,
     Verdict,
     cold_name,
@@ -62,7 +62,7 @@
     #: Set while there are changes to write to the store.
     has_unsaved: trio.Event = Factory(trio.Event)
 
-    def judge(self, key: RequestKey, query: str, now: float) -> Judgement:
+    def decide(self, key: RequestKey, query: str, now: float) -> Decision:
         """Return the verdict on a request that has arrived, and its retry delay."""
         suspect = self.suspect_by_key.get(key)
         if suspect is None:
@@ -72,10 +72,10 @@
             return ALONE
         trial_at = suspect.trial_at()
         if trial_at is None:
-            return Judgement(Verdict.REFUSED, LONGEST_RETRY_SECONDS)
+            return Decision(Verdict.REFUSED, LONGEST_RETRY_SECONDS)
         if now >= trial_at:
-            return Judgement(Verdict.TRIAL)
-        return Judgement(Verdict.REFUSED, trial_at - now)
+            return Decision(Verdict.TRIAL)
+        return Decision(Verdict.REFUSED, trial_at - now)
 
     def record_crash(
         self,
@@ -89,7 +89,7 @@
         """Record a crash during a request; return the number of crashed servers."""
         self.ends += 1
         server = cold_name(server) if is_cold else server
-        suspect = self._add(key, {server: query}, now, 'seen here')
+        suspect = self._merge(key, {server: query}, now, 'seen here')
         if suspect.servers >= STORED_SERVERS:
             suspect.must_save = True
             self.has_unsaved.set()
@@ -103,7 +103,7 @@
         peer: str,
     ) -> None:
         """Apply a peer's report of the servers that crashed during a request."""
-        self._add(key, query_by_server, now, f'reported by {peer}')
+        self._merge(key, query_by_server, now, f'reported by {peer}')
 
     def record_answer(self, key: RequestKey, query: str) -> None:
         """Record an answer to a request, so that crashes with its query are dropped."""
@@ -121,7 +121,7 @@
             suspect.must_save = True
             self.has_unsaved.set()
         elif not kept:
-            self._forget(key)
+            self._remove(key)
 
     def apply_listing(self, stored: Mapping[str, CrashRecord], now: float) -> None:
         """Apply a listing of all records that the store holds, by name."""
@@ -131,7 +131,7 @@
         for key in self.stored_keys - keys:
             suspect = self.suspect_by_key.get(key)
             if suspect is not None:
-                self._take_removal(suspect)
+                self._apply_removal(suspect)
         self.stored_keys = keys
         for record in stored.values():
             self.apply_record(record, now)
@@ -150,7 +150,7 @@
         """Apply a record of the store unless its revision is known already."""
         suspect = self.suspect_by_key.get(record.key)
         if suspect is None:
-            suspect = self._new(record.key, now)
+            suspect = self._add_suspect(record.key, now)
         if record.revision <= suspect.record.revision:
             return
         stored = record.query_by_server
@@ -165,7 +165,7 @@
         )
         if is_news(known, suspect.record):
             suspect.changed_at = now
-        self._note_verdict(known, suspect, f'stored at revision {record.revision}')
+        self._log_crashes(known, suspect, f'stored at revision {record.revision}')
 
     def apply_conflicting_record(self, record: CrashRecord, now: float) -> None:
         """Apply the record that the store holds after a conflict on a write."""
@@ -186,7 +186,7 @@
         suspect = self.suspect_by_key.get(key)
         if suspect is not None:
             suspect.must_save = False
-            self._take_removal(suspect)
+            self._apply_removal(suspect)
 
     def list_unsaved(self) -> list[Suspect]:
         """Return the suspects to write to the store, those with most servers first."""
@@ -204,17 +204,17 @@
         ]
         for suspect in old:
             if not suspect.record.revision:
-                self._forget(suspect.record.key)
+                self._remove(suspect.record.key)
         return [each.record for each in old if each.record.revision]
 
-    def _add(
+    def _merge(
         self,
         key: RequestKey,
         query_by_server: Mapping[str, str],
         now: float,
         source: str,
     ) -> Suspect:
-        suspect = self.suspect_by_key.get(key) or self._new(key, now)
+        suspect = self.suspect_by_key.get(key) or self._add_suspect(key, now)
         known = suspect.record.query_by_server
         new = list(new_servers(known, query_by_server))
         if new:
@@ -223,10 +223,10 @@
             merged = {**known, **dict(new)}
             suspect.record = evolve(suspect.record, query_by_server=merged)
             suspect.changed_at = suspect.seen_at = now
-            self._note_verdict(before, suspect, source)
+            self._log_crashes(before, suspect, source)
         return suspect
 
-    def _note_verdict(self, before: CrashRecord, suspect: Suspect, source: str) -> None:
+    def _log_crashes(self, before: CrashRecord, suspect: Suspect, source: str) -> None:
         servers = suspect.servers
         was = count_ends(before.query_by_server)
         if len(suspect.record.query_by_server) == len(before.query_by_server):
@@ -243,27 +243,27 @@
         if servers >= GUILTY_SERVERS > was:
             self.verdicts += 1
 
-    def _new(self, key: RequestKey, now: float) -> Suspect:
+    def _add_suspect(self, key: RequestKey, now: float) -> Suspect:
         if len(self.suspect_by_key) >= MOST_SUSPECTS:
-            self._forget(self._least_grave())
+            self._remove(self._least_severe())
         suspect = Suspect(CrashRecord(key), changed_at=now, seen_at=now)
         self.suspect_by_key[key] = suspect
         self.count_by_target[key.target] += 1
         return suspect
 
-    def _least_grave(self) -> RequestKey:
+    def _least_severe(self) -> RequestKey:
         suspects = self.suspect_by_key.values()
         least = min(suspects, key=lambda each: (each.servers, each.seen_at))
         return least.record.key
 
-    def _take_removal(self, suspect: Suspect) -> None:
+    def _apply_removal(self, suspect: Suspect) -> None:
         """Keep only the unsaved crashes of a request whose record the store removed."""
         key = suspect.record.key
         suspect.record = CrashRecord(key, dict(suspect.unsaved))
         if not suspect.unsaved:
-            self._forget(key)
+            self._remove(key)
 
-    def _forget(self, key: RequestKey) -> None:
+    def _remove(self, key: RequestKey) -> None:
         if self.suspect_by_key.pop(key, None) is None:
             return
         self.count_by_target[key.target] -= 1
--- a/catkinslip/crashes/suspect.py
+++ b/catkinslip/crashes/suspect.py
@@ -41,15 +41,15 @@
 
 
 @frozen
-class Judgement:
+class Decision:
     """Verdict on a request, and the seconds after which it may change."""
 
     verdict: Verdict
     retry_after: float = 0.0
 
 
-FREE = Judgement(Verdict.FREE)
-ALONE = Judgement(Verdict.ALONE)
+FREE = Decision(Verdict.FREE)
+ALONE = Decision(Verdict.ALONE)
 
 
 @define
--- a/tests/test_clock_suspension.py
+++ b/tests/test_clock_suspension.py
@@ -129,10 +129,10 @@
             book = registry_with(3)
             suspect = book.suspect_by_key[KEY]
             suspect.changed_at = clock.monotonic() - TRIAL_SECONDS[0] / 2
-            judged = book.judge(KEY, 'q', clock.monotonic()).verdict
+            judged = book.decide(KEY, 'q', clock.monotonic()).verdict
             self.assertIs(judged, Verdict.REFUSED)
             machine.suspend()
-            judged = book.judge(KEY, 'q', clock.monotonic()).verdict
+            judged = book.decide(KEY, 'q', clock.monotonic()).verdict
             self.assertIs(judged, Verdict.TRIAL)
 
         on_machine(check)
--- a/tests/test_crashes_registry.py
+++ b/tests/test_crashes_registry.py
@@ -41,7 +41,7 @@
     """Verdict on the next copy of a request."""
 
     def verdict(self, registry, query='q', now=NOW, key=KEY):
-        return registry.judge(key, query, now).verdict
+        return registry.decide(key, query, now).verdict
 
     def test_few_ends_leave_one_server_and_three_none(self):
         for ends, verdict in (
@@ -97,12 +97,12 @@
         registry = registry_with(3)
         now = NOW
         for trials, seconds in enumerate(TRIAL_SECONDS):
-            self.assertEqual(registry.judge(KEY, 'q', now).retry_after, seconds)
+            self.assertEqual(registry.decide(KEY, 'q', now).retry_after, seconds)
             now += seconds
             self.assertEqual(self.verdict(registry, now=now), Verdict.TRIAL)
             registry.mark_saved(stored(3, revision=trials + 1, trials=trials + 1), now)
             self.assertEqual(self.verdict(registry, now=now), Verdict.REFUSED)
-        last = registry.judge(KEY, 'q', now + 1e6)
+        last = registry.decide(KEY, 'q', now + 1e6)
         self.assertEqual(last.verdict, Verdict.REFUSED)
         self.assertEqual(last.retry_after, LONGEST_RETRY_SECONDS)
 
@@ -128,35 +128,35 @@
     def test_records_of_the_store_hold_at_once(self):
         registry = CrashRegistry()
         registry.apply_listing({'a': stored(3, revision=4)}, NOW)
-        self.assertEqual(registry.judge(KEY, 'q', NOW).verdict, Verdict.REFUSED)
+        self.assertEqual(registry.decide(KEY, 'q', NOW).verdict, Verdict.REFUSED)
 
     def test_older_record_does_not_bring_back_a_trial(self):
         registry = CrashRegistry()
         registry.apply_record(stored(3, revision=7, trials=2), NOW)
         registry.apply_record(stored(3, revision=4, trials=0), NOW)
-        self.assertEqual(registry.judge(KEY, 'q', NOW + 1e5).verdict, Verdict.REFUSED)
+        self.assertEqual(registry.decide(KEY, 'q', NOW + 1e5).verdict, Verdict.REFUSED)
 
     def test_removed_record_is_forgotten_but_for_newer_ends(self):
         registry = CrashRegistry()
         registry.apply_listing({'a': stored(3, revision=4)}, NOW)
         registry.record_crash(KEY, 'q', 'i-9/1', NOW)
         registry.apply_listing({}, NOW)
-        self.assertEqual(registry.judge(KEY, 'q', NOW).verdict, Verdict.ALONE)
+        self.assertEqual(registry.decide(KEY, 'q', NOW).verdict, Verdict.ALONE)
 
     def test_look_at_the_store_of_before_the_write_removes_nothing(self):
         registry = registry_with(3)
         registry.mark_saved(stored(3, revision=9), NOW)
         registry.apply_listing({}, NOW)
-        self.assertEqual(registry.judge(KEY, 'q', NOW).verdict, Verdict.REFUSED)
+        self.assertEqual(registry.decide(KEY, 'q', NOW).verdict, Verdict.REFUSED)
         registry.apply_listing({'a': stored(3, revision=9)}, NOW)
         registry.apply_listing({}, NOW)
-        self.assertEqual(registry.judge(KEY, 'q', NOW).verdict, Verdict.FREE)
+        self.assertEqual(registry.decide(KEY, 'q', NOW).verdict, Verdict.FREE)
 
     def test_end_that_is_not_stored_yet_outlives_a_record_without_it(self):
         registry = registry_with(2)
         registry.record_crash(KEY, 'q', 'i-9/1', NOW)
         registry.apply_record(stored(2, revision=4), NOW)
-        self.assertEqual(registry.judge(KEY, 'q', NOW).verdict, Verdict.REFUSED)
+        self.assertEqual(registry.decide(KEY, 'q', NOW).verdict, Verdict.REFUSED)
 
     def test_answer_to_a_stored_one_is_told_to_the_store(self):
         registry = CrashRegistry()
@@ -165,7 +165,7 @@
         (suspect,) = registry.list_unsaved()
         self.assertFalse(suspect.record.query_by_server)
         registry.mark_deleted(KEY)
-        self.assertEqual(registry.judge(KEY, 'q', NOW).verdict, Verdict.FREE)
+        self.assertEqual(registry.decide(KEY, 'q', NOW).verdict, Verdict.FREE)
 
 
 class MemoryTest(unittest.TestCase):
@@ -177,7 +177,7 @@
             registry.record_crash(RequestKey(f'c{number}', 'd'), 'q', 'i-1/1', NOW)
         self.assertEqual(len(registry.suspect_by_key), MOST_SUSPECTS)
         self.assertEqual(len(registry.count_by_target), MOST_SUSPECTS)
-        self.assertEqual(registry.judge(KEY, 'q', NOW).verdict, Verdict.REFUSED)
+        self.assertEqual(registry.decide(KEY, 'q', NOW).verdict, Verdict.REFUSED)
         registry = registry_with(MOST_SERVERS + 5)
         self.assertEqual(registry.suspect_by_key[KEY].servers, MOST_SERVERS)
 
@@ -191,7 +191,7 @@
 
     def test_request_that_keeps_coming_stays_refused(self):
         registry = registry_with(3)
-        registry.judge(KEY, 'q', NOW + VERDICT_SECONDS)
+        registry.decide(KEY, 'q', NOW + VERDICT_SECONDS)
         registry.remove_expired(NOW + VERDICT_SECONDS + 1)
         self.assertTrue(registry.suspect_by_key)
 
--- a/tests/test_crashes_sharing.py
+++ b/tests/test_crashes_sharing.py
@@ -39,7 +39,7 @@
     def test_peer_learns_and_then_there_is_nothing_new(self):
         one, two = self.topic(registry_with(3)), self.topic(CrashRegistry())
         two.receive(one.news_for(two.digest()))
-        self.assertEqual(two.registry.judge(KEY, 'q', NOW).verdict, Verdict.REFUSED)
+        self.assertEqual(two.registry.decide(KEY, 'q', NOW).verdict, Verdict.REFUSED)
         self.assertIsNone(one.news_for(two.digest()))
         self.assertIsNone(two.news_for(one.digest()))
 
--- a/tests/test_discovery_restored.py
+++ b/tests/test_discovery_restored.py
@@ -206,7 +206,7 @@
         book.apply_listing({'a': stored(3, at(1, 71))}, NOW)
         book.mark_records_unsaved()
         book.apply_listing({}, NOW)
-        self.assertEqual(book.judge(KEY, 'q', NOW).verdict, Verdict.REFUSED)
+        self.assertEqual(book.decide(KEY, 'q', NOW).verdict, Verdict.REFUSED)
         self.assertEqual([it.record.revision for it in book.list_unsaved()], [0])
 
     def test_trials_that_the_copy_lacks_are_not_given_again(self):
