--- a/catkinslip/crashes/messages.py
+++ b/catkinslip/crashes/messages.py
@@ -12,20 +12,22 @@
 
 
 @frozen
-class ToldEnds:
+class CrashReport:
     """Servers that crashed during one request, and the query that each of them ran."""
 
     key: RequestKey
     query_by_server: Mapping[str, str]
 
 
-def ends_to_plain(told: Iterable[ToldEnds]) -> list[Any]:
+def reports_to_plain(reports: Iterable[CrashReport]) -> list[Any]:
     """Return crash reports as plain data."""
-    return [[each.key.target, each.key.content, each.query_by_server] for each in told]
+    return [
+        [each.key.target, each.key.content, each.query_by_server] for each in reports
+    ]
 
 
-def ends_from_plain(plain: Any) -> Iterator[ToldEnds]:
+def reports_from_plain(plain: Any) -> Iterator[CrashReport]:
     """Yield crash reports from plain data; raise one of MALFORMED for other data."""
     for target, content, query_by_server in plain:
-        ends = {str(k): str(v) for k, v in query_by_server.items()}
-        yield ToldEnds(RequestKey(str(target), str(content)), ends)
+        crashes = {str(k): str(v) for k, v in query_by_server.items()}
+        yield CrashReport(RequestKey(str(target), str(content)), crashes)
--- a/catkinslip/crashes/objects.py
+++ b/catkinslip/crashes/objects.py
@@ -63,8 +63,8 @@
 
 def record_from_plain(plain: Any, revision: int) -> CrashRecord:
     """Return a crash record from plain data; raise one of MALFORMED for other data."""
-    ends = plain['ends']
-    texts = (plain['target'], plain['content'], *ends, *ends.values())
+    crashes = plain['ends']
+    texts = (plain['target'], plain['content'], *crashes, *crashes.values())
     if not all(isinstance(text, str) and text for text in texts):
         raise TypeError(
             'target, content, servers and queries must be non-empty strings'
@@ -76,4 +76,4 @@
     if type(revision) is not int or revision < 1:
         raise ValueError(f'revision must be an integer of at least 1, not {revision!r}')
     key = RequestKey(plain['target'], plain['content'])
-    return CrashRecord(key, dict(ends), plain['trials'], revision)
+    return CrashRecord(key, dict(crashes), plain['trials'], revision)
--- a/catkinslip/crashes/registry.py
+++ b/catkinslip/crashes/registry.py
@@ -22,7 +22,7 @@
     Suspect,
     Verdict,
     cold_name,
-    count_ends,
+    count_crashes,
     is_news,
     lifetime,
     without,
@@ -56,7 +56,7 @@
     #: Keys of the records in the last listing of the store.
     stored_keys: set[RequestKey] = Factory(set)
     #: Number of crashes that this instance saw, for the metrics.
-    ends: int = 0
+    crashes: int = 0
     #: Number of verdicts that took effect on this instance, for the metrics.
     verdicts: int = 0
     #: Set while there are changes to write to the store.
@@ -87,7 +87,7 @@
         is_cold: bool = False,
     ) -> int:
         """Record a crash during a request; return the number of crashed servers."""
-        self.ends += 1
+        self.crashes += 1
         server = cold_name(server) if is_cold else server
         suspect = self._merge(key, {server: query}, now, 'seen here')
         if suspect.servers >= STORED_SERVERS:
@@ -228,7 +228,7 @@
 
     def _log_crashes(self, before: CrashRecord, suspect: Suspect, source: str) -> None:
         servers = suspect.servers
-        was = count_ends(before.query_by_server)
+        was = count_crashes(before.query_by_server)
         if len(suspect.record.query_by_server) == len(before.query_by_server):
             return
         log.info(
@@ -280,8 +280,8 @@
     decide the verdict.
     """
     for is_cold, most in ((False, MOST_SERVERS), (True, MOST_COLD_SERVERS)):
-        of_kind = [it for it in reported if is_cold != bool(count_ends([it]))]
-        ends = count_ends(known)
-        held = len(known) - ends if is_cold else ends
+        of_kind = [it for it in reported if is_cold != bool(count_crashes([it]))]
+        crashes = count_crashes(known)
+        held = len(known) - crashes if is_cold else crashes
         new = [server for server in of_kind if server not in known]
         yield from ((server, reported[server]) for server in new[: most - held])
--- a/catkinslip/crashes/suspect.py
+++ b/catkinslip/crashes/suspect.py
@@ -70,7 +70,7 @@
     @property
     def servers(self) -> int:
         """Return the number of crashed servers, without those that were cold."""
-        return count_ends(self.record.query_by_server)
+        return count_crashes(self.record.query_by_server)
 
     def is_guilty(self, query: str) -> bool:
         """Return whether a copy of the request with a query is to be refused.
@@ -95,7 +95,7 @@
     return f'{server}{COLD_SUFFIX}'
 
 
-def count_ends(servers: Iterable[str]) -> int:
+def count_crashes(servers: Iterable[str]) -> int:
     """Return the number of crashed servers, without those that were cold.
 
     A cold server crashes if too many requests arrive at once, whatever they are; so its
--- a/catkinslip/crashes/telling.py
+++ b/catkinslip/crashes/telling.py
@@ -14,7 +14,11 @@
 from catkinslip.clock import Clock
 from catkinslip.crashes.guard import CrashListener
 from catkinslip.crashes.identity import RequestKey
-from catkinslip.crashes.messages import ToldEnds, ends_from_plain, ends_to_plain
+from catkinslip.crashes.messages import (
+    CrashReport,
+    reports_from_plain,
+    reports_to_plain,
+)
 from catkinslip.crashes.registry import CrashRegistry
 from catkinslip.crashes.suspect import GUILTY_SERVERS
 from catkinslip.models import Address
@@ -78,20 +82,20 @@
 
     def _take_datagram(self) -> bytes:
         waiting = self.query_by_server_by_key
-        told = [ToldEnds(key, waiting.pop(key)) for key in list(waiting)[:MOST_TOLD]]
+        told = [CrashReport(key, waiting.pop(key)) for key in list(waiting)[:MOST_TOLD]]
         if not waiting:
             self.has_news = trio.Event()
-        return orjson.dumps({'ends': ends_to_plain(told), 'by': self.own_id})
+        return orjson.dumps({'ends': reports_to_plain(told), 'by': self.own_id})
 
     def take(self, told: dict) -> None:
         """Apply a datagram; raise one of `messages.MALFORMED` if it is malformed."""
         teller = str(told['by'])
-        for each in ends_from_plain(told['ends']):
-            ends = each.query_by_server
-            if not 1 <= len(ends) <= GUILTY_SERVERS:
+        for each in reports_from_plain(told['ends']):
+            crashes = each.query_by_server
+            if not 1 <= len(crashes) <= GUILTY_SERVERS:
                 raise ValueError(
-                    f'a crash report has {len(ends)} servers, allowed are 1 to 3'
+                    f'a crash report has {len(crashes)} servers, allowed are 1 to 3'
                 )
             self.registry.apply_peer_report(
-                each.key, ends, self.clock.monotonic(), teller
+                each.key, crashes, self.clock.monotonic(), teller
             )
--- a/catkinslip/crashes/topic.py
+++ b/catkinslip/crashes/topic.py
@@ -10,9 +10,9 @@
 from catkinslip.crashes.identity import RequestKey
 from catkinslip.crashes.messages import (
     MALFORMED,
-    ToldEnds,
-    ends_from_plain,
-    ends_to_plain,
+    CrashReport,
+    reports_from_plain,
+    reports_to_plain,
 )
 from catkinslip.crashes.registry import CrashRegistry
 from catkinslip.membership.topics import PeerTopic
@@ -39,11 +39,11 @@
 
     def digest(self) -> Any:
         """Return a hash of all known crashes."""
-        ends = sorted(
+        crashes = sorted(
             f'{key}{sorted(each.record.query_by_server)}'
             for key, each in self.registry.suspect_by_key.items()
         )
-        return xxhash.xxh3_64_hexdigest('\n'.join(ends).encode())
+        return xxhash.xxh3_64_hexdigest('\n'.join(crashes).encode())
 
     def news_for(self, digest: Any | None) -> Any | None:
         """Return the reports with most crashes for a peer whose digest differs."""
@@ -51,8 +51,8 @@
         if not suspects or digest == self.digest():
             return None
         gravest = sorted(suspects.items(), key=lambda pair: -pair[1].servers)
-        return ends_to_plain(
-            ToldEnds(key, each.record.query_by_server)
+        return reports_to_plain(
+            CrashReport(key, each.record.query_by_server)
             for key, each in gravest[:MOST_TOLD]
         )
 
@@ -60,7 +60,7 @@
         """Apply the crash reports of a peer; raise ValueError if they are malformed."""
         now = self.monotonic()
         try:
-            for each in ends_from_plain(news):
+            for each in reports_from_plain(news):
                 self.registry.apply_peer_report(
                     each.key, each.query_by_server, now, 'a peer'
                 )
--- a/catkinslip/crashes/unseen.py
+++ b/catkinslip/crashes/unseen.py
@@ -80,7 +80,7 @@
         """Apply the registered servers; return those now known to have crashed."""
         before, self.backend_by_id = self.backend_by_id, backends
         changed = differing(before, backends)
-        ended = []
+        crashed = []
         for name in changed & before.keys():
             old, new = before[name], backends.get(name)
             if old.draining or (new and new.incarnation == old.incarnation):
@@ -89,14 +89,14 @@
                 server = server_name(name, old.incarnation)
                 self.gone_by_place[old.host, old.port] = (server, now)
             else:
-                ended.append(server_name(name, old.incarnation))
+                crashed.append(server_name(name, old.incarnation))
         for name in changed - before.keys():
             place = (backends[name].host, backends[name].port)
             server, gone_at = self.gone_by_place.pop(place, ('', now))
             if server and now - gone_at <= SUSPICIOUS_SECONDS:
-                ended.append(server)
+                crashed.append(server)
         self._remove_expired(now)
-        return ended
+        return crashed
 
     def _remove_expired(self, now: float) -> None:
         for place, (_, gone_at) in list(self.gone_by_place.items()):
--- a/catkinslip/metrics/crashes.py
+++ b/catkinslip/metrics/crashes.py
@@ -23,7 +23,7 @@
             'Servers seen to end under a request, verdicts learned, calls refused.',
             'event',
         )
-        events.add(book.ends, 'ended')
+        events.add(book.crashes, 'ended')
         events.add(book.verdicts, 'verdict')
         events.add(self.guard.refused, 'refused')
         yield events
--- a/tests/test_crashes_registry.py
+++ b/tests/test_crashes_registry.py
@@ -22,18 +22,18 @@
 NOW = 1000.0
 
 
-def registry_with(ends: int, query: str = 'q') -> CrashRegistry:
+def registry_with(crashes: int, query: str = 'q') -> CrashRegistry:
     """Return a registry in which servers crashed during one request."""
     registry = CrashRegistry()
-    for number in range(ends):
+    for number in range(crashes):
         registry.record_crash(KEY, query, f'i-{number}/1', NOW)
     return registry
 
 
-def stored(ends: int, revision: int, trials: int = 0) -> CrashRecord:
+def stored(crashes: int, revision: int, trials: int = 0) -> CrashRecord:
     """Return a record as the store holds it, with some crashed servers."""
     return CrashRecord(
-        KEY, {f'i-{number}/1': 'q' for number in range(ends)}, trials, revision
+        KEY, {f'i-{number}/1': 'q' for number in range(crashes)}, trials, revision
     )
 
 
@@ -44,13 +44,13 @@
         return registry.decide(key, query, now).verdict
 
     def test_few_ends_leave_one_server_and_three_none(self):
-        for ends, verdict in (
+        for crashes, verdict in (
             (0, Verdict.FREE),
             (1, Verdict.ALONE),
             (2, Verdict.ALONE),
             (3, Verdict.REFUSED),
         ):
-            self.assertEqual(self.verdict(registry_with(ends)), verdict)
+            self.assertEqual(self.verdict(registry_with(crashes)), verdict)
 
     def test_other_content_for_the_same_target_is_free(self):
         self.assertEqual(self.verdict(registry_with(3), key=OTHER), Verdict.FREE)
@@ -182,8 +182,8 @@
         self.assertEqual(registry.suspect_by_key[KEY].servers, MOST_SERVERS)
 
     def test_suspicion_and_verdict_end_after_their_time_without_the_request(self):
-        for ends, seconds in ((2, SUSPECT_SECONDS), (3, VERDICT_SECONDS)):
-            registry = registry_with(ends)
+        for crashes, seconds in ((2, SUSPECT_SECONDS), (3, VERDICT_SECONDS)):
+            registry = registry_with(crashes)
             self.assertEqual(registry.remove_expired(NOW + seconds - 1), [])
             self.assertTrue(registry.suspect_by_key)
             registry.remove_expired(NOW + seconds + 1)
--- a/tests/test_crashes_sharing.py
+++ b/tests/test_crashes_sharing.py
@@ -72,8 +72,10 @@
         async def run():
             for number in range(20):
                 key = RequestKey(f'{number:016x}', f'{number:032x}')
-                ends = {f'i-{each:010x}/1778000000000': 'f' * 16 for each in range(3)}
-                teller.saw_end(key, ends)
+                crashes = {
+                    f'i-{each:010x}/1778000000000': 'f' * 16 for each in range(3)
+                }
+                teller.saw_end(key, crashes)
             with trio.move_on_after(0.5):
                 await teller.run()
 
--- a/tests/test_crashes_unseen.py
+++ b/tests/test_crashes_unseen.py
@@ -175,8 +175,8 @@
         self.watch.update({'i-1': backend(80, incarnation=1)}, 10.0)
 
     def test_another_start_shows_the_end_of_the_one_before(self):
-        ended = self.watch.update({'i-1': backend(80, incarnation=2)}, 11.0)
-        self.assertEqual(ended, ['i-1/1'])
+        crashed = self.watch.update({'i-1': backend(80, incarnation=2)}, 11.0)
+        self.assertEqual(crashed, ['i-1/1'])
 
     def test_another_server_at_the_address_does_too(self):
         self.assertEqual(self.watch.update({}, 11.0), [])
