--- a/catkinslip/crashes/registry.py
+++ b/catkinslip/crashes/registry.py
@@ -30,17 +30,17 @@
 
 #: Number of crashed servers from which a request is written to the store, and so
 #: reaches all instances.
-STORED_SERVERS = 2
+MIN_STORED_SERVERS = 2
 #: Seconds after which a caller may retry a request for which no trial is left.
-LONGEST_RETRY_SECONDS = 3600.0
+MAX_RETRY_SECONDS = 3600.0
 #: Maximum number of suspect requests: 1.3 kB each with three servers (mean of 4,000),
 #: 5 MB of the 128 MB of an instance.
-MOST_SUSPECTS = 4_000
+MAX_SUSPECTS = 4_000
 #: Maximum number of servers kept for one request; the first three decide the verdict.
-MOST_SERVERS = 8
+MAX_SERVERS = 8
 #: Maximum number of cold servers kept besides; the first is enough to keep the request
 #: away from all other cold servers.
-MOST_COLD_SERVERS = 2
+MAX_COLD_SERVERS = 2
 
 log = logging.getLogger('crashes')
 
@@ -72,7 +72,7 @@
             return ALONE
         trial_at = suspect.trial_at()
         if trial_at is None:
-            return Decision(Verdict.REFUSED, LONGEST_RETRY_SECONDS)
+            return Decision(Verdict.REFUSED, MAX_RETRY_SECONDS)
         if now >= trial_at:
             return Decision(Verdict.TRIAL)
         return Decision(Verdict.REFUSED, trial_at - now)
@@ -90,7 +90,7 @@
         self.crashes += 1
         server = cold_name(server) if is_cold else server
         suspect = self._merge(key, {server: query}, now, 'seen here')
-        if suspect.servers >= STORED_SERVERS:
+        if suspect.servers >= MIN_STORED_SERVERS:
             suspect.must_save = True
             self.has_unsaved.set()
         return suspect.servers
@@ -244,7 +244,7 @@
             self.verdicts += 1
 
     def _add_suspect(self, key: RequestKey, now: float) -> Suspect:
-        if len(self.suspect_by_key) >= MOST_SUSPECTS:
+        if len(self.suspect_by_key) >= MAX_SUSPECTS:
             self._remove(self._least_severe())
         suspect = Suspect(CrashRecord(key), changed_at=now, seen_at=now)
         self.suspect_by_key[key] = suspect
@@ -279,7 +279,7 @@
     Cold servers have a maximum of their own, so that they do not displace those that
     decide the verdict.
     """
-    for is_cold, most in ((False, MOST_SERVERS), (True, MOST_COLD_SERVERS)):
+    for is_cold, most in ((False, MAX_SERVERS), (True, MAX_COLD_SERVERS)):
         of_kind = [it for it in reported if is_cold != bool(count_crashes([it]))]
         crashes = count_crashes(known)
         held = len(known) - crashes if is_cold else crashes
--- a/catkinslip/crashes/telling.py
+++ b/catkinslip/crashes/telling.py
@@ -25,10 +25,10 @@
 
 #: Maximum number of reports in a datagram. A report takes at most 210 bytes; a datagram
 #: stays below one packet of 1,500 bytes.
-MOST_TOLD = 6
+MAX_REPORTS = 6
 #: Maximum number of requests that wait to be reported; if a rack fails during more of
 #: them, the crashes are no evidence.
-MOST_WAITING = 60
+MAX_PENDING = 60
 #: Seconds between two datagrams: each serving instance receives at most 20 of them a
 #: second from one instance, each twice, 50 kB in its worst second.
 FLUSH_SECONDS = 0.05
@@ -60,7 +60,7 @@
     def saw_end(self, key: RequestKey, query_by_server: dict[str, str]) -> None:
         """Queue the last servers that crashed during a request for a datagram."""
         waiting = self.query_by_server_by_key
-        if len(waiting) >= MOST_WAITING and key not in waiting:
+        if len(waiting) >= MAX_PENDING and key not in waiting:
             log.info('crashes: too many requests wait to be reported. request=%s', key)
             return
         waiting[key] = dict(list(query_by_server.items())[-GUILTY_SERVERS:])
@@ -82,7 +82,9 @@
 
     def _take_datagram(self) -> bytes:
         waiting = self.query_by_server_by_key
-        told = [CrashReport(key, waiting.pop(key)) for key in list(waiting)[:MOST_TOLD]]
+        told = [
+            CrashReport(key, waiting.pop(key)) for key in list(waiting)[:MAX_REPORTS]
+        ]
         if not waiting:
             self.has_news = trio.Event()
         return orjson.dumps({'ends': reports_to_plain(told), 'by': self.own_id})
--- a/catkinslip/crashes/topic.py
+++ b/catkinslip/crashes/topic.py
@@ -19,7 +19,7 @@
 
 #: Maximum number of reports to a peer, of 142 to 238 bytes each; requests with the most
 #: crashed servers come first.
-MOST_TOLD = 40
+MAX_REPORTS = 40
 
 
 @define
@@ -53,7 +53,7 @@
         gravest = sorted(suspects.items(), key=lambda pair: -pair[1].servers)
         return reports_to_plain(
             CrashReport(key, each.record.query_by_server)
-            for key, each in gravest[:MOST_TOLD]
+            for key, each in gravest[:MAX_REPORTS]
         )
 
     def receive(self, news: Any) -> None:
--- a/catkinslip/crashes/unseen.py
+++ b/catkinslip/crashes/unseen.py
@@ -19,7 +19,7 @@
 SUSPICIOUS_SECONDS = 4.0
 #: Maximum number of broken connections kept of all servers; a rack that fails breaks
 #: some hundreds.
-MOST_BREAKS = 512
+MAX_BREAKS = 512
 
 #: Host and port of a server.
 Place = tuple[str, int]
@@ -45,7 +45,7 @@
 class BrokenRequests:
     """Recent requests whose connections broke at servers with an open port."""
 
-    recent: deque[BrokenRequest] = Factory(lambda: deque(maxlen=MOST_BREAKS))
+    recent: deque[BrokenRequest] = Factory(lambda: deque(maxlen=MAX_BREAKS))
 
     def add(self, broken: BrokenRequest) -> None:
         """Record a request whose connection to a server with an open port broke."""
@@ -58,7 +58,7 @@
         found = [each for each in self.recent if each.server == server]
         if found:
             kept = (each for each in self.recent if each.server != server)
-            self.recent = deque(kept, MOST_BREAKS)
+            self.recent = deque(kept, MAX_BREAKS)
         return found
 
 
--- a/tests/test_crashes_registry.py
+++ b/tests/test_crashes_registry.py
@@ -5,9 +5,9 @@
 from catkinslip.crashes.base import CrashRecord
 from catkinslip.crashes.identity import RequestKey
 from catkinslip.crashes.registry import (
-    LONGEST_RETRY_SECONDS,
-    MOST_SERVERS,
-    MOST_SUSPECTS,
+    MAX_RETRY_SECONDS,
+    MAX_SERVERS,
+    MAX_SUSPECTS,
     CrashRegistry,
 )
 from catkinslip.crashes.suspect import (
@@ -104,7 +104,7 @@
             self.assertEqual(self.verdict(registry, now=now), Verdict.REFUSED)
         last = registry.decide(KEY, 'q', now + 1e6)
         self.assertEqual(last.verdict, Verdict.REFUSED)
-        self.assertEqual(last.retry_after, LONGEST_RETRY_SECONDS)
+        self.assertEqual(last.retry_after, MAX_RETRY_SECONDS)
 
 
 class StoreTest(unittest.TestCase):
@@ -173,13 +173,13 @@
 
     def test_suspects_and_servers_are_bounded_and_the_gravest_stay(self):
         registry = registry_with(3)
-        for number in range(MOST_SUSPECTS + 10):
+        for number in range(MAX_SUSPECTS + 10):
             registry.record_crash(RequestKey(f'c{number}', 'd'), 'q', 'i-1/1', NOW)
-        self.assertEqual(len(registry.suspect_by_key), MOST_SUSPECTS)
-        self.assertEqual(len(registry.count_by_target), MOST_SUSPECTS)
+        self.assertEqual(len(registry.suspect_by_key), MAX_SUSPECTS)
+        self.assertEqual(len(registry.count_by_target), MAX_SUSPECTS)
         self.assertEqual(registry.decide(KEY, 'q', NOW).verdict, Verdict.REFUSED)
-        registry = registry_with(MOST_SERVERS + 5)
-        self.assertEqual(registry.suspect_by_key[KEY].servers, MOST_SERVERS)
+        registry = registry_with(MAX_SERVERS + 5)
+        self.assertEqual(registry.suspect_by_key[KEY].servers, MAX_SERVERS)
 
     def test_suspicion_and_verdict_end_after_their_time_without_the_request(self):
         for crashes, seconds in ((2, SUSPECT_SECONDS), (3, VERDICT_SECONDS)):
--- a/tests/test_crashes_sharing.py
+++ b/tests/test_crashes_sharing.py
@@ -11,10 +11,10 @@
 from catkinslip.crashes.identity import RequestKey, key_of, query_of
 from catkinslip.crashes.keeper import CrashKeeper
 from catkinslip.crashes.objects import ObjectCrashes, record_from_plain, record_to_plain
-from catkinslip.crashes.registry import MOST_SERVERS, CrashRegistry
+from catkinslip.crashes.registry import MAX_SERVERS, CrashRegistry
 from catkinslip.crashes.suspect import Verdict
 from catkinslip.crashes.telling import CrashTeller
-from catkinslip.crashes.topic import MOST_TOLD, CrashTopic
+from catkinslip.crashes.topic import MAX_REPORTS, CrashTopic
 from catkinslip.store.base import Conflict
 from catkinslip.store.embedded import EmbeddedStore
 from tests.builders import plain_call
@@ -45,10 +45,10 @@
 
     def test_gravest_are_told_and_their_number_is_bounded(self):
         registry = registry_with(3)
-        for number in range(3 * MOST_TOLD):
+        for number in range(3 * MAX_REPORTS):
             registry.record_crash(RequestKey(f't{number}', 'c'), 'q', 'i-1/1', NOW)
         news = self.topic(registry).news_for(None)
-        self.assertEqual(len(news), MOST_TOLD)
+        self.assertEqual(len(news), MAX_REPORTS)
         self.assertEqual(news[0][:2], [KEY.target, KEY.content])
 
     def test_malformed_news_are_refused(self):
@@ -85,7 +85,7 @@
 
     def test_malformed_datagrams_are_refused(self):
         teller = self.teller(CrashRegistry(), [])
-        servers = {f'i-{number}': 'q' for number in range(MOST_SERVERS)}
+        servers = {f'i-{number}': 'q' for number in range(MAX_SERVERS)}
         for told in (
             {},
             {'by': 'x'},
--- a/tests/test_crashes_unseen.py
+++ b/tests/test_crashes_unseen.py
@@ -14,7 +14,7 @@
 from catkinslip.config.documents import Backend
 from catkinslip.crashes.identity import RequestKey
 from catkinslip.crashes.unseen import (
-    MOST_BREAKS,
+    MAX_BREAKS,
     BrokenRequest,
     BrokenRequests,
     StartWatch,
@@ -153,9 +153,9 @@
 
     def test_breaks_are_forgotten_with_time_and_number(self):
         known = BrokenRequests()
-        for _ in range(2 * MOST_BREAKS):
+        for _ in range(2 * MAX_BREAKS):
             known.add(broken('i-1/1', 10.0))
-        self.assertEqual(len(known.take('i-1/1', 10.5)), MOST_BREAKS)
+        self.assertEqual(len(known.take('i-1/1', 10.5)), MAX_BREAKS)
         self.assertEqual(known.take('i-1/1', 10.6), [])
         known.add(broken('i-1/1', 10.0))
         self.assertEqual(known.take('i-1/1', 100.0), [])
