--- a/catkinslip/crashes/registry.py
+++ b/catkinslip/crashes/registry.py
@@ -17,15 +17,15 @@
 from catkinslip.crashes.suspect import (
     ALONE,
     FREE,
-    GUILTY_SERVERS,
+    VERDICT_SERVERS,
     Decision,
     Suspect,
     Verdict,
-    cold_name,
+    cold_server_name,
     count_crashes,
-    is_news,
+    exclude_query,
+    has_changed,
     lifetime,
-    without,
 )
 
 #: Number of crashed servers from which a request is written to the store, and so
@@ -68,14 +68,14 @@
         if suspect is None:
             return FREE
         suspect.seen_at = now
-        if not suspect.is_guilty(query):
+        if not suspect.is_refused(query):
             return ALONE
-        trial_at = suspect.trial_at()
-        if trial_at is None:
+        next_trial_at = suspect.next_trial_at()
+        if next_trial_at is None:
             return Decision(Verdict.REFUSED, MAX_RETRY_SECONDS)
-        if now >= trial_at:
+        if now >= next_trial_at:
             return Decision(Verdict.TRIAL)
-        return Decision(Verdict.REFUSED, trial_at - now)
+        return Decision(Verdict.REFUSED, next_trial_at - now)
 
     def record_crash(
         self,
@@ -88,12 +88,12 @@
     ) -> int:
         """Record a crash during a request; return the number of crashed servers."""
         self.crashes += 1
-        server = cold_name(server) if is_cold else server
+        server = cold_server_name(server) if is_cold else server
         suspect = self._merge(key, {server: query}, now, 'seen here')
-        if suspect.servers >= MIN_STORED_SERVERS:
+        if suspect.server_count >= MIN_STORED_SERVERS:
             suspect.must_save = True
             self.has_unsaved.set()
-        return suspect.servers
+        return suspect.server_count
 
     def apply_peer_report(
         self,
@@ -114,8 +114,8 @@
             'crashes: a suspect request was answered, crashes dropped. request=%s',
             key,
         )
-        kept = without(suspect.record.query_by_server, query)
-        suspect.unsaved = without(suspect.unsaved, query)
+        kept = exclude_query(suspect.record.query_by_server, query)
+        suspect.unsaved = exclude_query(suspect.unsaved, query)
         suspect.record = evolve(suspect.record, query_by_server=kept)
         if suspect.record.revision:
             suspect.must_save = True
@@ -163,7 +163,7 @@
             # A store that was restored from a backup may lack the last trials.
             trials=max(record.trials, known.trials),
         )
-        if is_news(known, suspect.record):
+        if has_changed(known, suspect.record):
             suspect.changed_at = now
         self._log_crashes(known, suspect, f'stored at revision {record.revision}')
 
@@ -193,7 +193,7 @@
         waiting = [each for each in self.suspect_by_key.values() if each.must_save]
         if not waiting:
             self.has_unsaved = trio.Event()
-        return sorted(waiting, key=lambda each: -each.servers)
+        return sorted(waiting, key=lambda each: -each.server_count)
 
     def remove_expired(self, now: float) -> list[CrashRecord]:
         """Remove expired unstored suspects; return the expired records of the store."""
@@ -227,7 +227,7 @@
         return suspect
 
     def _log_crashes(self, before: CrashRecord, suspect: Suspect, source: str) -> None:
-        servers = suspect.servers
+        servers = suspect.server_count
         was = count_crashes(before.query_by_server)
         if len(suspect.record.query_by_server) == len(before.query_by_server):
             return
@@ -238,9 +238,9 @@
             servers,
             was,
             source,
-            ', refused from now on.' if servers >= GUILTY_SERVERS else '.',
+            ', refused from now on.' if servers >= VERDICT_SERVERS else '.',
         )
-        if servers >= GUILTY_SERVERS > was:
+        if servers >= VERDICT_SERVERS > was:
             self.verdicts += 1
 
     def _add_suspect(self, key: RequestKey, now: float) -> Suspect:
@@ -253,7 +253,7 @@
 
     def _least_severe(self) -> RequestKey:
         suspects = self.suspect_by_key.values()
-        least = min(suspects, key=lambda each: (each.servers, each.seen_at))
+        least = min(suspects, key=lambda each: (each.server_count, each.seen_at))
         return least.record.key
 
     def _apply_removal(self, suspect: Suspect) -> None:
--- a/catkinslip/crashes/suspect.py
+++ b/catkinslip/crashes/suspect.py
@@ -10,7 +10,7 @@
 #: Number of crashed servers from which a request is sent to no other server. Fewer may
 #: be coincidence: the requests beside a crashing one look alike, as do those of a rack
 #: that fails.
-GUILTY_SERVERS = 3
+VERDICT_SERVERS = 3
 #: Seconds from the last new crash or trial to the next trial, in which one more server
 #: shows whether the request still crashes servers. There are two trials and not three,
 #: as all instances together may send the request three times more. The first comes
@@ -68,21 +68,21 @@
     seen_at: float = 0.0
 
     @property
-    def servers(self) -> int:
+    def server_count(self) -> int:
         """Return the number of crashed servers, without those that were cold."""
         return count_crashes(self.record.query_by_server)
 
-    def is_guilty(self, query: str) -> bool:
+    def is_refused(self, query: str) -> bool:
         """Return whether a copy of the request with a query is to be refused.
 
         Copies with any query are refused where several queries crashed servers.
         """
-        if self.servers < GUILTY_SERVERS:
+        if self.server_count < VERDICT_SERVERS:
             return False
         queries = set(self.record.query_by_server.values())
         return query in queries or len(queries) > 1
 
-    def trial_at(self) -> float | None:
+    def next_trial_at(self) -> float | None:
         """Return the time from which the next trial may start; None if none is left."""
         trials = self.record.trials
         if trials >= len(TRIAL_SECONDS):
@@ -90,7 +90,7 @@
         return self.changed_at + TRIAL_SECONDS[trials]
 
 
-def cold_name(server: str) -> str:
+def cold_server_name(server: str) -> str:
     """Return the name under which the crash of a cold server is recorded."""
     return f'{server}{COLD_SUFFIX}'
 
@@ -104,12 +104,12 @@
     return sum(not server.endswith(COLD_SUFFIX) for server in servers)
 
 
-def without(query_by_server: Mapping[str, str], query: str) -> dict[str, str]:
+def exclude_query(query_by_server: Mapping[str, str], query: str) -> dict[str, str]:
     """Return the crashes without those under a query."""
     return {k: v for k, v in query_by_server.items() if v != query}
 
 
-def is_news(before: CrashRecord, after: CrashRecord) -> bool:
+def has_changed(before: CrashRecord, after: CrashRecord) -> bool:
     """Return whether a record has a crash or trial that an earlier one lacks."""
     is_more = after.query_by_server.keys() - before.query_by_server.keys()
     return bool(is_more) or after.trials != before.trials
@@ -117,10 +117,10 @@
 
 def lifetime(suspect: Suspect) -> float:
     """Return the seconds without the request after which a suspect expires."""
-    is_grave = suspect.servers >= GUILTY_SERVERS
-    return VERDICT_SECONDS if is_grave else SUSPECT_SECONDS
+    has_verdict = suspect.server_count >= VERDICT_SERVERS
+    return VERDICT_SECONDS if has_verdict else SUSPECT_SECONDS
 
 
-def guilty(suspects: Iterable[Suspect]) -> int:
+def count_refused(suspects: Iterable[Suspect]) -> int:
     """Return the number of suspects that are refused."""
-    return sum(each.servers >= GUILTY_SERVERS for each in suspects)
+    return sum(each.server_count >= VERDICT_SERVERS for each in suspects)
--- a/catkinslip/crashes/telling.py
+++ b/catkinslip/crashes/telling.py
@@ -20,7 +20,7 @@
     reports_to_plain,
 )
 from catkinslip.crashes.registry import CrashRegistry
-from catkinslip.crashes.suspect import GUILTY_SERVERS
+from catkinslip.crashes.suspect import VERDICT_SERVERS
 from catkinslip.models import Address
 
 #: Maximum number of reports in a datagram. A report takes at most 210 bytes; a datagram
@@ -63,7 +63,7 @@
         if len(waiting) >= MAX_PENDING and key not in waiting:
             log.info('crashes: too many requests wait to be reported. request=%s', key)
             return
-        waiting[key] = dict(list(query_by_server.items())[-GUILTY_SERVERS:])
+        waiting[key] = dict(list(query_by_server.items())[-VERDICT_SERVERS:])
         self.has_news.set()
 
     async def run(self) -> None:
@@ -94,7 +94,7 @@
         teller = str(told['by'])
         for each in reports_from_plain(told['ends']):
             crashes = each.query_by_server
-            if not 1 <= len(crashes) <= GUILTY_SERVERS:
+            if not 1 <= len(crashes) <= VERDICT_SERVERS:
                 raise ValueError(
                     f'a crash report has {len(crashes)} servers, allowed are 1 to 3'
                 )
--- a/catkinslip/crashes/topic.py
+++ b/catkinslip/crashes/topic.py
@@ -50,10 +50,10 @@
         suspects = self.registry.suspect_by_key
         if not suspects or digest == self.digest():
             return None
-        gravest = sorted(suspects.items(), key=lambda pair: -pair[1].servers)
+        most_severe = sorted(suspects.items(), key=lambda pair: -pair[1].server_count)
         return reports_to_plain(
             CrashReport(key, each.record.query_by_server)
-            for key, each in gravest[:MAX_REPORTS]
+            for key, each in most_severe[:MAX_REPORTS]
         )
 
     def receive(self, news: Any) -> None:
--- a/catkinslip/metrics/crashes.py
+++ b/catkinslip/metrics/crashes.py
@@ -5,7 +5,7 @@
 from attrs import define
 
 from catkinslip.crashes.guard import CrashGuard
-from catkinslip.crashes.suspect import guilty
+from catkinslip.crashes.suspect import count_refused
 from catkinslip.metrics.base import Family, MetricSource, counter, gauge
 
 
@@ -30,7 +30,7 @@
         suspects = gauge(
             'catkinslip_crash_suspects', 'Requests under which servers ended.', 'state'
         )
-        refused = guilty(book.suspect_by_key.values())
+        refused = count_refused(book.suspect_by_key.values())
         suspects.add(len(book.suspect_by_key) - refused, 'suspected')
         suspects.add(refused, 'refused')
         yield suspects
--- a/tests/test_crashes_incident.py
+++ b/tests/test_crashes_incident.py
@@ -313,14 +313,14 @@
 
 def knows(entry: Entry) -> bool:
     """Return whether an instance recorded a request that crashed three servers."""
-    return any(each.servers >= 3 for each in entry.book.suspect_by_key.values())
+    return any(each.server_count >= 3 for each in entry.book.suspect_by_key.values())
 
 
 def is_settled(entry: Entry) -> bool:
     """Return whether an instance recorded three crashes and the store has them."""
     suspects = entry.book.suspect_by_key.values()
     return any(
-        each.record.revision and each.servers >= 3 and not each.unsaved
+        each.record.revision and each.server_count >= 3 and not each.unsaved
         for each in suspects
     )
 
--- a/tests/test_crashes_registry.py
+++ b/tests/test_crashes_registry.py
@@ -179,7 +179,7 @@
         self.assertEqual(len(registry.count_by_target), MAX_SUSPECTS)
         self.assertEqual(registry.decide(KEY, 'q', NOW).verdict, Verdict.REFUSED)
         registry = registry_with(MAX_SERVERS + 5)
-        self.assertEqual(registry.suspect_by_key[KEY].servers, MAX_SERVERS)
+        self.assertEqual(registry.suspect_by_key[KEY].server_count, MAX_SERVERS)
 
     def test_suspicion_and_verdict_end_after_their_time_without_the_request(self):
         for crashes, seconds in ((2, SUSPECT_SECONDS), (3, VERDICT_SECONDS)):
