--- a/catkinslip/crashes/guard.py
+++ b/catkinslip/crashes/guard.py
@@ -13,7 +13,7 @@
 from catkinslip.crashes.keeper import CrashKeeper
 from catkinslip.crashes.registry import CrashRegistry
 from catkinslip.crashes.suspect import Decision, Verdict
-from catkinslip.crashes.unseen import BrokenRequest, BrokenRequests, StartWatch
+from catkinslip.crashes.unseen import BrokenRequest, BrokenRequests, RestartDetector
 from catkinslip.models import Address
 from catkinslip.proxy.calls import Call
 from catkinslip.proxy.outcomes import NotRun, Reason
@@ -21,12 +21,12 @@
 #: Seconds allowed for the check of a port. The port of a process that ended refuses
 #: within a round trip. A server that does not answer is unreachable, which is no
 #: evidence against the request.
-CHECK_SECONDS = 0.1
+PORT_CHECK_SECONDS = 0.1
 #: Number of crashed servers from which the call itself is sent to no further server.
-STOPPING_SERVERS = 2
+CALL_STOP_SERVERS = 2
 #: Seconds after which a caller may retry a request whose trial went to another copy, or
 #: for whose trial the store did not answer.
-UNGRANTED_SECONDS = 5.0
+NO_TRIAL_RETRY_SECONDS = 5.0
 
 log = logging.getLogger('crashes')
 
@@ -35,7 +35,7 @@
     """Listener for crashes that this instance saw, to report them to others."""
 
     @abstractmethod
-    def saw_end(self, key: RequestKey, query_by_server: dict[str, str]) -> None:
+    def on_crash(self, key: RequestKey, query_by_server: dict[str, str]) -> None:
         """Handle a crash during a request, given all its crashed servers known here."""
 
 
@@ -51,9 +51,9 @@
     #: Number of refused calls, for the metrics.
     refused: int = 0
     #: Recent requests whose connections broke at servers with an open port.
-    broken: BrokenRequests = Factory(BrokenRequests)
+    broken_requests: BrokenRequests = Factory(BrokenRequests)
     #: Detection of crashes by changes of the registered servers.
-    starts: StartWatch = Factory(StartWatch)
+    restarts: RestartDetector = Factory(RestartDetector)
 
     async def refuse(self, call: Call) -> NotRun | None:
         """Return the refusal of a call, or None if the call may be sent.
@@ -62,7 +62,7 @@
         second server runs it. The refusal is immediate: no slot, probe, position in
         the queue or budget is used.
         """
-        if not self._may_know(call):
+        if not self._may_be_suspect(call):
             return None
         key = key_of(call)
         decision = self.registry.decide(key, query_of(call), self.clock.monotonic())
@@ -74,7 +74,7 @@
                 # A server that sheds the trial counts as one that it reached, too.
                 call.max_attempts = 1
                 return None
-            decision = Decision(Verdict.REFUSED, UNGRANTED_SECONDS)
+            decision = Decision(Verdict.REFUSED, NO_TRIAL_RETRY_SECONDS)
         self.refused += 1
         log.info(
             'crashes: %s is refused, it crashed servers. request=%s back_s=%.0f',
@@ -85,11 +85,11 @@
         detail = 'Servers crashed during this request.'
         return NotRun(Reason.CRASHES, detail, retry_after=decision.retry_after)
 
-    def _may_know(self, call: Call) -> bool:
+    def _may_be_suspect(self, call: Call) -> bool:
         by_target = self.registry.count_by_target
         return bool(by_target) and target_of(call) in by_target
 
-    async def examine(
+    async def detect_crash(
         self, call: Call, server: str, address: Address, *, is_cold: bool = False
     ) -> bool:
         """Return whether a server whose connection broke has crashed, and record it.
@@ -97,14 +97,14 @@
         A refused connection takes one round trip, 0.4 ms in the instance's own zone.
         """
         with trio.CancelScope(shield=True):
-            is_seen = await has_ended(address)
+            has_crashed = await refuses_connection(address)
         now = self.clock.monotonic()
         broken = BrokenRequest(server, key_of(call), query_of(call), is_cold, now)
-        if not is_seen:
-            self.broken.add(broken)
+        if not has_crashed:
+            self.broken_requests.add(broken)
             return False
-        servers = self._count(broken)
-        call.is_suspect = call.is_suspect or is_cold or servers >= STOPPING_SERVERS
+        servers = self._record_crash(broken)
+        call.is_suspect = call.is_suspect or is_cold or servers >= CALL_STOP_SERVERS
         return True
 
     def update(self, config: AcceptedConfig) -> None:
@@ -115,16 +115,16 @@
         when they were, in three runs (12 servers, 3 instances).
         """
         now = self.clock.monotonic()
-        for server in self.starts.update(config.document.register.backends, now):
-            for broken in self.broken.take(server, now):
+        for server in self.restarts.update(config.document.register.backends, now):
+            for broken in self.broken_requests.take(server, now):
                 log.info(
                     'crashes: %s had crashed when its connection broke. request=%s',
                     server,
                     broken.key,
                 )
-                self._count(broken)
+                self._record_crash(broken)
 
-    def _count(self, broken: BrokenRequest) -> int:
+    def _record_crash(self, broken: BrokenRequest) -> int:
         """Record a crash and notify the listeners; return the number of crashes."""
         key, now = broken.key, self.clock.monotonic()
         servers = self.registry.record_crash(
@@ -132,12 +132,12 @@
         )
         known = self.registry.suspect_by_key[key].record.query_by_server
         for listener in self.listeners:
-            listener.saw_end(key, known)
+            listener.on_crash(key, known)
         return servers
 
     def record_answer(self, call: Call) -> None:
         """Record that a server ran a call and answered it."""
-        if self._may_know(call):
+        if self._may_be_suspect(call):
             self.registry.record_answer(key_of(call), query_of(call))
 
 
@@ -148,10 +148,10 @@
     return guard
 
 
-async def has_ended(address: Address) -> bool:
+async def refuses_connection(address: Address) -> bool:
     """Return whether a connection to an address is refused."""
     family = trio.socket.AF_INET6 if ':' in address.host else trio.socket.AF_INET
-    with trio.socket.socket(family) as sock, trio.move_on_after(CHECK_SECONDS):
+    with trio.socket.socket(family) as sock, trio.move_on_after(PORT_CHECK_SECONDS):
         try:
             await sock.connect((address.host, address.port))
         except ConnectionRefusedError:
--- a/catkinslip/crashes/telling.py
+++ b/catkinslip/crashes/telling.py
@@ -57,7 +57,7 @@
     #: Set while there are crashes to report.
     has_news: trio.Event = Factory(trio.Event)
 
-    def saw_end(self, key: RequestKey, query_by_server: dict[str, str]) -> None:
+    def on_crash(self, key: RequestKey, query_by_server: dict[str, str]) -> None:
         """Queue the last servers that crashed during a request for a datagram."""
         waiting = self.query_by_server_by_key
         if len(waiting) >= MAX_PENDING and key not in waiting:
--- a/catkinslip/crashes/topic.py
+++ b/catkinslip/crashes/topic.py
@@ -33,7 +33,7 @@
     spread_soon: Callable[[], None] = lambda: None
     name = 'crashes'
 
-    def saw_end(self, key: RequestKey, query_by_server: dict[str, str]) -> None:
+    def on_crash(self, key: RequestKey, query_by_server: dict[str, str]) -> None:
         """Start an exchange with several peers after a crash that this instance saw."""
         self.spread_soon()
 
--- a/catkinslip/crashes/unseen.py
+++ b/catkinslip/crashes/unseen.py
@@ -63,7 +63,7 @@
 
 
 @define
-class StartWatch:
+class RestartDetector:
     """Detector of crashes by the incarnation or server that replaces a crashed server.
 
     A server that is removed without a replacement may be unreachable, and one that was
--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -297,7 +297,7 @@
             return False
         server = server_name(launch.backend_id, load.incarnation)
         is_cold = load.is_cold(launch.began)
-        has_ended = await self.guard.examine(
+        has_ended = await self.guard.detect_crash(
             self.call, server, launch.attempt.address, is_cold=is_cold
         )
         if self.call.is_suspect:
--- a/tests/test_crashes_sharing.py
+++ b/tests/test_crashes_sharing.py
@@ -7,7 +7,7 @@
 
 from catkinslip.clock import SystemClock
 from catkinslip.crashes.base import CrashRecord
-from catkinslip.crashes.guard import UNGRANTED_SECONDS, CrashGuard
+from catkinslip.crashes.guard import NO_TRIAL_RETRY_SECONDS, CrashGuard
 from catkinslip.crashes.identity import RequestKey, key_of, query_of
 from catkinslip.crashes.keeper import CrashKeeper
 from catkinslip.crashes.objects import ObjectCrashes, record_from_plain, record_to_plain
@@ -75,7 +75,7 @@
                 crashes = {
                     f'i-{each:010x}/1778000000000': 'f' * 16 for each in range(3)
                 }
-                teller.saw_end(key, crashes)
+                teller.on_crash(key, crashes)
             with trio.move_on_after(0.5):
                 await teller.run()
 
@@ -146,7 +146,7 @@
     def test_without_a_store_there_is_none(self):
         guard, call = self.guilty_guard()
         refusal = trio.run(guard.refuse, call)
-        self.assertEqual(refusal.retry_after, UNGRANTED_SECONDS)
+        self.assertEqual(refusal.retry_after, NO_TRIAL_RETRY_SECONDS)
 
     def test_two_instances_get_one(self):
         store = ObjectCrashes(EmbeddedStore())
--- a/tests/test_crashes_unseen.py
+++ b/tests/test_crashes_unseen.py
@@ -17,7 +17,7 @@
     MAX_BREAKS,
     BrokenRequest,
     BrokenRequests,
-    StartWatch,
+    RestartDetector,
 )
 from catkinslip.wiring.entry import Entry
 from standins.workers import Fault
@@ -171,7 +171,7 @@
     """Detection of crashed servers by the registered ones."""
 
     def setUp(self):
-        self.watch = StartWatch()
+        self.watch = RestartDetector()
         self.watch.update({'i-1': backend(80, incarnation=1)}, 10.0)
 
     def test_another_start_shows_the_end_of_the_one_before(self):
--- a/tests/test_limits_attempts.py
+++ b/tests/test_limits_attempts.py
@@ -326,7 +326,7 @@
             finish(router, backend_id, result, now)
 
         with (
-            mock.patch.object(CrashGuard, 'examine', examine_slowly),
+            mock.patch.object(CrashGuard, 'detect_crash', examine_slowly),
             mock.patch.object(ServiceRouter, 'finished', count),
         ):
             result = forward(['slow', 'break'], repeatable=True, tokens=10.0)
