--- a/catkinslip/crashes/guard.py
+++ b/catkinslip/crashes/guard.py
@@ -10,9 +10,9 @@
 from catkinslip.config.documents import AcceptedConfig
 from catkinslip.crashes.base import CrashStore
 from catkinslip.crashes.identity import RequestKey, key_of, query_of, target_of
-from catkinslip.crashes.keeper import CrashKeeper
 from catkinslip.crashes.registry import CrashRegistry
 from catkinslip.crashes.suspect import Decision, Verdict
+from catkinslip.crashes.synchronizer import CrashSynchronizer
 from catkinslip.crashes.unseen import BrokenRequest, BrokenRequests, RestartDetector
 from catkinslip.models import Address
 from catkinslip.proxy.calls import Call
@@ -46,7 +46,7 @@
     clock: Clock
     registry: CrashRegistry = Factory(CrashRegistry)
     #: Source of trials; None without a store, so that no trial is granted.
-    keeper: CrashKeeper | None = None
+    synchronizer: CrashSynchronizer | None = None
     listeners: list[CrashListener] = Factory(list)
     #: Number of refused calls, for the metrics.
     refused: int = 0
@@ -70,7 +70,9 @@
         if decision.verdict in (Verdict.FREE, Verdict.ALONE):
             return None
         if decision.verdict is Verdict.TRIAL:
-            if self.keeper is not None and await self.keeper.grant_trial(key):
+            if self.synchronizer is not None and await self.synchronizer.claim_trial(
+                key
+            ):
                 # A server that sheds the trial counts as one that it reached, too.
                 call.max_attempts = 1
                 return None
@@ -144,7 +146,7 @@
 def make_guard(clock: Clock, store: CrashStore) -> CrashGuard:
     """Return a guard whose registry is synchronized with a store."""
     guard = CrashGuard(clock)
-    guard.keeper = CrashKeeper(guard.registry, store, clock)
+    guard.synchronizer = CrashSynchronizer(guard.registry, store, clock)
     return guard
 
 
--- a/catkinslip/crashes/keeper.py
+++ b/catkinslip/crashes/synchronizer.py
@@ -15,19 +15,19 @@
 
 #: Seconds between two writes of an instance. 313 instances make at most 1,252 writes a
 #: second, where their store accepts 3,200; 17 make 68, where theirs accepts 400.
-SAVE_SECONDS = 0.25
+SAVE_INTERVAL_SECONDS = 0.25
 #: Seconds until the next call after a refused write or deletion.
 RETRY_SECONDS = 0.5
 #: Seconds for which a request waits for the store's answer on its trial.
-TRIAL_ANSWER_SECONDS = 0.3
+TRIAL_TIMEOUT_SECONDS = 0.3
 #: Seconds between two removals of expired suspects.
-FORGET_SECONDS = 60.0
+EXPIRY_INTERVAL_SECONDS = 60.0
 
 log = logging.getLogger('crashes')
 
 
 @define
-class CrashKeeper:
+class CrashSynchronizer:
     """Writer of the changes of a crash registry to a store, one record at a time."""
 
     registry: CrashRegistry
@@ -42,15 +42,15 @@
                 await self.registry.has_unsaved.wait()
                 for suspect in self.registry.list_unsaved():
                     await self._save(suspect)
-                    await trio.sleep(SAVE_SECONDS)
+                    await trio.sleep(SAVE_INTERVAL_SECONDS)
 
-    async def grant_trial(self, key: RequestKey) -> bool:
+    async def claim_trial(self, key: RequestKey) -> bool:
         """Return whether the store grants the next trial, one for all instances."""
         suspect = self.registry.suspect_by_key.get(key)
         if suspect is None:
             return False
         record = evolve(suspect.record, trials=suspect.record.trials + 1)
-        with trio.move_on_after(TRIAL_ANSWER_SECONDS):
+        with trio.move_on_after(TRIAL_TIMEOUT_SECONDS):
             match await self.store.write(record):
                 case Success(stored):
                     self.registry.mark_saved(stored, self.clock.monotonic())
@@ -63,7 +63,7 @@
                     )
                     return True
                 case Failure(Conflict()):
-                    await self._read(key)
+                    await self._reload(key)
                 case Failure(error):
                     log.info(
                         'crashes: trial not granted. request=%s error=%s', key, error
@@ -79,7 +79,7 @@
             case Success(stored):
                 self.registry.mark_saved(stored, self.clock.monotonic())
             case Failure(Conflict()):
-                await self._read(record.key)
+                await self._reload(record.key)
             case Failure(error):
                 log.warning(
                     'crashes: record not written yet. request=%s error=%s',
@@ -88,7 +88,7 @@
                 )
                 await trio.sleep(RETRY_SECONDS)
 
-    async def _read(self, key: RequestKey) -> None:
+    async def _reload(self, key: RequestKey) -> None:
         """Apply the record that another instance wrote in the meantime."""
         match await self.store.read(key):
             case Success(CrashRecord() as record):
@@ -103,7 +103,7 @@
             case Success(_):
                 self.registry.mark_deleted(record.key)
             case Failure(Conflict()):
-                await self._read(record.key)
+                await self._reload(record.key)
             case Failure(error):
                 log.warning(
                     'crashes: record not deleted. request=%s error=%s',
@@ -114,6 +114,6 @@
 
     async def _remove_expired(self) -> None:
         while True:
-            await trio.sleep(FORGET_SECONDS)
+            await trio.sleep(EXPIRY_INTERVAL_SECONDS)
             for record in self.registry.remove_expired(self.clock.monotonic()):
                 await self._delete(record)
--- a/catkinslip/wiring/daemon.py
+++ b/catkinslip/wiring/daemon.py
@@ -9,7 +9,7 @@
 from catkinslip.config.watcher import ConfigWatcher
 from catkinslip.control.app import ControlSurface
 from catkinslip.control.operators import OperatorPages
-from catkinslip.crashes.keeper import CrashKeeper
+from catkinslip.crashes.synchronizer import CrashSynchronizer
 from catkinslip.crashes.topic import CrashTopic
 from catkinslip.health.drain_gossip import DrainGossip
 from catkinslip.health.list_reader import InstanceListReader
@@ -45,7 +45,7 @@
     spreader: DrainGossip
     lister: InstanceListReader
     hedges: HedgeTimer
-    crash_keeper: CrashKeeper
+    crash_keeper: CrashSynchronizer
     metrics: Metrics
 
     def tasks(self) -> tuple[Callable[[], Awaitable[None]], ...]:
@@ -88,7 +88,7 @@
         spreader=DrainGossip(health, peers, environment.random),
         lister=InstanceListReader(store, health, shared.is_reader),
         hedges=hedges,
-        crash_keeper=shared.guard.keeper,
+        crash_keeper=shared.guard.synchronizer,
         metrics=shared.metrics,
     )
 
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -171,7 +171,7 @@
             self.sampler.run,
             self.crashes.run,
             self.evacuations.run,
-            self.guard.keeper.run,
+            self.guard.synchronizer.run,
             self.teller.run,
             self.rate_teller.run,
         )
--- a/tests/test_crashes_sharing.py
+++ b/tests/test_crashes_sharing.py
@@ -9,10 +9,10 @@
 from catkinslip.crashes.base import CrashRecord
 from catkinslip.crashes.guard import NO_TRIAL_RETRY_SECONDS, CrashGuard
 from catkinslip.crashes.identity import RequestKey, key_of, query_of
-from catkinslip.crashes.keeper import CrashKeeper
 from catkinslip.crashes.objects import ObjectCrashes, record_from_plain, record_to_plain
 from catkinslip.crashes.registry import MAX_SERVERS, CrashRegistry
 from catkinslip.crashes.suspect import Verdict
+from catkinslip.crashes.synchronizer import CrashSynchronizer
 from catkinslip.crashes.telling import CrashTeller
 from catkinslip.crashes.topic import MAX_REPORTS, CrashTopic
 from catkinslip.store.base import Conflict
@@ -153,7 +153,7 @@
         granted = []
         for _ in range(2):
             guard, call = self.guilty_guard()
-            guard.keeper = CrashKeeper(guard.registry, store, guard.clock)
+            guard.synchronizer = CrashSynchronizer(guard.registry, store, guard.clock)
             granted.append(trio.run(guard.refuse, call) is None)
         self.assertEqual(granted, [True, False])
         self.assertEqual(call.max_attempts, None)
