--- a/catkinslip/crashes/telling.py
+++ b/catkinslip/crashes/publisher.py
@@ -37,11 +37,11 @@
 
 log = logging.getLogger('crashes')
 
-Post = Callable[[bytes, list[Address]], None]
+SendDatagram = Callable[[bytes, list[Address]], None]
 
 
 @define
-class CrashTeller(CrashListener):
+class CrashPublisher(CrashListener):
     """Exchange of crash reports with other instances by datagrams."""
 
     #: ID of this instance, which its datagrams carry.
@@ -51,53 +51,53 @@
     #: Returns the addresses of the other instances that serve.
     targets: Callable[[], list[Address]]
     #: Sends a datagram to several addresses.
-    post: Post
+    send: SendDatagram
     #: Crashes to report: the query that each server ran, by request.
     query_by_server_by_key: dict[RequestKey, dict[str, str]] = Factory(dict)
     #: Set while there are crashes to report.
-    has_news: trio.Event = Factory(trio.Event)
+    has_updates: trio.Event = Factory(trio.Event)
 
     def on_crash(self, key: RequestKey, query_by_server: dict[str, str]) -> None:
         """Queue the last servers that crashed during a request for a datagram."""
-        waiting = self.query_by_server_by_key
-        if len(waiting) >= MAX_PENDING and key not in waiting:
+        pending = self.query_by_server_by_key
+        if len(pending) >= MAX_PENDING and key not in pending:
             log.info('crashes: too many requests wait to be reported. request=%s', key)
             return
-        waiting[key] = dict(list(query_by_server.items())[-VERDICT_SERVERS:])
-        self.has_news.set()
+        pending[key] = dict(list(query_by_server.items())[-VERDICT_SERVERS:])
+        self.has_updates.set()
 
     async def run(self) -> None:
         """Send datagrams with crash reports until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                await self.has_news.wait()
-                data = self._take_datagram()
-                self.post(data, self.targets())
+                await self.has_updates.wait()
+                data = self._pop_datagram()
+                self.send(data, self.targets())
                 nursery.start_soon(self._repeat, data)
                 await trio.sleep(FLUSH_SECONDS)
 
     async def _repeat(self, data: bytes) -> None:
         await trio.sleep(REPEAT_SECONDS)
-        self.post(data, self.targets())
+        self.send(data, self.targets())
 
-    def _take_datagram(self) -> bytes:
-        waiting = self.query_by_server_by_key
-        told = [
-            CrashReport(key, waiting.pop(key)) for key in list(waiting)[:MAX_REPORTS]
+    def _pop_datagram(self) -> bytes:
+        pending = self.query_by_server_by_key
+        reports = [
+            CrashReport(key, pending.pop(key)) for key in list(pending)[:MAX_REPORTS]
         ]
-        if not waiting:
-            self.has_news = trio.Event()
-        return orjson.dumps({'ends': reports_to_plain(told), 'by': self.own_id})
+        if not pending:
+            self.has_updates = trio.Event()
+        return orjson.dumps({'ends': reports_to_plain(reports), 'by': self.own_id})
 
-    def take(self, told: dict) -> None:
+    def apply_datagram(self, datagram: dict) -> None:
         """Apply a datagram; raise one of `messages.MALFORMED` if it is malformed."""
-        teller = str(told['by'])
-        for each in reports_from_plain(told['ends']):
+        peer = str(datagram['by'])
+        for each in reports_from_plain(datagram['ends']):
             crashes = each.query_by_server
             if not 1 <= len(crashes) <= VERDICT_SERVERS:
                 raise ValueError(
                     f'a crash report has {len(crashes)} servers, allowed are 1 to 3'
                 )
             self.registry.apply_peer_report(
-                each.key, crashes, self.clock.monotonic(), teller
+                each.key, crashes, self.clock.monotonic(), peer
             )
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -11,8 +11,8 @@
 from catkinslip.config.holder import ConfigHolder
 from catkinslip.crashes.base import CrashRecord, CrashStore
 from catkinslip.crashes.guard import CrashGuard, make_guard
+from catkinslip.crashes.publisher import CrashPublisher
 from catkinslip.crashes.registry import CrashRegistry
-from catkinslip.crashes.telling import CrashTeller
 from catkinslip.discovery.answers import PeerAnswers
 from catkinslip.discovery.assembly import Assembler
 from catkinslip.discovery.base import (
@@ -142,7 +142,7 @@
     crashes: Follower[CrashRecord]
     evacuations: Follower[ZoneEvacuation]
     guard: CrashGuard
-    teller: CrashTeller
+    teller: CrashPublisher
     rate_teller: RateTeller
     sources: tuple[MetricSource, ...]
 
@@ -227,7 +227,7 @@
     def serving_addresses() -> list[Address]:
         return [Address.parse(each.report_address) for each in instances.serving()]
 
-    teller = CrashTeller(
+    teller = CrashPublisher(
         settings.own.instance_id,
         guard.registry,
         clock,
@@ -246,7 +246,7 @@
     )
     directory.on_rate_seen = rate_teller.saw
     sharer.handler_by_topic = {
-        'ends': teller.take,
+        'ends': teller.apply_datagram,
         'rates': rate_teller.take_rates,
         'doubts': rate_teller.take_doubts,
     }
--- a/tests/test_crashes_sharing.py
+++ b/tests/test_crashes_sharing.py
@@ -10,10 +10,10 @@
 from catkinslip.crashes.guard import NO_TRIAL_RETRY_SECONDS, CrashGuard
 from catkinslip.crashes.identity import RequestKey, key_of, query_of
 from catkinslip.crashes.objects import ObjectCrashes, record_from_plain, record_to_plain
+from catkinslip.crashes.publisher import CrashPublisher
 from catkinslip.crashes.registry import MAX_SERVERS, CrashRegistry
 from catkinslip.crashes.suspect import Verdict
 from catkinslip.crashes.synchronizer import CrashSynchronizer
-from catkinslip.crashes.telling import CrashTeller
 from catkinslip.crashes.topic import MAX_REPORTS, CrashTopic
 from catkinslip.store.base import Conflict
 from catkinslip.store.embedded import EmbeddedStore
@@ -60,14 +60,14 @@
 class DatagramTest(unittest.TestCase):
     """Datagrams with crash reports between instances on the platform."""
 
-    def teller(self, registry: CrashRegistry, posted: list) -> CrashTeller:
-        return CrashTeller(
-            'edge-1', registry, SystemClock(), list, lambda data, _: posted.append(data)
+    def publisher(self, registry: CrashRegistry, sent: list) -> CrashPublisher:
+        return CrashPublisher(
+            'edge-1', registry, SystemClock(), list, lambda data, _: sent.append(data)
         )
 
     def test_each_end_goes_out_twice_and_fits_a_packet(self):
-        posted: list[bytes] = []
-        teller = self.teller(CrashRegistry(), posted)
+        sent: list[bytes] = []
+        publisher = self.publisher(CrashRegistry(), sent)
 
         async def run():
             for number in range(20):
@@ -75,18 +75,18 @@
                 crashes = {
                     f'i-{each:010x}/1778000000000': 'f' * 16 for each in range(3)
                 }
-                teller.on_crash(key, crashes)
+                publisher.on_crash(key, crashes)
             with trio.move_on_after(0.5):
-                await teller.run()
+                await publisher.run()
 
         trio.run(run)
-        self.assertEqual(len(posted), 2 * len(set(posted)))
-        self.assertLess(max(map(len, posted)), 1472)
+        self.assertEqual(len(sent), 2 * len(set(sent)))
+        self.assertLess(max(map(len, sent)), 1472)
 
     def test_malformed_datagrams_are_refused(self):
-        teller = self.teller(CrashRegistry(), [])
+        publisher = self.publisher(CrashRegistry(), [])
         servers = {f'i-{number}': 'q' for number in range(MAX_SERVERS)}
-        for told in (
+        for datagram in (
             {},
             {'by': 'x'},
             {'by': 'x', 'ends': 7},
@@ -94,7 +94,7 @@
             {'by': 'x', 'ends': [['t', 'c', servers]]},
         ):
             with self.assertRaises((AttributeError, KeyError, TypeError, ValueError)):
-                teller.take(told)
+                publisher.apply_datagram(datagram)
 
 
 class RecordTest(unittest.TestCase):
