--- a/catkinslip/crashes/topic.py
+++ b/catkinslip/crashes/topic.py
@@ -30,12 +30,12 @@
     #: Returns the time of a monotonic clock, in seconds.
     monotonic: Callable[[], float]
     #: Starts an exchange with several peers at once.
-    spread_soon: Callable[[], None] = lambda: None
+    gossip_soon: Callable[[], None] = lambda: None
     name = 'crashes'
 
     def on_crash(self, key: RequestKey, query_by_server: dict[str, str]) -> None:
         """Start an exchange with several peers after a crash that this instance saw."""
-        self.spread_soon()
+        self.gossip_soon()
 
     def digest(self) -> Any:
         """Return a hash of all known crashes."""
@@ -56,11 +56,11 @@
             for key, each in most_severe[:MAX_REPORTS]
         )
 
-    def receive(self, news: Any) -> None:
+    def receive(self, reports: Any) -> None:
         """Apply the crash reports of a peer; raise ValueError if they are malformed."""
         now = self.monotonic()
         try:
-            for each in reports_from_plain(news):
+            for each in reports_from_plain(reports):
                 self.registry.apply_peer_report(
                     each.key, each.query_by_server, now, 'a peer'
                 )
--- a/catkinslip/wiring/daemon.py
+++ b/catkinslip/wiring/daemon.py
@@ -113,7 +113,7 @@
         settings.peer_interval,
         PEER_TIMEOUT_SECONDS,
     )
-    crash_topic.spread_soon = peers.spread_soon
+    crash_topic.gossip_soon = peers.spread_soon
     shared.guard.listeners.append(crash_topic)
     return peers
 
--- a/tests/test_crashes_sharing.py
+++ b/tests/test_crashes_sharing.py
@@ -47,14 +47,14 @@
         registry = registry_with(3)
         for number in range(3 * MAX_REPORTS):
             registry.record_crash(RequestKey(f't{number}', 'c'), 'q', 'i-1/1', NOW)
-        news = self.topic(registry).news_for(None)
-        self.assertEqual(len(news), MAX_REPORTS)
-        self.assertEqual(news[0][:2], [KEY.target, KEY.content])
+        reports = self.topic(registry).news_for(None)
+        self.assertEqual(len(reports), MAX_REPORTS)
+        self.assertEqual(reports[0][:2], [KEY.target, KEY.content])
 
     def test_malformed_news_are_refused(self):
-        for news in MALFORMED_ENDS:
+        for reports in MALFORMED_ENDS:
             with self.assertRaises(ValueError):
-                self.topic(CrashRegistry()).receive(news)
+                self.topic(CrashRegistry()).receive(reports)
 
 
 class DatagramTest(unittest.TestCase):
