--- a/catkinslip/crashes/identity.py
+++ b/catkinslip/crashes/identity.py
@@ -20,7 +20,7 @@
 #: is needed.
 TARGET_BYTES = 8
 #: Header that identifies the caller, where a service requires it.
-CREDENTIALS = b'authorization'
+CREDENTIALS_HEADER = b'authorization'
 
 
 @frozen(cache_hash=True)
@@ -43,7 +43,7 @@
     """
     host = names.find(call.headers, b'host') or b''
     path = call.target.partition(b'?')[0]
-    return hash_of((call.method, host.lower(), path), TARGET_BYTES)
+    return hash_parts((call.method, host.lower(), path), TARGET_BYTES)
 
 
 def key_of(call: Call) -> RequestKey:
@@ -54,18 +54,18 @@
     crashed during a request for the same target.
     """
     target = target_of(call)
-    credentials = names.find(call.headers, CREDENTIALS) or b''
+    credentials = names.find(call.headers, CREDENTIALS_HEADER) or b''
     streamed = b'' if call.rest is None else b'%d' % (call.rest.length or 0)
     parts = (target.encode(), credentials, streamed, call.body)
-    return RequestKey(target, hash_of(parts, CONTENT_BYTES))
+    return RequestKey(target, hash_parts(parts, CONTENT_BYTES))
 
 
 def query_of(call: Call) -> str:
     """Return a hash of a request's query, which may differ between crashing copies."""
-    return hash_of((call.target.partition(b'?')[2],), TARGET_BYTES)
+    return hash_parts((call.target.partition(b'?')[2],), TARGET_BYTES)
 
 
-def hash_of(parts: tuple[bytes, ...], size: int) -> str:
+def hash_parts(parts: tuple[bytes, ...], size: int) -> str:
     """Return a hash of several parts in their order."""
     digest = blake2b(digest_size=size)
     for part in parts:
--- a/catkinslip/crashes/objects.py
+++ b/catkinslip/crashes/objects.py
@@ -16,7 +16,7 @@
 
 
 @define
-class ObjectCrashes(CrashStore):
+class ObjectCrashStore(CrashStore):
     """Crash store with one object for each request during which servers crashed."""
 
     store: ObjectStore
--- a/catkinslip/wiring/shared.py
+++ b/catkinslip/wiring/shared.py
@@ -11,7 +11,7 @@
 from catkinslip.config.holder import ConfigHolder
 from catkinslip.control.paths import SECRET_HEADER
 from catkinslip.crashes.guard import CrashGuard, make_guard
-from catkinslip.crashes.objects import ObjectCrashes
+from catkinslip.crashes.objects import ObjectCrashStore
 from catkinslip.environment import Environment
 from catkinslip.health.tracker import HealthTracker, make_tracker
 from catkinslip.logs.buffer import LogBuffer
@@ -96,7 +96,7 @@
     health = make_tracker(directory, clock, random, settings.max_instances)
     pool = BackendPool()
     store = CountedStore(make_store(settings, outside, members))
-    guard = make_guard(clock, ObjectCrashes(store))
+    guard = make_guard(clock, ObjectCrashStore(store))
     config.listeners.extend(
         (directory.update, health.update, pool.update, guard.update)
     )
--- a/tests/test_crashes_sharing.py
+++ b/tests/test_crashes_sharing.py
@@ -9,7 +9,11 @@
 from catkinslip.crashes.base import CrashRecord
 from catkinslip.crashes.guard import NO_TRIAL_RETRY_SECONDS, CrashGuard
 from catkinslip.crashes.identity import RequestKey, key_of, query_of
-from catkinslip.crashes.objects import ObjectCrashes, record_from_plain, record_to_plain
+from catkinslip.crashes.objects import (
+    ObjectCrashStore,
+    record_from_plain,
+    record_to_plain,
+)
 from catkinslip.crashes.publisher import CrashPublisher
 from catkinslip.crashes.registry import MAX_SERVERS, CrashRegistry
 from catkinslip.crashes.suspect import Verdict
@@ -102,7 +106,7 @@
 
     def test_write_needs_the_revision_that_is_stored(self):
         async def run():
-            store = ObjectCrashes(EmbeddedStore())
+            store = ObjectCrashStore(EmbeddedStore())
             record = CrashRecord(KEY, {'i-1/1': 'q', 'i-2/1': 'q'})
             written = (await store.write(record)).unwrap()
             self.assertEqual((await store.read(KEY)).unwrap(), written)
@@ -149,7 +153,7 @@
         self.assertEqual(refusal.retry_after, NO_TRIAL_RETRY_SECONDS)
 
     def test_two_instances_get_one(self):
-        store = ObjectCrashes(EmbeddedStore())
+        store = ObjectCrashStore(EmbeddedStore())
         granted = []
         for _ in range(2):
             guard, call = self.guilty_guard()
