--- a/catkinslip/crashes/guard.py
+++ b/catkinslip/crashes/guard.py
@@ -118,7 +118,7 @@
         """
         now = self.clock.monotonic()
         for server in self.restarts.update(config.document.register.backends, now):
-            for broken in self.broken_requests.take(server, now):
+            for broken in self.broken_requests.pop(server, now):
                 log.info(
                     'crashes: %s had crashed when its connection broke. request=%s',
                     server,
--- a/catkinslip/crashes/unseen.py
+++ b/catkinslip/crashes/unseen.py
@@ -16,13 +16,13 @@
 #: Seconds for which a broken connection or a removed server may be followed by the sign
 #: of a crash. The server's entry shows a new incarnation within seconds; a connection
 #: that broke longer before most likely had another cause.
-SUSPICIOUS_SECONDS = 4.0
+CRASH_WINDOW_SECONDS = 4.0
 #: Maximum number of broken connections kept of all servers; a rack that fails breaks
 #: some hundreds.
 MAX_BREAKS = 512
 
 #: Host and port of a server.
-Place = tuple[str, int]
+HostPort = tuple[str, int]
 
 
 def server_name(backend_id: str, incarnation: int) -> str:
@@ -51,9 +51,9 @@
         """Record a request whose connection to a server with an open port broke."""
         self.recent.append(broken)
 
-    def take(self, server: str, now: float) -> list[BrokenRequest]:
+    def pop(self, server: str, now: float) -> list[BrokenRequest]:
         """Remove and return the recent broken requests of a server that has crashed."""
-        while self.recent and now - self.recent[0].at > SUSPICIOUS_SECONDS:
+        while self.recent and now - self.recent[0].at > CRASH_WINDOW_SECONDS:
             self.recent.popleft()
         found = [each for each in self.recent if each.server == server]
         if found:
@@ -74,7 +74,7 @@
     backend_by_id: dict[str, Backend] = Factory(dict)
     #: Servers removed without leaving first, and the times of removal in seconds, by
     #: address.
-    gone_by_place: dict[Place, tuple[str, float]] = Factory(dict)
+    removed_by_address: dict[HostPort, tuple[str, float]] = Factory(dict)
 
     def update(self, backends: dict[str, Backend], now: float) -> list[str]:
         """Apply the registered servers; return those now known to have crashed."""
@@ -87,18 +87,18 @@
                 continue
             if new is None:
                 server = server_name(name, old.incarnation)
-                self.gone_by_place[old.host, old.port] = (server, now)
+                self.removed_by_address[old.host, old.port] = (server, now)
             else:
                 crashed.append(server_name(name, old.incarnation))
         for name in changed - before.keys():
-            place = (backends[name].host, backends[name].port)
-            server, gone_at = self.gone_by_place.pop(place, ('', now))
-            if server and now - gone_at <= SUSPICIOUS_SECONDS:
+            address = (backends[name].host, backends[name].port)
+            server, removed_at = self.removed_by_address.pop(address, ('', now))
+            if server and now - removed_at <= CRASH_WINDOW_SECONDS:
                 crashed.append(server)
         self._remove_expired(now)
         return crashed
 
     def _remove_expired(self, now: float) -> None:
-        for place, (_, gone_at) in list(self.gone_by_place.items()):
-            if now - gone_at > SUSPICIOUS_SECONDS:
-                del self.gone_by_place[place]
+        for address, (_, removed_at) in list(self.removed_by_address.items()):
+            if now - removed_at > CRASH_WINDOW_SECONDS:
+                del self.removed_by_address[address]
--- a/tests/test_crashes_unseen.py
+++ b/tests/test_crashes_unseen.py
@@ -155,45 +155,45 @@
         known = BrokenRequests()
         for _ in range(2 * MAX_BREAKS):
             known.add(broken('i-1/1', 10.0))
-        self.assertEqual(len(known.take('i-1/1', 10.5)), MAX_BREAKS)
-        self.assertEqual(known.take('i-1/1', 10.6), [])
+        self.assertEqual(len(known.pop('i-1/1', 10.5)), MAX_BREAKS)
+        self.assertEqual(known.pop('i-1/1', 10.6), [])
         known.add(broken('i-1/1', 10.0))
-        self.assertEqual(known.take('i-1/1', 100.0), [])
+        self.assertEqual(known.pop('i-1/1', 100.0), [])
 
     def test_breaks_of_another_start_say_nothing(self):
         known = BrokenRequests()
         known.add(broken('i-1/1', 10.0))
-        self.assertEqual(known.take('i-1/2', 10.1), [])
-        self.assertEqual(len(known.take('i-1/1', 10.1)), 1)
+        self.assertEqual(known.pop('i-1/2', 10.1), [])
+        self.assertEqual(len(known.pop('i-1/1', 10.1)), 1)
 
 
 class StartWatchTest(unittest.TestCase):
     """Detection of crashed servers by the registered ones."""
 
     def setUp(self):
-        self.watch = RestartDetector()
-        self.watch.update({'i-1': backend(80, incarnation=1)}, 10.0)
+        self.detector = RestartDetector()
+        self.detector.update({'i-1': backend(80, incarnation=1)}, 10.0)
 
     def test_another_start_shows_the_end_of_the_one_before(self):
-        crashed = self.watch.update({'i-1': backend(80, incarnation=2)}, 11.0)
+        crashed = self.detector.update({'i-1': backend(80, incarnation=2)}, 11.0)
         self.assertEqual(crashed, ['i-1/1'])
 
     def test_another_server_at_the_address_does_too(self):
-        self.assertEqual(self.watch.update({}, 11.0), [])
-        self.assertEqual(self.watch.update({'i-2': backend(80)}, 12.0), ['i-1/1'])
+        self.assertEqual(self.detector.update({}, 11.0), [])
+        self.assertEqual(self.detector.update({'i-2': backend(80)}, 12.0), ['i-1/1'])
 
     def test_who_is_only_gone_may_be_out_of_reach(self):
-        self.assertEqual(self.watch.update({}, 11.0), [])
-        self.assertEqual(self.watch.update({'i-2': backend(81)}, 12.0), [])
-        self.assertEqual(self.watch.update({'i-3': backend(80)}, 99.0), [])
+        self.assertEqual(self.detector.update({}, 11.0), [])
+        self.assertEqual(self.detector.update({'i-2': backend(81)}, 12.0), [])
+        self.assertEqual(self.detector.update({'i-3': backend(80)}, 99.0), [])
 
     def test_who_leaves_or_changes_otherwise_has_not_ended(self):
         slower = backend(80, incarnation=1, slots=1)
-        self.assertEqual(self.watch.update({'i-1': slower}, 11.0), [])
+        self.assertEqual(self.detector.update({'i-1': slower}, 11.0), [])
         leaving = backend(80, incarnation=1, draining=True)
-        self.assertEqual(self.watch.update({'i-1': leaving}, 12.0), [])
+        self.assertEqual(self.detector.update({'i-1': leaving}, 12.0), [])
         again = backend(80, incarnation=2)
-        self.assertEqual(self.watch.update({'i-1': again}, 13.0), [])
+        self.assertEqual(self.detector.update({'i-1': again}, 13.0), [])
 
 
 if __name__ == '__main__':
