--- a/catkinslip/crashes/guard.py
+++ b/catkinslip/crashes/guard.py
@@ -9,11 +9,15 @@
 from catkinslip.clock import Clock
 from catkinslip.config.documents import AcceptedConfig
 from catkinslip.crashes.base import CrashStore
+from catkinslip.crashes.hidden_crashes import (
+    BrokenRequest,
+    BrokenRequests,
+    RestartDetector,
+)
 from catkinslip.crashes.identity import RequestKey, key_of, query_of, target_of
 from catkinslip.crashes.registry import CrashRegistry
 from catkinslip.crashes.suspect import Decision, Verdict
 from catkinslip.crashes.synchronizer import CrashSynchronizer
-from catkinslip.crashes.unseen import BrokenRequest, BrokenRequests, RestartDetector
 from catkinslip.models import Address
 from catkinslip.proxy.calls import Call
 from catkinslip.proxy.outcomes import NotRun, Reason
--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -11,8 +11,8 @@
 
 from catkinslip.clock import Clock
 from catkinslip.crashes.guard import CrashGuard
+from catkinslip.crashes.hidden_crashes import server_name
 from catkinslip.crashes.identity import key_of
-from catkinslip.crashes.unseen import server_name
 from catkinslip.health.base import Sampler
 from catkinslip.health.tracker import Headers, HealthTracker
 from catkinslip.limits.plan import CallPlan, Step
--- a/tests/test_crashes_unseen.py
+++ b/tests/test_crashes_hidden.py
@@ -12,13 +12,13 @@
 import trio
 
 from catkinslip.config.documents import Backend
-from catkinslip.crashes.identity import RequestKey
-from catkinslip.crashes.unseen import (
+from catkinslip.crashes.hidden_crashes import (
     MAX_BREAKS,
     BrokenRequest,
     BrokenRequests,
     RestartDetector,
 )
+from catkinslip.crashes.identity import RequestKey
 from catkinslip.wiring.entry import Entry
 from standins.workers import Fault
 from tests.small_platform import SmallPlatform, on_platform, wait_for
