--- a/catkinslip/store/backoff.py
+++ b/catkinslip/store/backoff.py
@@ -13,15 +13,15 @@
     """Random delays in seconds whose upper bound doubles with each failure."""
 
     #: Upper bound of the first delay, in seconds.
-    first: float = 0.2
+    initial_bound: float = 0.2
     #: Maximum upper bound, in seconds.
-    longest: float = 10.0
+    max_bound: float = 10.0
     #: Number of failures since the last success.
     failures: int = 0
 
     def next_delay(self, random: Random) -> float:
         """Count a failure and return the delay until the next attempt."""
-        bound = min(self.longest, self.first * 2 ** min(self.failures, 32))
+        bound = min(self.max_bound, self.initial_bound * 2 ** min(self.failures, 32))
         self.failures += 1
         return random.uniform(0, bound)
 
--- a/catkinslip/store/budget.py
+++ b/catkinslip/store/budget.py
@@ -13,9 +13,9 @@
 BURST_CALLS = 1.0
 
 
-def share_of(budget: float, most_instances: int, seen_instances: int) -> float:
+def share_of(budget: float, max_instances: int, visible_instances: int) -> float:
     """Return one instance's share of a budget."""
-    return budget / max(1, most_instances, seen_instances)
+    return budget / max(1, max_instances, visible_instances)
 
 
 @define
@@ -33,18 +33,18 @@
 
     def set_rate(self, rate: float, now: float) -> None:
         """Refill the bucket at the old rate and change the rate."""
-        self._fill(now)
+        self._refill(now)
         self.rate = rate
 
     def take(self, now: float) -> float:
         """Take a token and return 0, or return the seconds until there is one."""
-        self._fill(now)
+        self._refill(now)
         if self.tokens >= 1.0:
             self.tokens -= 1.0
             return 0.0
         return (1.0 - self.tokens) / self.rate
 
-    def _fill(self, now: float) -> None:
+    def _refill(self, now: float) -> None:
         since = now if self.filled_at is None else self.filled_at
         self.filled_at = max(now, since)
         gained = max(0.0, now - since) * self.rate
--- a/catkinslip/store/budgeted.py
+++ b/catkinslip/store/budgeted.py
@@ -23,7 +23,7 @@
     #: Budget of the whole system, in calls per second.
     budget: float
     #: Maximum number of instances that may run at once.
-    most_instances: int
+    max_instances: int
     #: Returns the number of instances that this instance sees.
     count_instances: Callable[[], int]
     bucket: TokenBucket
@@ -33,15 +33,15 @@
     ) -> Result[Answer, PlatformError]:
         end = self.clock.monotonic() + MAX_WAIT_SECONDS
         while True:
-            delay = self._take()
+            delay = self._take_token()
             if delay == 0.0:
                 return await send()
             if self.clock.monotonic() + delay > end:
                 return Failure(OverBudget(delay))
             await trio.sleep(delay)
 
-    def _take(self) -> float:
+    def _take_token(self) -> float:
         now = self.clock.monotonic()
-        share = share_of(self.budget, self.most_instances, self.count_instances())
+        share = share_of(self.budget, self.max_instances, self.count_instances())
         self.bucket.set_rate(share, now)
         return self.bucket.take(now)
--- a/catkinslip/store/embedded.py
+++ b/catkinslip/store/embedded.py
@@ -39,7 +39,7 @@
             return Failure(Conflict(version))
         stored = StoredObject(key, version + 1, value)
         self.object_by_key[key] = stored
-        self._signal()
+        self._notify_watchers()
         return Success(stored)
 
     async def delete(self, key: ObjectKey) -> Result[None, PlatformError]:
@@ -68,6 +68,6 @@
         self.instance_by_name[instance.name] = instance
         return Success(None)
 
-    def _signal(self) -> None:
+    def _notify_watchers(self) -> None:
         self.changed.set()
         self.changed = trio.Event()
--- a/catkinslip/store/http.py
+++ b/catkinslip/store/http.py
@@ -29,7 +29,7 @@
 #: Errors after which a call is known not to have been sent.
 NOT_SENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
 #: Errors raised when a malformed answer is read.
-NOT_JSON_ERRORS = (cattrs.BaseValidationError, KeyError, TypeError, ValueError)
+MALFORMED_ERRORS = (cattrs.BaseValidationError, KeyError, TypeError, ValueError)
 #: Used where a refusal has no readable Retry-After header.
 DEFAULT_RETRY_AFTER_SECONDS = 1.0
 
@@ -45,7 +45,7 @@
     async def read(self, key: ObjectKey) -> Result[StoredObject | None, PlatformError]:
         """Return an object, or None if there is none."""
         result = await self._call('GET', object_path(key))
-        return result.bind(lambda response: found_object(key, response))
+        return result.bind(lambda response: object_from_response(key, response))
 
     async def write(
         self, key: ObjectKey, value: Any, expected_version: int
@@ -58,7 +58,9 @@
         result = await self._call(
             'PUT', object_path(key), content=orjson.dumps(value), headers=headers
         )
-        return result.bind(lambda response: written_object(key, value, response))
+        return result.bind(
+            lambda response: written_object_from_response(key, value, response)
+        )
 
     async def delete(self, key: ObjectKey) -> Result[None, PlatformError]:
         """Delete an object if there is one."""
@@ -76,12 +78,12 @@
             params=parameters,
             timeout=wait + self.timeout,
         )
-        return result.bind(lambda response: found_object(key, response))
+        return result.bind(lambda response: object_from_response(key, response))
 
     async def list_instances(self) -> Result[list[ListedInstance], PlatformError]:
         """Return the platform's lagging list of live and leaving instances."""
         result = await self._call('GET', '/v1/instances')
-        return result.bind(listed_instances)
+        return result.bind(instances_from_response)
 
     async def announce(self, instance: ListedInstance) -> Result[None, PlatformError]:
         """Add this instance to the platform's list, or mark it as leaving."""
@@ -99,10 +101,10 @@
             return Failure(Unavailable(repr(error)))
         except httpx.HTTPError as error:
             return Failure(AnswerLost(repr(error)))
-        return judge_status(method, response)
+        return check_status(method, response)
 
 
-def judge_status(
+def check_status(
     method: str, response: httpx.Response
 ) -> Result[httpx.Response, PlatformError]:
     """Return a response, or the error that its status stands for."""
@@ -126,7 +128,7 @@
     """Return the version that a conflict response names, or 0 if it names none."""
     try:
         return int(response.json()['version'])
-    except NOT_JSON_ERRORS:
+    except MALFORMED_ERRORS:
         return 0
 
 
@@ -143,7 +145,7 @@
     return f'/v1/objects/{key.kind}/{key.name}'
 
 
-def found_object(
+def object_from_response(
     key: ObjectKey, response: httpx.Response
 ) -> Result[StoredObject | None, PlatformError]:
     """Return the object in a response; None if it is missing or unchanged."""
@@ -152,31 +154,31 @@
     try:
         plain = response.json()
         return Success(StoredObject(key, plain['version'], plain['value']))
-    except NOT_JSON_ERRORS as error:
+    except MALFORMED_ERRORS as error:
         return Failure(
             Unavailable(f'the answer of the platform is malformed: {error!r}')
         )
 
 
-def written_object(
+def written_object_from_response(
     key: ObjectKey, value: Any, response: httpx.Response
 ) -> Result[StoredObject, PlatformError]:
     """Return a written object with the version in a response."""
     try:
         return Success(StoredObject(key, response.json()['version'], value))
-    except NOT_JSON_ERRORS as error:
+    except MALFORMED_ERRORS as error:
         return Failure(
             AnswerLost(f'the answer of the platform is malformed: {error!r}')
         )
 
 
-def listed_instances(
+def instances_from_response(
     response: httpx.Response,
 ) -> Result[list[ListedInstance], PlatformError]:
     """Return the list of instances in a response."""
     try:
         return Success(cattrs.structure(response.json(), list[ListedInstance]))
-    except NOT_JSON_ERRORS as error:
+    except MALFORMED_ERRORS as error:
         return Failure(
             Unavailable(f'the answer of the platform is malformed: {error!r}')
         )
--- a/tests/test_config_spread.py
+++ b/tests/test_config_spread.py
@@ -135,7 +135,7 @@
                 self.assertGreater(calls, share * size * 4.0 * 0.9)
 
     def test_members_split_in_two_stay_within_the_budget(self):
-        share = share_of(100, 17, seen_instances=8)
+        share = share_of(100, 17, visible_instances=8)
         buckets = {f'entry-{number}': TokenBucket(share) for number in range(17)}
         self.assertLessEqual(self.count_calls(buckets, 10.0), 100 * 10.0)
 
--- a/tests/test_platform_contract.py
+++ b/tests/test_platform_contract.py
@@ -249,7 +249,7 @@
             bucket = TokenBucket(0.0)
             budgeted = BudgetedStore(store, SystemClock(), 40.0, 2, lambda: 1, bucket)
             watcher = ConfigWatcher(budgeted, ConfigHolder(), random=Random(1))
-            watcher.backoff.longest = 0.001
+            watcher.backoff.max_bound = 0.001
             began = trio.current_time()
             with trio.move_on_after(2.0):
                 await watcher.run()
