--- a/tests/test_crashes_hidden.py
+++ b/tests/test_crashes_hidden.py
@@ -31,12 +31,12 @@
 #: Seconds after the third crash, after which few more may follow. The bound is 3 s;
 #: a new incarnation is seen after the socket was held and after a watch and a poll.
 WINDOW_SECONDS = 2.0
-PLAY_SECONDS = 6.0
+SEND_SECONDS = 6.0
 PAUSE_SECONDS = 0.08
-BOUND = 3
+MAX_LATE_CRASHES = 3
 
 
-async def held_fleet(platform: SmallPlatform, **fields) -> None:
+async def fleet_with_held_sockets(platform: SmallPlatform, **fields) -> None:
     """Start servers whose sockets outlive their processes, and instances."""
     platform.held_seconds = HELD_SECONDS
     for number in range(SERVERS):
@@ -47,21 +47,23 @@
         await platform.add_entry()
 
 
-async def ask_often(platform: SmallPlatform, path: str, seconds: float) -> list[float]:
+async def send_copies(
+    platform: SmallPlatform, path: str, seconds: float
+) -> list[float]:
     """Send copies of a request for some seconds; return the times of crashes."""
     end = trio.current_time() + seconds
-    ended_at: list[float] = []
+    crashed_at: list[float] = []
     number = 0
     while trio.current_time() < end:
         number += 1
         await platform.get(path, number % INSTANCES, request_id=f'c{number}')
-        new = platform.crashes(path) - len(ended_at)
-        ended_at += [trio.current_time()] * new
+        new = platform.crashes(path) - len(crashed_at)
+        crashed_at += [trio.current_time()] * new
         await trio.sleep(PAUSE_SECONDS)
-    return ended_at
+    return crashed_at
 
 
-def knows_leaving(entry: Entry) -> bool:
+def sees_all_leaving(entry: Entry) -> bool:
     """Return whether all servers are leaving in the view of an instance."""
     return all(it.is_draining for it in entry.assembler.current_backends.values())
 
@@ -71,21 +73,21 @@
 
     def test_few_servers_end_once_three_did(self):
         async def check(platform):
-            await held_fleet(platform, crashing_paths={CRASHING})
-            ended_at = await ask_often(platform, CRASHING, PLAY_SECONDS)
-            self.assertGreaterEqual(len(ended_at), 3)
-            late = [at for at in ended_at if at > ended_at[2] + WINDOW_SECONDS]
-            self.assertLessEqual(len(late), BOUND)
+            await fleet_with_held_sockets(platform, crashing_paths={CRASHING})
+            crashed_at = await send_copies(platform, CRASHING, SEND_SECONDS)
+            self.assertGreaterEqual(len(crashed_at), 3)
+            late = [at for at in crashed_at if at > crashed_at[2] + WINDOW_SECONDS]
+            self.assertLessEqual(len(late), MAX_LATE_CRASHES)
 
         on_platform(check)
 
     def test_servers_that_live_and_reset_condemn_no_request(self):
         async def check(platform):
-            await held_fleet(platform)
+            await fleet_with_held_sockets(platform)
             workers = list(platform.worker_by_id.values())
             for worker in workers:
                 worker.fault = Fault.RESET
-            await ask_often(platform, '/q/a', 1.0)
+            await send_copies(platform, '/q/a', 1.0)
             for worker in workers:
                 worker.fault = Fault.NONE
             for entry in platform.entries:
@@ -97,7 +99,7 @@
 
     def test_innocent_beside_servers_that_end_by_themselves_is_served(self):
         async def check(platform):
-            await held_fleet(platform)
+            await fleet_with_held_sockets(platform)
             statuses = []
             for number in range(12):
                 if number % 4 == 0:
@@ -115,10 +117,10 @@
 
     def test_server_that_leaves_is_no_end(self):
         async def check(platform):
-            await held_fleet(platform)
+            await fleet_with_held_sockets(platform)
             for worker in platform.worker_by_id.values():
                 worker.fault = Fault.RESET
-            await ask_often(platform, '/q/a', 0.5)
+            await send_copies(platform, '/q/a', 0.5)
             store = platform.store
             for name in list(platform.worker_by_id):
                 item = store.item_by_key['servers', name]
@@ -126,12 +128,12 @@
                 store.put('servers', name, item['spec'], status)
             entries = platform.entries
             # A server is leaving for seconds, so that each instance sees it.
-            await wait_for(lambda: all(map(knows_leaving, entries)))
+            await wait_for(lambda: all(map(sees_all_leaving, entries)))
             for name in list(platform.worker_by_id):
                 item = store.item_by_key['servers', name]
                 born = {**item['spec'], 'born': 7}
                 store.put('servers', name, born, {**item['status'], 'state': 'ready'})
-            await wait_for(lambda: not any(map(knows_leaving, entries)))
+            await wait_for(lambda: not any(map(sees_all_leaving, entries)))
             for entry in entries:
                 self.assertEqual(entry.book.suspect_by_key, {})
 
@@ -167,7 +169,7 @@
         self.assertEqual(len(known.pop('i-1/1', 10.1)), 1)
 
 
-class StartWatchTest(unittest.TestCase):
+class RestartDetectorTest(unittest.TestCase):
     """Detection of crashed servers by the registered ones."""
 
     def setUp(self):
--- a/tests/test_crashes_incident.py
+++ b/tests/test_crashes_incident.py
@@ -34,9 +34,9 @@
 RESTART_SECONDS = 0.2
 #: Seconds after the third crash within which every instance must refuse the request.
 WINDOW_SECONDS = 1.0
-PLAY_SECONDS = 3.0
+SEND_SECONDS = 3.0
 PAUSE_SECONDS = 0.04
-BOUND = 3
+MAX_LATE_CRASHES = 3
 CRASHING = '/q/crashes'
 
 
@@ -56,7 +56,7 @@
             nursery.start_soon(platform.get, '/q/a', number % INSTANCES)
 
 
-async def patient_fleet(platform: SmallPlatform) -> None:
+async def fleet_with_long_timeouts(platform: SmallPlatform) -> None:
     """Start the same fleet, with time-outs that a busy machine does not exceed."""
     platform.store.put('config', 'main', config_spec('0000000b', GENEROUS_SECONDS))
     platform.deadline_ms = int(GENEROUS_SECONDS * 1000)
@@ -69,8 +69,8 @@
     def test_few_servers_end_once_three_did(self):
         async def check(platform):
             await crash_prone_fleet(platform)
-            end = trio.current_time() + PLAY_SECONDS
-            bound_from, ended_before = None, 0
+            end = trio.current_time() + SEND_SECONDS
+            bound_from, crashed_before = None, 0
             number = 0
             while trio.current_time() < end:
                 number += 1
@@ -81,9 +81,11 @@
                 if bound_from is None and platform.crashes(CRASHING) >= 3:
                     bound_from = trio.current_time() + WINDOW_SECONDS
                 if bound_from is not None and trio.current_time() < bound_from:
-                    ended_before = platform.crashes(CRASHING)
+                    crashed_before = platform.crashes(CRASHING)
             self.assertIsNotNone(bound_from)
-            self.assertLessEqual(platform.crashes(CRASHING) - ended_before, BOUND)
+            self.assertLessEqual(
+                platform.crashes(CRASHING) - crashed_before, MAX_LATE_CRASHES
+            )
 
         on_platform(check)
 
@@ -103,7 +105,7 @@
                     from_address=address,
                 )
                 await trio.sleep(PAUSE_SECONDS)
-            self.assertLessEqual(platform.crashes(CRASHING), 3 + BOUND)
+            self.assertLessEqual(platform.crashes(CRASHING), 3 + MAX_LATE_CRASHES)
 
         on_platform(check)
 
@@ -151,7 +153,9 @@
         await trio.sleep(PAUSE_SECONDS)
 
 
-async def ends_of(platform: SmallPlatform, entry: int, sends: int = 4) -> int:
+async def count_crashes_during(
+    platform: SmallPlatform, entry: int, sends: int = 4
+) -> int:
     """Return how many servers crash during copies sent to one instance."""
     before = platform.crashes(CRASHING)
     for number in range(sends):
@@ -159,60 +163,60 @@
     return platform.crashes(CRASHING) - before
 
 
-class TellingTest(unittest.TestCase):
+class ReportingTest(unittest.TestCase):
     """Refusal by instances that saw none of the crashes."""
 
     def test_others_refuse_what_one_instance_saw(self):
         async def check(platform):
-            await patient_fleet(platform)
+            await fleet_with_long_timeouts(platform)
             await crash(platform, 3)
-            self.assertTrue(await all_know(platform, WINDOW_SECONDS))
+            self.assertTrue(await all_have_verdict(platform, WINDOW_SECONDS))
             for entry in range(1, INSTANCES):
-                self.assertEqual(await ends_of(platform, entry), 0)
+                self.assertEqual(await count_crashes_during(platform, entry), 0)
 
         on_platform(check)
 
     def test_others_know_without_datagrams(self):
         async def check(platform):
-            await patient_fleet(platform)
+            await fleet_with_long_timeouts(platform)
             for entry in platform.entries:
                 entry.teller.targets = list
             await crash(platform, 3)
-            self.assertTrue(await all_know(platform, 2 * WINDOW_SECONDS))
+            self.assertTrue(await all_have_verdict(platform, 2 * WINDOW_SECONDS))
             for entry in range(1, INSTANCES):
-                self.assertEqual(await ends_of(platform, entry), 0)
+                self.assertEqual(await count_crashes_during(platform, entry), 0)
 
         on_platform(check)
 
     def test_others_know_while_the_store_refuses(self):
         async def check(platform):
-            await patient_fleet(platform)
+            await fleet_with_long_timeouts(platform)
             platform.store.faults.refuse_with = 503
             platform.restart_seconds = None
             await crash(platform, 3)
-            self.assertTrue(await all_know(platform, WINDOW_SECONDS))
+            self.assertTrue(await all_have_verdict(platform, WINDOW_SECONDS))
             for entry in range(1, INSTANCES):
-                self.assertEqual(await ends_of(platform, entry), 0)
+                self.assertEqual(await count_crashes_during(platform, entry), 0)
 
         on_platform(check)
 
     def test_instance_that_starts_later_knows(self):
         async def check(platform):
-            await patient_fleet(platform)
+            await fleet_with_long_timeouts(platform)
             await crash(platform, 3)
-            await wait_for(lambda: is_settled(platform.entries[0]))
+            await wait_for(lambda: is_verdict_stored(platform.entries[0]))
             latest = await platform.add_entry()
-            in_time = await wait_at_most(WINDOW_SECONDS, lambda: knows(latest))
+            in_time = await wait_at_most(WINDOW_SECONDS, lambda: has_verdict(latest))
             self.assertTrue(in_time)
-            self.assertEqual(await ends_of(platform, INSTANCES), 0)
+            self.assertEqual(await count_crashes_during(platform, INSTANCES), 0)
 
         on_platform(check)
 
     def test_operator_lets_a_request_through_by_removing_its_record(self):
         async def check(platform):
-            await patient_fleet(platform)
+            await fleet_with_long_timeouts(platform)
             await crash(platform, 3)
-            await wait_for(lambda: all(map(is_settled, platform.entries)))
+            await wait_for(lambda: all(map(is_verdict_stored, platform.entries)))
             for worker in platform.worker_by_id.values():
                 worker.crashing_paths = set()
             self.assertEqual((await platform.get(CRASHING, 1)).status_code, 503)
@@ -229,9 +233,9 @@
 
     def test_trial_reaches_one_server_also_where_it_is_shed(self):
         async def check(platform):
-            await patient_fleet(platform)
+            await fleet_with_long_timeouts(platform)
             await crash(platform, 3)
-            await wait_for(lambda: is_settled(platform.entries[0]))
+            await wait_for(lambda: is_verdict_stored(platform.entries[0]))
             for worker in platform.worker_by_id.values():
                 worker.fault = Fault.SHED
             sheds = 0
@@ -246,9 +250,9 @@
 
     def test_all_instances_together_get_one_trial_and_success_ends_the_verdict(self):
         async def check(platform):
-            await patient_fleet(platform)
+            await fleet_with_long_timeouts(platform)
             await crash(platform, 3)
-            await wait_for(lambda: all(map(is_settled, platform.entries)))
+            await wait_for(lambda: all(map(is_verdict_stored, platform.entries)))
             with mock.patch.object(suspect, 'TRIAL_SECONDS', (0.0, 600.0)):
                 before = platform.crashes(CRASHING)
                 async with trio.open_nursery() as nursery:
@@ -270,12 +274,12 @@
         on_platform(check)
 
 
-class SeenTest(unittest.TestCase):
+class OperatorViewTest(unittest.TestCase):
     """Metrics and log lines of a refused request."""
 
     def test_metrics_tell_ends_verdicts_and_refusals(self):
         async def check(platform):
-            await patient_fleet(platform)
+            await fleet_with_long_timeouts(platform)
             await crash(platform, 3)
             for _ in range(2):
                 await platform.get(CRASHING)
@@ -289,7 +293,7 @@
 
     def test_log_leads_from_a_refused_copy_to_the_servers_that_ended(self):
         async def check(platform):
-            await patient_fleet(platform)
+            await fleet_with_long_timeouts(platform)
             with (
                 self.assertLogs('crashes', 'INFO') as crashes,
                 self.assertLogs('routing', 'INFO') as routing,
@@ -306,17 +310,17 @@
         on_platform(check)
 
 
-async def all_know(platform: SmallPlatform, seconds: float) -> bool:
+async def all_have_verdict(platform: SmallPlatform, seconds: float) -> bool:
     """Return whether all instances record three crashes within some seconds."""
-    return await wait_at_most(seconds, lambda: all(map(knows, platform.entries)))
+    return await wait_at_most(seconds, lambda: all(map(has_verdict, platform.entries)))
 
 
-def knows(entry: Entry) -> bool:
+def has_verdict(entry: Entry) -> bool:
     """Return whether an instance recorded a request that crashed three servers."""
     return any(each.server_count >= 3 for each in entry.book.suspect_by_key.values())
 
 
-def is_settled(entry: Entry) -> bool:
+def is_verdict_stored(entry: Entry) -> bool:
     """Return whether an instance recorded three crashes and the store has them."""
     suspects = entry.book.suspect_by_key.values()
     return any(
