--- a/tests/test_crashes_hidden.py
+++ b/tests/test_crashes_hidden.py
@@ -71,7 +71,7 @@
 class HeldSocketTest(unittest.TestCase):
     """Servers that crash behind a socket that stays open."""
 
-    def test_few_servers_end_once_three_did(self):
+    def test_few_servers_crash_once_three_did(self):
         async def check(platform):
             await fleet_with_held_sockets(platform, crashing_paths={CRASHING})
             crashed_at = await send_copies(platform, CRASHING, SEND_SECONDS)
@@ -81,7 +81,7 @@
 
         on_platform(check)
 
-    def test_servers_that_live_and_reset_condemn_no_request(self):
+    def test_resets_by_live_servers_refuse_no_request(self):
         async def check(platform):
             await fleet_with_held_sockets(platform)
             workers = list(platform.worker_by_id.values())
@@ -97,7 +97,7 @@
 
         on_platform(check)
 
-    def test_innocent_beside_servers_that_end_by_themselves_is_served(self):
+    def test_request_beside_crashes_of_another_cause_is_served(self):
         async def check(platform):
             await fleet_with_held_sockets(platform)
             statuses = []
@@ -115,7 +115,7 @@
 
         on_platform(check)
 
-    def test_server_that_leaves_is_no_end(self):
+    def test_leaving_server_is_no_crash(self):
         async def check(platform):
             await fleet_with_held_sockets(platform)
             for worker in platform.worker_by_id.values():
@@ -153,7 +153,7 @@
 class BrokenRequestsTest(unittest.TestCase):
     """Memory of the connections that broke."""
 
-    def test_breaks_are_forgotten_with_time_and_number(self):
+    def test_breaks_are_bounded_and_expire(self):
         known = BrokenRequests()
         for _ in range(2 * MAX_BREAKS):
             known.add(broken('i-1/1', 10.0))
@@ -162,7 +162,7 @@
         known.add(broken('i-1/1', 10.0))
         self.assertEqual(known.pop('i-1/1', 100.0), [])
 
-    def test_breaks_of_another_start_say_nothing(self):
+    def test_breaks_at_another_incarnation_are_kept(self):
         known = BrokenRequests()
         known.add(broken('i-1/1', 10.0))
         self.assertEqual(known.pop('i-1/2', 10.1), [])
@@ -176,20 +176,20 @@
         self.detector = RestartDetector()
         self.detector.update({'i-1': backend(80, incarnation=1)}, 10.0)
 
-    def test_another_start_shows_the_end_of_the_one_before(self):
+    def test_new_incarnation_shows_the_crash_of_the_previous_one(self):
         crashed = self.detector.update({'i-1': backend(80, incarnation=2)}, 11.0)
         self.assertEqual(crashed, ['i-1/1'])
 
-    def test_another_server_at_the_address_does_too(self):
+    def test_another_server_at_the_address_shows_a_crash(self):
         self.assertEqual(self.detector.update({}, 11.0), [])
         self.assertEqual(self.detector.update({'i-2': backend(80)}, 12.0), ['i-1/1'])
 
-    def test_who_is_only_gone_may_be_out_of_reach(self):
+    def test_server_that_is_only_removed_may_be_unreachable(self):
         self.assertEqual(self.detector.update({}, 11.0), [])
         self.assertEqual(self.detector.update({'i-2': backend(81)}, 12.0), [])
         self.assertEqual(self.detector.update({'i-3': backend(80)}, 99.0), [])
 
-    def test_who_leaves_or_changes_otherwise_has_not_ended(self):
+    def test_leaving_or_changed_server_has_not_crashed(self):
         slower = backend(80, incarnation=1, slots=1)
         self.assertEqual(self.detector.update({'i-1': slower}, 11.0), [])
         leaving = backend(80, incarnation=1, draining=True)
--- a/tests/test_crashes_incident.py
+++ b/tests/test_crashes_incident.py
@@ -66,7 +66,7 @@
 class IncidentTest(unittest.TestCase):
     """Bounds on the crashes that one request may cause."""
 
-    def test_few_servers_end_once_three_did(self):
+    def test_few_servers_crash_once_three_did(self):
         async def check(platform):
             await crash_prone_fleet(platform)
             end = trio.current_time() + SEND_SECONDS
@@ -109,7 +109,7 @@
 
         on_platform(check)
 
-    def test_caller_is_not_told_that_what_ended_a_server_did_not_run(self):
+    def test_request_that_crashed_a_server_is_not_answered_as_not_run(self):
         async def check(platform):
             await crash_prone_fleet(platform)
             statuses = Counter()
@@ -176,7 +176,7 @@
 
         on_platform(check)
 
-    def test_others_know_without_datagrams(self):
+    def test_others_refuse_without_datagrams(self):
         async def check(platform):
             await fleet_with_long_timeouts(platform)
             for entry in platform.entries:
@@ -188,7 +188,7 @@
 
         on_platform(check)
 
-    def test_others_know_while_the_store_refuses(self):
+    def test_others_refuse_while_the_store_is_unavailable(self):
         async def check(platform):
             await fleet_with_long_timeouts(platform)
             platform.store.faults.refuse_with = 503
@@ -200,7 +200,7 @@
 
         on_platform(check)
 
-    def test_instance_that_starts_later_knows(self):
+    def test_instance_that_starts_later_refuses(self):
         async def check(platform):
             await fleet_with_long_timeouts(platform)
             await crash(platform, 3)
@@ -277,7 +277,7 @@
 class OperatorViewTest(unittest.TestCase):
     """Metrics and log lines of a refused request."""
 
-    def test_metrics_tell_ends_verdicts_and_refusals(self):
+    def test_metrics_count_crashes_verdicts_and_refusals(self):
         async def check(platform):
             await fleet_with_long_timeouts(platform)
             await crash(platform, 3)
@@ -291,7 +291,7 @@
 
         on_platform(check)
 
-    def test_log_leads_from_a_refused_copy_to_the_servers_that_ended(self):
+    def test_log_links_a_refused_copy_to_the_servers_that_crashed(self):
         async def check(platform):
             await fleet_with_long_timeouts(platform)
             with (
--- a/tests/test_crashes_registry.py
+++ b/tests/test_crashes_registry.py
@@ -43,7 +43,7 @@
     def verdict(self, registry, query='q', now=NOW, key=KEY):
         return registry.decide(key, query, now).verdict
 
-    def test_few_ends_leave_one_server_and_three_none(self):
+    def test_few_crashes_leave_one_server_and_three_none(self):
         for crashes, verdict in (
             (0, Verdict.FREE),
             (1, Verdict.ALONE),
@@ -55,14 +55,14 @@
     def test_other_content_for_the_same_target_is_free(self):
         self.assertEqual(self.verdict(registry_with(3), key=OTHER), Verdict.FREE)
 
-    def test_other_query_is_refused_only_where_several_ended_servers(self):
+    def test_other_query_is_refused_only_where_several_crashed_servers(self):
         registry = registry_with(3)
         self.assertEqual(self.verdict(registry, 'other'), Verdict.ALONE)
         registry = registry_with(2)
         registry.record_crash(KEY, 'other', 'i-9/1', NOW)
         self.assertEqual(self.verdict(registry, 'third'), Verdict.REFUSED)
 
-    def test_one_end_that_is_told_often_counts_once(self):
+    def test_one_crash_that_is_reported_often_counts_once(self):
         registry = CrashRegistry()
         for _ in range(5):
             registry.record_crash(KEY, 'q', 'i-1/1', NOW)
@@ -75,13 +75,13 @@
             registry.record_crash(KEY, 'q', f'i-1/{incarnation}', NOW)
         self.assertEqual(self.verdict(registry), Verdict.REFUSED)
 
-    def test_answer_clears_what_was_chance(self):
+    def test_answer_drops_the_crashes_with_its_query(self):
         registry = registry_with(2)
         registry.record_answer(KEY, 'q')
         self.assertEqual(self.verdict(registry), Verdict.FREE)
         self.assertFalse(registry.count_by_target)
 
-    def test_answer_to_a_copy_that_was_under_way_ends_a_verdict(self):
+    def test_answer_to_a_copy_in_flight_ends_a_verdict(self):
         registry = registry_with(3)
         self.assertEqual(self.verdict(registry), Verdict.REFUSED)
         registry.record_answer(KEY, 'q')
@@ -110,7 +110,7 @@
 class StoreTest(unittest.TestCase):
     """Changes that the registry reads from the store and writes to it."""
 
-    def test_first_end_is_not_stored_and_the_second_is(self):
+    def test_first_crash_is_not_stored_and_the_second_is(self):
         registry = registry_with(1)
         self.assertEqual(registry.list_unsaved(), [])
         registry.record_crash(KEY, 'q', 'i-1/1', NOW)
@@ -118,14 +118,14 @@
         registry.mark_saved(stored(2, revision=5), NOW)
         self.assertEqual(registry.list_unsaved(), [])
 
-    def test_gravest_is_stored_first(self):
+    def test_request_with_most_crashes_is_stored_first(self):
         registry = registry_with(3)
         for number in range(2):
             registry.record_crash(OTHER, 'q', f'i-{number}/1', NOW)
         keys = [suspect.record.key for suspect in registry.list_unsaved()]
         self.assertEqual(keys, [KEY, OTHER])
 
-    def test_records_of_the_store_hold_at_once(self):
+    def test_records_of_the_store_apply_at_once(self):
         registry = CrashRegistry()
         registry.apply_listing({'a': stored(3, revision=4)}, NOW)
         self.assertEqual(registry.decide(KEY, 'q', NOW).verdict, Verdict.REFUSED)
@@ -136,14 +136,14 @@
         registry.apply_record(stored(3, revision=4, trials=0), NOW)
         self.assertEqual(registry.decide(KEY, 'q', NOW + 1e5).verdict, Verdict.REFUSED)
 
-    def test_removed_record_is_forgotten_but_for_newer_ends(self):
+    def test_removed_record_is_forgotten_except_for_newer_crashes(self):
         registry = CrashRegistry()
         registry.apply_listing({'a': stored(3, revision=4)}, NOW)
         registry.record_crash(KEY, 'q', 'i-9/1', NOW)
         registry.apply_listing({}, NOW)
         self.assertEqual(registry.decide(KEY, 'q', NOW).verdict, Verdict.ALONE)
 
-    def test_look_at_the_store_of_before_the_write_removes_nothing(self):
+    def test_listing_from_before_the_write_removes_nothing(self):
         registry = registry_with(3)
         registry.mark_saved(stored(3, revision=9), NOW)
         registry.apply_listing({}, NOW)
@@ -152,13 +152,13 @@
         registry.apply_listing({}, NOW)
         self.assertEqual(registry.decide(KEY, 'q', NOW).verdict, Verdict.FREE)
 
-    def test_end_that_is_not_stored_yet_outlives_a_record_without_it(self):
+    def test_unsaved_crash_outlives_a_record_without_it(self):
         registry = registry_with(2)
         registry.record_crash(KEY, 'q', 'i-9/1', NOW)
         registry.apply_record(stored(2, revision=4), NOW)
         self.assertEqual(registry.decide(KEY, 'q', NOW).verdict, Verdict.REFUSED)
 
-    def test_answer_to_a_stored_one_is_told_to_the_store(self):
+    def test_answer_to_a_stored_request_is_written_to_the_store(self):
         registry = CrashRegistry()
         registry.apply_listing({'a': stored(2, revision=4)}, NOW)
         registry.record_answer(KEY, 'q')
@@ -171,7 +171,7 @@
 class MemoryTest(unittest.TestCase):
     """Bounds of the registry, and expiry of its suspects."""
 
-    def test_suspects_and_servers_are_bounded_and_the_gravest_stay(self):
+    def test_suspects_and_servers_are_bounded_and_the_most_severe_stay(self):
         registry = registry_with(3)
         for number in range(MAX_SUSPECTS + 10):
             registry.record_crash(RequestKey(f'c{number}', 'd'), 'q', 'i-1/1', NOW)
@@ -181,7 +181,7 @@
         registry = registry_with(MAX_SERVERS + 5)
         self.assertEqual(registry.suspect_by_key[KEY].server_count, MAX_SERVERS)
 
-    def test_suspicion_and_verdict_end_after_their_time_without_the_request(self):
+    def test_suspicion_and_verdict_expire_without_the_request(self):
         for crashes, seconds in ((2, SUSPECT_SECONDS), (3, VERDICT_SECONDS)):
             registry = registry_with(crashes)
             self.assertEqual(registry.remove_expired(NOW + seconds - 1), [])
@@ -195,7 +195,7 @@
         registry.remove_expired(NOW + VERDICT_SECONDS + 1)
         self.assertTrue(registry.suspect_by_key)
 
-    def test_stored_one_is_to_be_deleted_there_first(self):
+    def test_stored_record_is_deleted_from_the_store_first(self):
         registry = CrashRegistry()
         registry.apply_listing({'a': stored(3, revision=4)}, NOW)
         (record,) = registry.remove_expired(NOW + VERDICT_SECONDS + 1)
--- a/tests/test_crashes_sharing.py
+++ b/tests/test_crashes_sharing.py
@@ -40,14 +40,14 @@
     def topic(self, registry: CrashRegistry) -> CrashTopic:
         return CrashTopic(registry, lambda: NOW)
 
-    def test_peer_learns_and_then_there_is_nothing_new(self):
+    def test_peer_receives_each_crash_once(self):
         one, two = self.topic(registry_with(3)), self.topic(CrashRegistry())
         two.receive(one.news_for(two.digest()))
         self.assertEqual(two.registry.decide(KEY, 'q', NOW).verdict, Verdict.REFUSED)
         self.assertIsNone(one.news_for(two.digest()))
         self.assertIsNone(two.news_for(one.digest()))
 
-    def test_gravest_are_told_and_their_number_is_bounded(self):
+    def test_most_severe_are_sent_and_their_number_is_bounded(self):
         registry = registry_with(3)
         for number in range(3 * MAX_REPORTS):
             registry.record_crash(RequestKey(f't{number}', 'c'), 'q', 'i-1/1', NOW)
@@ -55,7 +55,7 @@
         self.assertEqual(len(reports), MAX_REPORTS)
         self.assertEqual(reports[0][:2], [KEY.target, KEY.content])
 
-    def test_malformed_news_are_refused(self):
+    def test_malformed_reports_are_refused(self):
         for reports in MALFORMED_ENDS:
             with self.assertRaises(ValueError):
                 self.topic(CrashRegistry()).receive(reports)
@@ -69,7 +69,7 @@
             'edge-1', registry, SystemClock(), list, lambda data, _: sent.append(data)
         )
 
-    def test_each_end_goes_out_twice_and_fits_a_packet(self):
+    def test_each_datagram_is_sent_twice_and_fits_a_packet(self):
         sent: list[bytes] = []
         publisher = self.publisher(CrashRegistry(), sent)
 
