--- a/catkinslip/crashes/hidden_crashes.py
+++ b/catkinslip/crashes/hidden_crashes.py
@@ -34,8 +34,10 @@
 class BrokenRequest:
     """Request whose connection to a server broke; the time is in seconds."""
 
+    #: Name of the incarnation of the server.
     server: str
     key: RequestKey
+    #: Hash of the query.
     query: str
     is_cold: bool
     at: float
@@ -45,6 +47,7 @@
 class BrokenRequests:
     """Recent requests whose connections broke at servers with an open port."""
 
+    #: Broken requests, the oldest first.
     recent: deque[BrokenRequest] = Factory(lambda: deque(maxlen=MAX_BREAKS))
 
     def add(self, broken: BrokenRequest) -> None:
--- a/catkinslip/crashes/identity.py
+++ b/catkinslip/crashes/identity.py
@@ -61,7 +61,7 @@
 
 
 def query_of(call: Call) -> str:
-    """Return a hash of a request's query, which may differ between crashing copies."""
+    """Return a hash of a request's query, which copies that crash servers may vary."""
     return hash_parts((call.target.partition(b'?')[2],), TARGET_BYTES)
 
 
--- a/catkinslip/crashes/registry.py
+++ b/catkinslip/crashes/registry.py
@@ -38,8 +38,8 @@
 MAX_SUSPECTS = 4_000
 #: Maximum number of servers kept for one request; the first three decide the verdict.
 MAX_SERVERS = 8
-#: Maximum number of cold servers kept besides; the first is enough to keep the request
-#: away from all other cold servers.
+#: Maximum number of cold servers kept in addition; the first is enough to keep the
+#: request away from all other cold servers.
 MAX_COLD_SERVERS = 2
 
 log = logging.getLogger('crashes')
@@ -147,7 +147,7 @@
                 self.has_unsaved.set()
 
     def apply_record(self, record: CrashRecord, now: float) -> None:
-        """Apply a record of the store unless its revision is known already."""
+        """Apply a record of the store if its revision is newer than the known one."""
         suspect = self.suspect_by_key.get(record.key)
         if suspect is None:
             suspect = self._add_suspect(record.key, now)
--- a/catkinslip/crashes/suspect.py
+++ b/catkinslip/crashes/suspect.py
@@ -30,7 +30,7 @@
 class Verdict(Enum):
     """Restriction on the sending of a request."""
 
-    #: No crash is known; the request is sent without restriction.
+    #: No crash is recorded; the request is sent without restriction.
     FREE = 'free'
     #: Servers crashed: one server may run the request, without retries or hedges.
     ALONE = 'alone'
@@ -75,7 +75,7 @@
     def is_refused(self, query: str) -> bool:
         """Return whether a copy of the request with a query is to be refused.
 
-        Copies with any query are refused where several queries crashed servers.
+        Copies with any query are refused if several queries crashed servers.
         """
         if self.server_count < VERDICT_SERVERS:
             return False
@@ -105,7 +105,7 @@
 
 
 def exclude_query(query_by_server: Mapping[str, str], query: str) -> dict[str, str]:
-    """Return the crashes without those under a query."""
+    """Return the crashes of all queries except one."""
     return {k: v for k, v in query_by_server.items() if v != query}
 
 
--- a/catkinslip/crashes/synchronizer.py
+++ b/catkinslip/crashes/synchronizer.py
@@ -45,7 +45,10 @@
                     await trio.sleep(SAVE_INTERVAL_SECONDS)
 
     async def claim_trial(self, key: RequestKey) -> bool:
-        """Return whether the store grants the next trial, one for all instances."""
+        """Claim the next trial from the store; return whether this instance got it.
+
+        All instances together have one next trial.
+        """
         suspect = self.registry.suspect_by_key.get(key)
         if suspect is None:
             return False
@@ -89,7 +92,7 @@
                 await trio.sleep(RETRY_SECONDS)
 
     async def _reload(self, key: RequestKey) -> None:
-        """Apply the record that another instance wrote in the meantime."""
+        """Apply the record that another instance wrote or deleted in the meantime."""
         match await self.store.read(key):
             case Success(CrashRecord() as record):
                 self.registry.apply_conflicting_record(record, self.clock.monotonic())
--- a/catkinslip/store/base.py
+++ b/catkinslip/store/base.py
@@ -48,7 +48,7 @@
 
 @frozen
 class OverBudget:
-    """Error of a call that was not sent because the budget of calls is spent."""
+    """Error of a call that was refused or not sent as the budget of calls is spent."""
 
     #: Seconds until the call may be sent.
     retry_after: float
--- a/catkinslip/store/budgeted.py
+++ b/catkinslip/store/budgeted.py
@@ -17,7 +17,7 @@
 
 @define
 class BudgetedStore(WrappedStore):
-    """Object store that sends calls as the budget allows; a watch counts as one."""
+    """Object store that sends calls within a budget; a watch counts as one call."""
 
     clock: Clock
     #: Budget of the whole system, in calls per second.
--- a/tests/test_crashes_incident.py
+++ b/tests/test_crashes_incident.py
@@ -145,7 +145,7 @@
 
 
 async def crash(platform: SmallPlatform, servers: int, entry: int = 0) -> None:
-    """Send the crashing request to one instance until some servers crashed."""
+    """Send the crashing request to one instance until a number of servers crashed."""
     number = 0
     while platform.crashes(CRASHING) < servers:
         number += 1
