--- a/catkinslip/discovery/__init__.py
+++ b/catkinslip/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""What exists: rules, backend servers and instances, as an outside store tells."""
+"""Discovery of rules, backend servers and instances from an outside store."""
--- a/catkinslip/discovery/answers.py
+++ b/catkinslip/discovery/answers.py
@@ -1,4 +1,4 @@
-"""Answer the polls of peers, and tell them what is newer than what they have."""
+"""Answers to the polls of peers, with the values that a peer lacks."""
 
 import re
 
@@ -20,27 +20,29 @@
 from catkinslip.pages import Page
 
 QUERY_FORM = re.compile(r'([0-9]+)\.([0-9]+)(\.whole)?\Z')
-#: Some 220 bytes each; 1,400 of them take 0.25 s on a link of 10 Mbit/s, and a zone's
-#: instances would all ask at once.
+#: The most routes that an answer holds. A route takes some 220 bytes, so that 1,400 of
+#: them take 0.25 s on a link of 10 Mbit/s, and all instances of a zone would request
+#: them at once.
 MOST_ROUTES_TOLD = 200
-#: All servers, some 220 bytes each, are told up to so many: 0.2 s at 5 Mbit/s.
-#: With 3,000 an answer never came within its 0.4 s, and with it no rules either: of 300
-#: instances on such links the middle one had new rules after 10 s.
+#: The most servers that an answer holds in full. A server takes some 220 bytes, and the
+#: whole answer 0.2 s at 5 Mbit/s. With 3,000 servers no answer arrived within its time
+#: limit of 0.4 s, and so no rules either: of 300 instances on such links the median one
+#: had new rules after 10 s.
 MOST_BACKENDS_TOLD = 600
-#: Changes of servers go in parts of so many, each asked for after the one before.
+#: The most changes of servers in one part; parts are requested one after the other.
 MOST_CHANGES_TOLD = 300
 
 
 @define
 class PeerAnswers:
-    """Answer the polls of peers."""
+    """Pages that answer the polls of peers."""
 
     instances: InstanceTable
     assembler: Assembler
     kinds: SharedKinds
 
     async def state(self, query: str) -> Page:
-        """Return what this instance tells of itself, and what the query adds."""
+        """Return the state of this instance, with the additions that a query names."""
         instances = self.instances
         state = PeerState(
             instances.own,
@@ -64,9 +66,9 @@
         return Page(200, orjson.dumps(converter.unstructure(state)))
 
     async def knowledge(self, query: str) -> Page:
-        """Return what is newer than the rules version and revision in the query.
+        """Return rules and servers newer than the version and revision in a query.
 
-        `whole` after them asks for rules of any size.
+        The suffix `whole` requests rules and lists of servers of any size.
         """
         match = QUERY_FORM.match(query)
         if match is None:
@@ -76,7 +78,7 @@
         return Page(200, orjson.dumps(converter.unstructure(knowledge)))
 
     async def kind(self, query: str) -> Page:
-        """Return what is newer of a kind than the revision that the query names."""
+        """Return the changes of a kind after the revision in a query."""
         news = self.kinds.newer(query)
         if news is None:
             return Page(400)
@@ -85,7 +87,10 @@
     def newer(
         self, rules_version: int, revision: int, *, is_whole: bool = False
     ) -> Knowledge:
-        """Return what is newer than what an asker has."""
+        """Return the rules and servers that are newer than those of a peer.
+
+        Without `is_whole` large rules and long lists are left out and marked as large.
+        """
         backends = self.assembler.backends
         rules = self._newer_rules(rules_version)
         is_large = rules is not None and len(rules.routes) > MOST_ROUTES_TOLD
--- a/catkinslip/discovery/assembly.py
+++ b/catkinslip/discovery/assembly.py
@@ -1,4 +1,4 @@
-"""Put rules and registered backend servers together as one configuration."""
+"""Assembly of rules and registered backend servers into one configuration."""
 
 import logging
 from collections.abc import Collection, Iterable
@@ -25,7 +25,8 @@
     hold_against_copy,
 )
 
-#: Entries that lapsed during an outage of the store are back so soon after it.
+#: Within this time after an outage of the store the entries that expired in it are
+#: back.
 LAPSE_GRACE_SECONDS = 1.8
 
 log = logging.getLogger('discovery')
@@ -33,9 +34,10 @@
 
 @define
 class Assembler:
-    """Offer a new configuration whenever rules or backend servers change.
+    """A source of a new configuration at each change of rules or backend servers.
 
-    Rules only move forward by their version, whatever a stale read or a peer says.
+    The version of the rules only rises, also where a stale read or a peer has older
+    ones.
     """
 
     config: ConfigHolder
@@ -43,15 +45,17 @@
     backends: Follower[BackendEntry]
     current_rules: RuleSet | None = None
     current_backends: dict[str, BackendEntry] = Factory(dict)
-    #: The servers as the document in force holds them.
+    #: The servers of the document in force, by their ID.
     backend_by_id: dict[str, Backend] = Factory(dict)
-    #: Servers whose entries vanished around an outage, and until when they are kept.
+    #: Until when servers are kept whose entries disappeared around an outage, on the
+    #: monotonic clock.
     kept_until_by_id: dict[str, float] = Factory(dict)
     #: Availability zones whose servers get no new requests.
     evacuated_zones: frozenset[str] = frozenset()
-    #: Those that the store holds orders for.
+    #: Zones for which the store holds an evacuation order.
     ordered_zones: frozenset[str] = frozenset()
-    #: Those that stay evacuated, whatever a copy of the store says, and until when.
+    #: Zones that stay evacuated although the store was restored from a backup without
+    #: their orders, and until when, on the monotonic clock.
     held_zones: frozenset[str] = frozenset()
     zones_held_until: float = -inf
     removed: RemovedBackends = Factory(RemovedBackends)
@@ -65,32 +69,35 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether rules and backend servers are known."""
+        """Return whether rules and backend servers are known."""
         return self.current_rules is not None and self.backends.is_known
 
     @property
     def reaches_store(self) -> bool:
-        """Tell whether the last calls to the store succeeded, if any were made."""
+        """Return whether the last calls to the store succeeded, if any were made."""
         return not (self.rules.is_lost or self.backends.is_lost)
 
     def doubt_store(self, rules_version: int, backends_revision: int) -> None:
-        """Ask the store again for what a peer has had for a while."""
+        """Mark as possibly stale each kind of which a peer has a newer state.
+
+        The store is then read again at once.
+        """
         if rules_version > self.rules_version:
             self.rules.doubt()
         if backends_revision > self.backends.revision:
             self.backends.doubt()
 
     def start(self) -> None:
-        """Follow both kinds from now on."""
+        """Register the listeners for changes of rules and servers."""
         self.rules.listeners.append(self.take_rules)
         self.backends.listeners.append(self.take_backends)
 
     async def run(self) -> None:
-        """Drop kept entries in time, until cancelled."""
+        """Remove kept entries and zones at the end of their grace, until cancelled."""
         while True:
             ends = self._ends_of_grace(trio.current_time())
             with trio.move_on_at(min(ends, default=inf)) as scope:
-                # What comes meanwhile may end sooner.
+                # An entry that is kept meanwhile may end sooner.
                 await self.kept.wait()
                 self.kept = trio.Event()
             if scope.cancelled_caught:
@@ -98,7 +105,7 @@
                 self.evacuate(self.ordered_zones)
 
     def _ends_of_grace(self, now: float) -> list[float]:
-        """Return when something that is held against the store is to be dropped."""
+        """Return the ends of the graces of all entries and zones that are kept."""
         ends = [self._restored_until(), self.zones_held_until]
         return [*self.kept_until_by_id.values(), *(at for at in ends if at > now)]
 
@@ -106,12 +113,12 @@
         return self.backends.restored_at + RESTORED_GRACE_SECONDS
 
     def take_rules(self) -> None:
-        """Take over newer rules."""
+        """Apply the rules of the store if they are newer."""
         for rules in self.rules.value_by_name.values():
             self.offer_rules(rules)
 
     def offer_rules(self, rules: RuleSet) -> bool:
-        """Take over rules if they are newer; tell whether they were."""
+        """Apply rules if they are newer; return whether they were applied."""
         if rules.version <= self.rules_version:
             return False
         log.info(
@@ -127,7 +134,7 @@
         return True
 
     def take_backends(self) -> None:
-        """Take over the registered backend servers."""
+        """Apply the registered backend servers, and keep removed ones for their grace."""
         now = trio.current_time()
         listed = self.backends.value_by_name
         if now < self._restored_until():
@@ -153,13 +160,13 @@
             self._offer()
 
     def hold_evacuations(self) -> None:
-        """Keep zones evacuated while a copy of the store may lack their orders."""
+        """Keep zones evacuated while a restored store may lack their orders."""
         self.held_zones = self.evacuated_zones
         self.zones_held_until = trio.current_time() + RESTORED_GRACE_SECONDS
         self.kept.set()
 
     def evacuate(self, zones: Collection[str]) -> None:
-        """Give the servers of these zones nothing new, and those of all others work."""
+        """Evacuate exactly these zones: their servers get no new requests."""
         self.ordered_zones = frozenset(zones)
         if self.held_zones and trio.current_time() >= self.zones_held_until:
             self.held_zones = frozenset()
@@ -168,18 +175,19 @@
             return
         known = {entry.zone for entry in self.current_backends.values()}
         for zone in sorted(evacuated - self.evacuated_zones):
-            log.info('discovery: zone %s is evacuated.', zone)
+            log.info('discovery: zone evacuated. zone=%s', zone)
             if self.backends.is_known and zone not in known:
-                log.warning('discovery: no server is known in zone %s.', zone)
+                log.warning('discovery: evacuated zone has no server. zone=%s', zone)
         for zone in sorted(self.evacuated_zones - evacuated):
-            log.info('discovery: zone %s is taken back.', zone)
+            log.info('discovery: zone in use again. zone=%s', zone)
         self.evacuated_zones = evacuated
         self._offer()
 
     def _take_changes(self, changes: Iterable[Change]) -> None:
-        """Replace the servers that changed: a copy a change, not a new one a server.
+        """Replace the servers that changed and keep the objects of all others.
 
-        With 660 servers a change takes 0.6 ms instead of 5 (mean of 100, one process).
+        With 660 servers a change takes 0.6 ms, and 5 ms where all servers are built
+        anew (mean of 100, one process).
         """
         known = self.current_rules.services if self.current_rules else {}
         backend_by_id = dict(self.backend_by_id)
@@ -213,7 +221,7 @@
 
 
 def to_backend(entry: BackendEntry) -> Backend:
-    """Return a registered backend server as the register of a document holds it."""
+    """Return a registered backend server in the form of the configuration register."""
     return Backend(
         service=entry.service,
         zone=entry.zone,
--- a/catkinslip/discovery/base.py
+++ b/catkinslip/discovery/base.py
@@ -1,4 +1,4 @@
-"""What the outside store tells, and how it is asked."""
+"""Values that the outside store holds, and the interfaces that read and write them."""
 
 from abc import ABC, abstractmethod
 from typing import Generic, TypeVar
@@ -12,7 +12,7 @@
 
 @frozen
 class BackendEntry:
-    """One backend server that registered itself; durations are in seconds."""
+    """A backend server that registered itself; durations are in seconds."""
 
     backend_id: str
     service: str
@@ -21,30 +21,32 @@
     port: int
     slots: int
     is_draining: bool = False
-    #: How much longer the server stays slow after its start; None if not told yet.
+    #: Remaining seconds in which the server is slow after its start; None while it has
+    #: not reported them.
     cold_seconds: float | None = None
-    #: Differs at each start of the server under the same ID; 0 where it is not told.
+    #: Number that differs at each start of the server under the same ID; 0 if it is not
+    #: reported.
     incarnation: int = 0
 
 
 @frozen
 class InstanceEntry:
-    """One instance of catkinslip and its addresses, each host:port."""
+    """An instance of catkinslip and its addresses, each host:port."""
 
     instance_id: str
     zone: str
     region: str
     caller_address: str
     peer_address: str
-    #: Where it takes datagrams with load reports.
+    #: Address to which peers send datagrams with load reports.
     report_address: str
-    #: Processor cores that it may use.
+    #: Number of processor cores that the instance may use.
     cores: float = 1.0
 
 
 @frozen
 class RuleSet:
-    """The operators' newest configuration; versions only grow."""
+    """The newest rules of the operators; versions only rise."""
 
     version: int
     services: dict[str, Service] = Factory(dict)
@@ -53,7 +55,7 @@
 
 @frozen
 class ZoneEvacuation:
-    """An operator's order that a zone's servers get nothing until it is removed."""
+    """An operator's order to send no new requests to a zone until it is removed."""
 
     zone: str
 
@@ -63,9 +65,10 @@
 
 @frozen
 class Listing(Generic[Value]):
-    """Every value of one kind by name, as it was at a revision of the store.
+    """All values of one kind by name, as they were at a revision of the store.
 
-    Revisions only grow, also where the store came back from a copy (`revisions.py`).
+    Revisions only rise, also where the store was restored from a backup
+    (`revisions.py`).
     """
 
     value_by_name: dict[str, Value]
@@ -74,7 +77,7 @@
 
 @frozen
 class News(Generic[Value]):
-    """Changes of one kind up to a revision, in order; None stands for a removal."""
+    """Changes of one kind up to a revision, in order; the value None is a removal."""
 
     changes: tuple[tuple[str, Value | None], ...]
     revision: int
@@ -82,34 +85,34 @@
 
 @frozen
 class HistoryGone:
-    """The store no longer holds the changes after a revision."""
+    """A failure: the store no longer holds the changes after a revision."""
 
     reason: str
 
 
 class Source(ABC, Generic[Value]):
-    """Read one kind of value from the outside store."""
+    """A reader of one kind of value in the outside store."""
 
     @abstractmethod
     async def read_all(
         self, *, may_be_stale: bool = False
     ) -> Result[Listing[Value], PlatformError]:
-        """Read every value; a stale answer is cheaper and seconds old."""
+        """Read all values; a stale answer costs less and may be some seconds old."""
 
     @abstractmethod
     async def wait_for_news(
         self, revision: int, wait: float
     ) -> Result[News[Value], PlatformError | HistoryGone]:
-        """Return the changes after a revision, at the latest after `wait` seconds."""
+        """Wait up to `wait` seconds for changes after a revision, and return them."""
 
 
 class InstanceBook(ABC):
-    """Where instances put themselves for the others to find."""
+    """The registry in which instances list themselves so that others can find them."""
 
     @abstractmethod
     async def announce(self, entry: InstanceEntry) -> Result[None, PlatformError]:
-        """Put this instance there, or replace its earlier entry."""
+        """Write the entry of an instance, or replace its earlier one."""
 
     @abstractmethod
     async def withdraw(self, instance_id: str) -> Result[None, PlatformError]:
-        """Take an instance away."""
+        """Remove the entry of an instance."""
--- a/catkinslip/discovery/changes.py
+++ b/catkinslip/discovery/changes.py
@@ -1,4 +1,4 @@
-"""Remember the last changes of one kind, for peers that lack only these."""
+"""A log of the last changes of one kind, for peers that lack only these."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -8,11 +8,11 @@
 
 from catkinslip.discovery.base import News, Value
 
-#: A peer that lacks more gets everything; a start of 3,000 servers makes twice as many
-#: within seconds.
+#: The most changes that a log holds; a peer that lacks more gets all values. The start
+#: of 3,000 servers makes twice as many changes as servers within seconds.
 MAX_CHANGES = 4000
 
-#: A part may be so many times as large as wanted.
+#: The largest size of a part, as a multiple of the requested size.
 MOST_TOGETHER = 2
 
 Change = tuple[str, Value | None]
@@ -20,35 +20,36 @@
 
 @define
 class ChangeLog(Generic[Value]):
-    """Hold the last changes, each with the revision at which it was learned."""
+    """The last changes, each with the revision at which it was received."""
 
     entries: deque[tuple[int, Change]] = Factory(deque)
-    #: All later changes are held.
+    #: The revision after which all changes are in the log.
     since: int = 0
 
     def add(self, changes: Iterable[Change], revision: int) -> None:
-        """Take changes that were learned together."""
+        """Append changes that were received together."""
         for change in changes:
             self.entries.append((revision, change))
         while len(self.entries) > MAX_CHANGES:
             self.since, _ = self.entries.popleft()
 
     def start(self, revision: int) -> None:
-        """Begin with a revision at which everything was read."""
+        """Clear the log and start it at a revision at which all values were read."""
         self.entries.clear()
         self.since = revision
 
     def after(self, revision: int) -> tuple[Change, ...] | None:
-        """Return the changes after a revision, in order; None if not all are held."""
+        """Return the changes after a revision in order, None if the log lacks some."""
         if revision < self.since:
             return None
         return tuple(change for at, change in self.entries if at > revision)
 
     def part_after(self, revision: int, most: int) -> News[Value] | None:
-        """Return the first changes after a revision, and how far they lead.
+        """Return the first changes after a revision, with the revision they lead to.
 
-        About as many as wanted, as those that were learned together stay so; None if
-        not all are held, or far more were learned together.
+        Changes that were received together stay together, so that there may be more
+        than `most`. None if the log lacks some changes, or if far more than `most` were
+        received together.
         """
         if revision < self.since:
             return None
@@ -67,7 +68,7 @@
 
 
 def difference(before: dict[str, Value], after: dict[str, Value]) -> tuple[Change, ...]:
-    """Return the changes that lead from some values to others."""
+    """Return the changes that turn one set of values into another."""
     removed = [(name, None) for name in before if name not in after]
     changed = [
         (name, value)
--- a/catkinslip/discovery/follower.py
+++ b/catkinslip/discovery/follower.py
@@ -1,7 +1,8 @@
-"""Follow one kind of value: read all, then wait for news.
+"""Followers that hold one kind of value: read all values, then wait for changes.
 
-Silence proves nothing: after every failed wait the store is asked at once what
-changed since the revision known, and all is read again where it no longer knows.
+A store without an answer may still have changes: after a failed wait the next call
+requests the changes since the known revision and returns without waiting. Where the
+store no longer holds these changes all values are read again.
 """
 
 import logging
@@ -19,20 +20,23 @@
 from catkinslip.discovery.revisions import era_of, text_of
 from catkinslip.store.backoff import Backoff
 
-#: A waiting call is priced; one that hangs unnoticed is made up for by peers.
+#: Longest wait of a call for changes. Each waiting call has a price; where one hangs
+#: unnoticed, peers send the changes.
 WAIT_SECONDS = 20.0
-#: A wait that only asks what was missed.
+#: Wait of a call that only reads the changes missed so far.
 CATCH_UP_SECONDS = 0.05
-#: A start knows within this time whether others read the store for it.
+#: Time in which an instance that starts finds out whether others read the store for it.
 SETTLE_SECONDS = 1.0
-#: Changes within this time cost one call together instead of one each.
+#: Pause after changes, so that all changes within it cost one call instead of one each.
 BATCH_SECONDS = 0.4
-#: Reads after an outage must succeed well within the 2 s in which changes apply; half
-#: of this on average. Refused calls are priced too.
+#: Bounds of the delay between retries. Reads after an outage have to succeed well
+#: within the 2 s in which changes apply; the mean delay is half of the longest. Refused
+#: calls have a price too.
 FIRST_RETRY_SECONDS = 0.2
 LONGEST_RETRY_SECONDS = 1.6
-#: Who asks only because all others of the zone that are asked first found the store
-#: lost: what changes must still apply within 2.5 s where the store answers it.
+#: Longest delay of an instance that reads only because all instances of the zone that
+#: read first lost the store. Where the store answers this one, changes still have to
+#: apply within 2.5 s.
 LAST_RESORT_SECONDS = 2.5
 
 log = logging.getLogger('discovery')
@@ -41,27 +45,29 @@
 
 
 def always() -> bool:
-    """Read the store always."""
+    """Return True: this instance always reads the store."""
     return True
 
 
 def never() -> bool:
-    """Be in a hurry always."""
+    """Return False: this instance is never a last resort."""
     return False
 
 
 @define
 class Outage:
-    """What the followers of one instance share while the store does not answer.
+    """An outage of the store, shared by all followers of one instance.
 
-    Load: a store that is down for seconds, and every reader's every follower that asks
-    it again. They take turns: one asks, and its success lets all others go on.
+    A store that is down for some seconds would get retries from each follower of each
+    reader. The followers of an instance take turns instead: one retries, and its
+    success lets all others go on.
 
     With 118 instances and eight seconds without the store a day takes 2,229 calls
-    instead of 6,564 (one play each).
+    instead of 6,564 (one run each).
     """
 
-    #: Whether others of the zone tried in vain, so that this instance need not hurry.
+    #: Whether other instances of the zone failed to read the store, so that this one
+    #: may wait for longer.
     is_last_resort: Callable[[], bool] = never
     turn: trio.Lock = Factory(trio.Lock)
     ended: trio.Event = Factory(trio.Event)
@@ -70,7 +76,7 @@
     )
 
     async def wait(self, random: Random) -> None:
-        """Wait for the turn to ask again, or until another follower succeeded."""
+        """Wait for the turn to retry, or until another follower succeeds."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._wait_end, nursery.cancel_scope)
             async with self.turn:
@@ -87,7 +93,7 @@
         return self.backoff.next_delay(random)
 
     def end(self) -> None:
-        """Let all others ask at once, as one of them succeeded."""
+        """End the outage after a success, so that all other followers retry at once."""
         self.backoff.reset()
         self.ended.set()
         self.ended = trio.Event()
@@ -95,40 +101,44 @@
 
 @define(eq=False)
 class Follower(Generic[Value]):
-    """Hold the newest known values of one kind."""
+    """The newest known values of one kind, read from the store or from peers."""
 
     kind: str
     source: Source[Value]
     random: Random
     value_by_name: dict[str, Value] = Factory(dict)
-    #: All changes up to this revision of the store are known.
+    #: Revision of the store up to which all changes are known.
     revision: int = 0
-    #: The revision at which the last change was learned; peers need no later one.
+    #: Revision at which the last change was received; peers need no later one.
     changed_at: int = 0
     changes: ChangeLog[Value] = Factory(ChangeLog)
     listeners: list[Listener] = Factory(list)
-    #: Called before the values of a store that came back from a copy are told.
+    #: Functions called before listeners get the values of a store that was restored
+    #: from a backup.
     restore_listeners: list[Listener] = Factory(list)
-    #: When the values of another life of the store were learned, monotonic.
+    #: When values of a new era of the store were received, on the monotonic clock.
     restored_at: float = -inf
-    #: The revision whose history was gone at the last look.
+    #: Revision after which the store no longer held the changes at the last wait.
     gone_revision: int = -1
     is_reachable: bool = False
     #: Whether the last call failed, so that others should read the store instead.
     is_lost: bool = False
-    #: Whether the last call failed, and the next must wait for its turn.
+    #: Whether the last call failed, so that the next one waits for its turn.
     has_missed: bool = False
-    #: Whether all must be read, as the changes since the revision are not to be had.
+    #: Whether all values have to be read, as the store lacks the changes since the
+    #: revision.
     must_read: bool = True
-    #: Whether a call failed since the last good one; a doubt or a start is no outage.
+    #: Whether a call failed since the last successful one. A start is no outage, nor is
+    #: a mark as possibly stale.
     was_out: bool = False
-    #: Whether to read all now, though others read the store for this instance.
+    #: Whether to read all values once, although peers read the store for this instance.
     reads_once: bool = False
-    #: When a failed call was last followed by a good one, on the monotonic clock.
+    #: When a call last succeeded after a failed one, on the monotonic clock.
     regained_at: float = -inf
-    #: Whether this instance reads the store itself; else its peers tell it.
+    #: Function that returns whether this instance reads the store itself; else it gets
+    #: the values from peers.
     is_wanted: Callable[[], bool] = always
-    #: Returns when that may have changed.
+    #: Function that waits until `is_wanted` may have changed.
     wait_change: Callable[[], Awaitable[None]] = trio.sleep_forever
     outage: Outage = Factory(Outage)
 
@@ -136,11 +146,11 @@
 
     @property
     def is_known(self) -> bool:
-        """Tell whether all values were read at least once."""
+        """Return whether all values were read at least once."""
         return self.revision > 0
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Read the values and their changes until cancelled."""
         while True:
             if not self.is_wanted() and not self.reads_once:
                 self.is_reachable = self.is_lost = False
@@ -155,39 +165,39 @@
                 await self._take_news()
 
     async def _wait_wanted(self) -> None:
-        """Wait until this instance reads the store, without a look now and then."""
+        """Wait until this instance reads the store, without polling."""
         with trio.CancelScope() as self._wait_scope:
             while not self.is_wanted():
                 await self.wait_change()
 
     def read_once(self) -> None:
-        """Read all soon, as peers know more than they can tell."""
+        """Read all values soon, as a peer has more of them than it can send."""
         self.reads_once = self.must_read = True
         self._wait_scope.cancel()
 
     def regained_seconds(self) -> float | None:
-        """Return the seconds since an outage of the store ended; None if none did."""
+        """Return the seconds since the last outage of the store; None without one."""
         seconds = trio.current_time() - self.regained_at
         return seconds if isfinite(seconds) else None
 
     def heard_regained(self, seconds: float | None) -> None:
-        """Take from a peer that an outage ended so many seconds ago."""
+        """Record that by a peer's report an outage ended so many seconds ago."""
         if seconds is not None:
             at = trio.current_time() - max(0.0, seconds)
             self.regained_at = max(self.regained_at, at)
 
     def doubt(self) -> None:
-        """Ask again at once, as a peer knows more than a wait has told."""
+        """Mark the values as possibly stale, so that the store is read at once."""
         if self.is_reachable:
-            log.info('discovery: a wait tells nothing. kind=%s', self.kind)
+            log.info('discovery: wait without changes that a peer has. kind=%s', self.kind)
             self._lose()
             self._wait_scope.cancel()
 
     def offer(self, listing: Listing[Value], source: str) -> bool:
-        """Take over a whole listing unless it is older; tell whether it was taken."""
+        """Apply a whole listing if it is newer; return whether it was applied."""
         if listing.revision <= self.revision:
             log.info(
-                'discovery: %s of %s are not taken. revision=%s known=%s',
+                'discovery: %s from %s not applied, not newer. revision=%s known=%s',
                 self.kind,
                 source,
                 text_of(listing.revision),
@@ -208,7 +218,7 @@
         if self.is_known and not is_restored:
             self.changes.add(changes, listing.revision)
         else:
-            # What others knew of an earlier life need not be what was known here.
+            # In an earlier era peers may have had other values than this instance.
             self.changes.start(listing.revision)
         self.revision = listing.revision
         if is_restored:
@@ -224,7 +234,7 @@
 
     def _note_restored(self) -> None:
         log.warning(
-            'discovery: %s are of a store that came back from a copy. revision=%s',
+            'discovery: %s are of a store restored from a backup. revision=%s',
             self.kind,
             text_of(self.revision),
         )
@@ -233,15 +243,19 @@
             listener()
 
     def changes_after(self, revision: int) -> tuple[Change, ...] | None:
-        """Return the changes after a peer's revision; None where it needs all."""
+        """Return the changes after a peer's revision; None if it needs all values."""
         return self.changes.after(revision) if revision else None
 
     def part_after(self, revision: int, most: int) -> News[Value] | None:
-        """Return the first changes after a peer's revision; None where it needs all."""
+        """Return the first changes after a peer's revision; None if it needs all."""
         return self.changes.part_after(revision, most) if revision else None
 
     def learn(self, news: News[Value], since: int) -> bool:
-        """Take over the changes that a peer told; tell whether they were taken."""
+        """Apply changes that a peer sent; return whether they were applied.
+
+        Changes that are not newer, or that begin after the known revision `since`, are
+        not applied.
+        """
         if news.revision <= self.revision or since > self.revision:
             return False
         if self._is_of_later_life(news.revision):
@@ -276,11 +290,11 @@
                     await trio.sleep(BATCH_SECONDS)
             case Failure(HistoryGone(reason)):
                 self.must_read = True
-                # A listing that was not taken leads here again and again.
+                # A listing that is not applied leads to this failure again and again.
                 self.has_missed = self.gone_revision == self.revision
                 self.gone_revision = self.revision
                 log.info(
-                    'discovery: %s must be read again. revision=%s reason=%s',
+                    'discovery: history of %s lost, reading all. revision=%s reason=%s',
                     self.kind,
                     text_of(self.revision),
                     reason,
@@ -290,7 +304,7 @@
 
     def _apply(self, news: News[Value]) -> None:
         if news.revision < self.revision:
-            # A peer told of something newer meanwhile.
+            # A peer sent newer changes meanwhile.
             return
         self.revision = news.revision
         for name, value in news.changes:
@@ -319,11 +333,11 @@
         if self.was_out:
             self.was_out = False
             self.regained_at = trio.current_time()
-        log.info('discovery: store regained. kind=%s', self.kind)
+        log.info('discovery: store reachable. kind=%s', self.kind)
 
     def _missed(self, error: object) -> None:
         if self.is_reachable:
-            log.warning('discovery: store lost. kind=%s error=%s', self.kind, error)
+            log.warning('discovery: store unreachable. kind=%s error=%s', self.kind, error)
         self._lose()
         self.was_out = True
         self.has_missed = True
--- a/catkinslip/discovery/instances.py
+++ b/catkinslip/discovery/instances.py
@@ -1,4 +1,4 @@
-"""Which instances there are, and which of them callers may use."""
+"""The table of known instances: their health, and which of them callers may use."""
 
 from collections import Counter
 from collections.abc import Collection, Iterable, Mapping
@@ -21,49 +21,50 @@
 from catkinslip.warmup.quotas import SENDERS_PER_ZONE, Sender
 from catkinslip.warmup.senders import SenderLease, SenderPosition
 
-#: Instances of a zone that read the store for all of it: each change wakes every
-#: reader, and each call is priced.
+#: Number of instances that read the store for their whole zone. It is small because
+#: each change wakes every reader and each call has a price.
 READERS = 3
-#: Instances that poll each other in a zone beside its home set, and those polled in
-#: each other zone, silent ones not counted.
+#: Number of polled instances beside the home set of the own zone, and in each other
+#: zone; silent ones are not counted.
 NEAR_POLLED = 4
 FAR_POLLED = 2
-#: Polls in a row without an answer after which an instance is taken as gone.
+#: Polls in a row without an answer after which an instance counts as silent.
 MISSED_POLLS = 2
-#: Lists without an instance that only a peer told of, after which it is forgotten.
+#: Lists in a row without an instance, after which one that only a peer reported is
+#: removed.
 MISSED_LISTS = 3
 
 
 @unique
 class PeerHealth(Enum):
-    """What the polls of a peer told last."""
+    """The health of a peer by its last polls."""
 
     UNKNOWN = 'unknown'
     READY = 'ready'
-    #: It answers but takes no new callers: it starts or stops.
+    #: The peer answers but accepts no new callers: it starts or stops.
     NOT_READY = 'not_ready'
     SILENT = 'silent'
 
 
-#: Said by an instance itself.
+#: Health that an instance reports by its own answers.
 HEARD = frozenset({PeerHealth.READY, PeerHealth.NOT_READY})
 
 
 @define
 class Peer:
-    """One other instance as this one sees it."""
+    """Another instance, with its health as known here."""
 
     entry: InstanceEntry
     health: PeerHealth = PeerHealth.UNKNOWN
     missed: int = 0
-    #: Whether its last call to the store succeeded, if it makes any.
+    #: Whether the last call of the peer to the store succeeded, if it makes any.
     reaches_store: bool = False
-    #: Lists in a row that do not name it; they lag behind a first start.
+    #: Number of lists in a row without the peer; lists lag behind a first start.
     unlisted: int = 0
     was_listed: bool = False
 
     def is_gone(self) -> bool:
-        """Tell whether lists and polls say that the instance is not there."""
+        """Return whether lists and polls show that the instance no longer exists."""
         if self.unlisted == 0 or self.health in HEARD:
             return False
         if self.health is PeerHealth.SILENT or self.was_listed:
@@ -73,34 +74,34 @@
 
 @define
 class InstanceTable:
-    """Hold the known instances; this one is known from the start."""
+    """The known instances, with this one among them from the start."""
 
     own: InstanceEntry
     is_own_ready: bool = False
-    #: Whether this instance started so lately that its peers may not know more yet.
+    #: Whether this instance started so recently that its peers may start too.
     is_starting: bool = False
-    #: Whether the list of instances was asked for, with whatever success.
+    #: Whether a read of the list of instances has ended, also if it failed.
     is_listed: bool = True
-    #: Set when it may have changed who reads the store.
+    #: Event that is set when the readers of the store may have changed.
     has_changed: trio.Event = Factory(trio.Event)
-    #: Whether the list names this instance, so that it was here before.
+    #: Whether the list holds this instance, as it does after an earlier start.
     is_own_listed: bool = True
-    #: Whether others ask this instance first when they know nobody.
+    #: Whether instances that know no other one query this one first.
     is_seed: bool = True
     sender_lease: SenderLease = Factory(SenderLease)
     peer_by_id: dict[str, Peer] = Factory(dict)
-    #: The revision of the store at which the list was read that is known here.
+    #: Revision of the store at which the applied list was read.
     list_revision: int = 0
     _digest: str | None = field(default=None, init=False)
-    #: The ranking of each zone, until an instance comes or goes.
+    #: Ranking of each zone; cleared when an instance is added or removed.
     _ranked_by_zone: dict[str, list[InstanceEntry]] = field(factory=dict, init=False)
     _home_size_by_zone: dict[str, int] = field(factory=dict, init=False)
-    #: What `shares` returned last, as each probe asks for it.
+    #: Cached result of `shares`, which each probe calls.
     _shares: float | None = field(default=None, init=False)
     _sender_rank: int | None = field(default=None, init=False)
 
     def learn(self, entry: InstanceEntry) -> None:
-        """Take the entry of an instance."""
+        """Add the entry of an instance, or replace its earlier one."""
         if entry.instance_id == self.own.instance_id:
             return
         peer = self.peer_by_id.get(entry.instance_id)
@@ -109,7 +110,7 @@
             self._forget_ranking()
 
     def take_list(self, entries: Iterable[InstanceEntry], revision: int) -> None:
-        """Take the list of instances, as it was at a revision of the store."""
+        """Apply the list of instances, as it was at a revision of the store."""
         known = list(entries)
         for entry in known:
             self.learn(entry)
@@ -118,7 +119,10 @@
             self.keep_only({entry.instance_id for entry in known})
 
     def lacks(self, digest: str, revision: int) -> bool:
-        """Tell whether a peer with a digest has a newer list with other instances."""
+        """Return whether a peer has a newer list with other instances than this one.
+
+        `digest` and `revision` are those of the peer.
+        """
         if revision <= self.list_revision:
             return False
         if digest == self.digest():
@@ -127,7 +131,7 @@
         return True
 
     def keep_only(self, instance_ids: set[str]) -> None:
-        """Forget instances that are no longer listed and do not answer."""
+        """Remove instances that are no longer listed and do not answer."""
         for instance_id, peer in list(self.peer_by_id.items()):
             is_listed = instance_id in instance_ids
             peer.was_listed = peer.was_listed or is_listed
@@ -143,39 +147,42 @@
         self.note_change()
 
     def note_change(self) -> None:
-        """Wake who waits until it may have changed who reads the store."""
+        """Notify the waiting tasks that the readers of the store may have changed."""
         self.has_changed.set()
 
     async def wait_change(self) -> None:
-        """Wait until it may have changed who reads the store."""
+        """Wait until the readers of the store may have changed."""
         if self.has_changed.is_set():
             self.has_changed = trio.Event()
         await self.has_changed.wait()
 
     def read_list(self, asked_at: float, *, is_own_listed: bool) -> None:
-        """Take that the store itself told the list, which was asked for at a time."""
+        """Record that this instance read the list from the store itself.
+
+        `asked_at` is the start of the read on the monotonic clock.
+        """
         self.is_own_listed = is_own_listed
         now = trio.current_time()
         self.sender_lease.record_list(asked_at, now, is_listed=is_own_listed)
         self.note_change()
 
     def leave(self) -> None:
-        """Stop to be one of the instances that callers are sent to."""
+        """Mark this instance as leaving, so that callers are no longer sent to it."""
         self.is_own_ready = False
         self.sender_lease.leave()
 
     def sender(self) -> Sender | None:
-        """Return this instance's place among its zone's senders to cold servers."""
+        """Return this instance's position among its zone's senders to cold servers."""
         now = trio.current_time()
         return self.sender_lease.sender(self.own.zone, self._rank_of_senders(), now)
 
     def sender_place(self) -> SenderPosition | None:
-        """Return the place, also where it rests on a list that may have changed."""
+        """Return the position as a sender, also if the list may have changed since."""
         now = trio.current_time()
         return self.sender_lease.position(self.own.zone, self._rank_of_senders(), now)
 
     def may_be_sender(self) -> bool:
-        """Tell whether this instance would be a sender if it read the list itself."""
+        """Return whether this instance would be a sender if it read the list itself."""
         return self.is_own_listed and self._rank_of_senders() < SENDERS_PER_ZONE
 
     def _rank_of_senders(self) -> int:
@@ -186,12 +193,12 @@
         return self._sender_rank
 
     def end_start(self) -> None:
-        """Take from now on that peers had the time to learn what there is."""
+        """End the start phase: from now on peers are assumed to have all values."""
         self.is_starting = False
         self.note_change()
 
     def note_listed(self) -> None:
-        """Note that the list of instances was asked for."""
+        """Record that a read of the list of instances has ended."""
         self.is_listed = True
         self.note_change()
 
@@ -207,7 +214,7 @@
     def answered(
         self, instance_id: str, is_ready: bool, *, reaches_store: bool = True
     ) -> PeerHealth | None:
-        """Take the answer to a poll; return the health if it is new."""
+        """Record the answer to a poll; return the peer's health if it changed."""
         health = PeerHealth.READY if is_ready else PeerHealth.NOT_READY
         peer = self.peer_by_id.get(instance_id)
         if peer is not None and peer.reaches_store != reaches_store:
@@ -216,7 +223,7 @@
         return self._set(instance_id, health, 0)
 
     def health_by_id(self) -> dict[str, PeerHealth]:
-        """Return the health of the instances that were polled or told of."""
+        """Return the known health of other instances, by ID."""
         return {
             instance_id: peer.health
             for instance_id, peer in self.peer_by_id.items()
@@ -224,7 +231,7 @@
         }
 
     def lost_store_ids(self) -> list[str]:
-        """Return the instances that answer but do not reach the store."""
+        """Return the IDs of the ready instances that do not reach the store."""
         return [
             instance_id
             for instance_id, peer in self.peer_by_id.items()
@@ -237,9 +244,10 @@
         health_by_id: Mapping[str, PeerHealth],
         lost_store: Iterable[str],
     ) -> list[str]:
-        """Take what an instance tells of those it polls; return whose health is new.
+        """Apply a peer's report of the instances it polls; return the IDs that changed.
 
-        Of the others nothing newer is known, so what was known is forgotten.
+        The health of instances that the report lacks becomes unknown, as no newer one
+        is known.
         """
         changed = []
         lost_store_ids = frozenset(lost_store)
@@ -257,11 +265,11 @@
         return changed
 
     def forget_health(self, instance_id: str) -> None:
-        """Forget the health of an instance that is not polled any more."""
+        """Reset the health of an instance that is no longer polled to unknown."""
         self._set(instance_id, PeerHealth.UNKNOWN, 0)
 
     def missed(self, instance_id: str) -> PeerHealth | None:
-        """Take a poll without an answer; return the health if it is new."""
+        """Record a poll without an answer; return the peer's health if it changed."""
         peer = self.peer_by_id.get(instance_id)
         if peer is None:
             return None
@@ -270,11 +278,12 @@
         return self._set(instance_id, health, missed)
 
     def shares(self) -> float:
-        """Return into how many parts like its own a budget of all instances is cut.
+        """Return the divisor that gives this instance's part of a shared budget.
 
-        Those that callers are sent to divide most of it, those that would follow them
-        some, and the others keep a little, for callers with an old answer. Silent ones
-        count: they may only be out of reach and spend their parts all the same.
+        The home sets divide most of a budget, the instances next in rank a smaller
+        part, and the others a small rest, for callers with an old address answer.
+        Silent instances count: they may only be unreachable and still spend their
+        parts.
         """
         if self._shares is None:
             counts = Counter[Tier]()
@@ -290,7 +299,7 @@
         return self._shares
 
     def home_size(self, zone: str) -> int:
-        """Return how many instances the home set of a zone has."""
+        """Return the number of instances in the home set of a zone."""
         size = self._home_size_by_zone.get(zone)
         if size is None:
             size = home_size(self._ranked(zone))
@@ -298,12 +307,13 @@
         return size
 
     def reads_store(self) -> bool:
-        """Tell whether this instance reads the store, or leaves that to its peers.
+        """Return whether this instance reads the store itself, not through its peers.
 
-        The first of the zone that reach the store do. Who does not know the health of
-        all before it reads only where none of those it knows does. While a zone starts
-        its home set reads at once, so that callers wait for nobody. On its very first
-        start an instance is not listed, and leaves reading to the seeds.
+        The first instances in the zone's ranking that reach the store are the readers.
+        An instance that does not know the health of all before it reads only if none of
+        those that it knows does. While a zone starts its home set reads at once, so
+        that callers do not wait. On its very first start an instance is not listed, and
+        only the seeds read.
         """
         if not self.is_listed:
             return False
@@ -318,10 +328,10 @@
         return readers < (READERS if position <= home + NEAR_POLLED else 1)
 
     def is_last_resort(self) -> bool:
-        """Tell whether this instance reads only as those asked first lost the store.
+        """Return whether this instance reads only as those before it lost the store.
 
-        It may be that the store turns just these away; where it answers nobody, a whole
-        zone that asks it costs calls.
+        The store may refuse just these instances. Where it answers no instance, retries
+        of a whole zone would cost many calls.
         """
         ranked = self._ranked(self.own.zone)
         position = ranked.index(self.own)
@@ -332,9 +342,10 @@
     def _tells_news(self, entry: InstanceEntry) -> bool:
         peer = self.peer_by_id[entry.instance_id]
         if self.is_starting:
-            # Others that start now read the store too, before they are ready.
+            # Peers that start now read the store too, before they are ready.
             return peer.health is not PeerHealth.SILENT
-        # While nobody is ready yet, those ahead wait for the store to have something.
+        # While no instance is ready yet, those ahead in rank wait for values in the
+        # store.
         has_answered = peer.health is PeerHealth.READY or (
             peer.health is PeerHealth.NOT_READY and not self.is_own_ready
         )
@@ -345,9 +356,9 @@
         return peer.health is PeerHealth.READY and not peer.reaches_store
 
     def to_poll(self) -> list[InstanceEntry]:
-        """Return whom to poll: those that callers here may be sent to, and a few more.
+        """Return the instances to poll: those that callers may get, and a few more.
 
-        A fixed number in each zone, however many instances there are.
+        Their number in each zone is fixed, however many instances there are.
         """
         zones = {entry.zone for entry in self._entries()}
         return [each for zone in zones for each in self._polled(zone)]
@@ -360,10 +371,10 @@
         return others[: count + silent]
 
     def leaders(self) -> list[InstanceEntry]:
-        """Return those of the own zone that tell this instance of all others.
+        """Return the leaders of the own zone, which report the health of all others.
 
-        None where this instance is one of them: the first of the zone's ranking poll
-        each other, and the rest ask one of these.
+        The first instances of the zone's ranking poll each other, and each of the rest
+        polls one of these. The list is empty if this instance is one of the first.
         """
         polled = self._polled(self.own.zone)
         if self._ranked(self.own.zone).index(self.own) <= len(polled):
@@ -371,11 +382,11 @@
         return [each for each in polled if not self._is_silent(each)]
 
     def knows_near(self) -> bool:
-        """Tell whether another instance of the own zone is known."""
+        """Return whether another instance of the own zone is known."""
         return len(self._ranked(self.own.zone)) > 1
 
     def knows_ready(self) -> bool:
-        """Tell whether another instance of the own zone is known to be ready."""
+        """Return whether another instance of the own zone is known to be ready."""
         return any(
             peer.health is PeerHealth.READY and peer.entry.zone == self.own.zone
             for peer in self.peer_by_id.values()
@@ -387,16 +398,16 @@
         return self.peer_by_id[entry.instance_id].health is PeerHealth.SILENT
 
     def report_address(self, instance_id: str) -> Address | None:
-        """Return where another instance takes datagrams, if it is known."""
+        """Return the address for datagrams to an instance; None if it is not known."""
         peer = self.peer_by_id.get(instance_id)
         return None if peer is None else Address.parse(peer.entry.report_address)
 
     def near(self) -> list[InstanceEntry]:
-        """Return the other instances that share the work of the own zone."""
+        """Return the other ready instances in the home set of the own zone."""
         return [each for each in self._home(self.own.zone) if each is not self.own]
 
     def serving(self) -> list[InstanceEntry]:
-        """Return the other instances that callers of any zone are sent to."""
+        """Return the other ready instances in the home sets of all zones."""
         zones = {entry.zone for entry in self._entries()}
         homes = [each for zone in zones for each in self._home(zone)]
         return [each for each in homes if each is not self.own]
@@ -404,12 +415,12 @@
     def usable(
         self, zone: str, region: str = '', homes: Collection[str] = ()
     ) -> list[InstanceEntry]:
-        """Return the instances for callers of a zone, never none if one is known.
+        """Return the instances for callers of a zone; the list is never empty.
 
-        Those of the zone if any is ready; else the ready ones of its region; else those
-        of the regions that the callers' requests are bound to; else all ready ones.
-        Where nobody is known to be ready, as all start at once, the zone's home set: it
-        is ready first. Else all.
+        They are the first of these groups that has a member: the ready home set of the
+        zone; the ready instances of its region; those of the regions that the callers'
+        requests are bound to; all ready instances; the home set of the zone without
+        silent ones, which is ready first where all start at once; all instances.
         """
         near = self._home(zone)
         if near:
@@ -421,10 +432,10 @@
         return in_region or at_home or ready or starting or self._entries()
 
     def _starting_home(self, zone: str) -> list[InstanceEntry]:
-        """Return the home set of a zone, ready or not, but for silent ones.
+        """Return the home set of a zone without silent instances, ready or not.
 
-        Of 900 callers around the loss of 118 instances 39 are refused and not 161 (one
-        play each).
+        With it 39 of 900 callers around the loss of 118 instances are refused, without
+        it 161 (one run each).
         """
         ranked = [each for each in self._ranked(zone) if not self._is_silent(each)]
         return ranked[: self.home_size(zone)]
@@ -442,7 +453,7 @@
         return [self.own, *(peer.entry for peer in self.peer_by_id.values())]
 
     def _ranked(self, zone: str) -> list[InstanceEntry]:
-        """Return the instances of a zone in the order in which callers get them."""
+        """Return the instances of a zone, the preferred ones for callers first."""
         ranked = self._ranked_by_zone.get(zone)
         if ranked is None:
             entries = [entry for entry in self._entries() if entry.zone == zone]
--- a/catkinslip/discovery/kinds.py
+++ b/catkinslip/discovery/kinds.py
@@ -1,7 +1,7 @@
-"""Kinds of value that each instance must know, told on by its peers.
+"""Kinds of value that every instance needs and that peers send to each other.
 
-A kind is declared once, where the instance is wired; who reads the store, who asks a
-peer and what is told follow from the declaration.
+A kind is declared once, where the parts of an instance are put together. Reads of the
+store, requests to peers and the answers to them follow from the declaration.
 """
 
 import re
@@ -19,18 +19,18 @@
 
 @frozen
 class SharedKind(Generic[Value]):
-    """One kind, the class of its values, and what is known of it here."""
+    """A kind of value: the class of its values and the follower that holds them."""
 
     value_class: type[Value]
     follower: Follower[Value]
 
     @property
     def name(self) -> str:
-        """Return the name that instances call the kind by."""
+        """Return the name of the kind in messages between instances."""
         return self.follower.kind
 
     def newer(self, revision: int) -> KindNews:
-        """Return what is newer than a revision, as plain data."""
+        """Return the changes after a revision, or all values, as plain data."""
         follower = self.follower
         changes = follower.changes_after(revision)
         if changes is None:
@@ -40,7 +40,7 @@
         return KindNews(follower.changed_at, tuple(named))
 
     def take(self, news: KindNews, since: int, source: str) -> None:
-        """Take what a peer told; what cannot be read changes nothing."""
+        """Apply an update from a peer; one that is not readable changes nothing."""
         plain = dict(news.value_by_name)
         if news.changes is not None:
             plain = {each.name: each.value for each in news.changes}
@@ -57,13 +57,13 @@
 
 @define
 class SharedKinds:
-    """The kinds that instances tell each other, by name."""
+    """The kinds of value that instances send to each other, by name."""
 
     kind_by_name: dict[str, SharedKind[Any]]
 
     @property
     def is_known(self) -> bool:
-        """Tell whether all of them were read at least once, here or by a peer."""
+        """Return whether all kinds were received at least once, from store or peer."""
         return all(kind.follower.is_known for kind in self.kind_by_name.values())
 
     def revisions(self) -> dict[str, int]:
@@ -71,13 +71,13 @@
         return {name: it.follower.changed_at for name, it in self.kind_by_name.items()}
 
     def newer(self, query: str) -> KindNews | None:
-        """Return what is newer than the query `kind.revision` says; None if wrong."""
+        """Return the update for a query `kind.revision`; None for an invalid query."""
         match = QUERY_FORM.match(query)
         kind = self.kind_by_name.get(match.group(1)) if match else None
         return None if kind is None else kind.newer(int(match.group(2)))
 
     def behind(self, revision_by_kind: dict[str, int]) -> list[SharedKind[Any]]:
-        """Return the kinds of which a peer knows more."""
+        """Return the kinds of which a peer has a newer revision."""
         return [
             kind
             for name, kind in self.kind_by_name.items()
@@ -86,5 +86,5 @@
 
 
 def share(*kinds: SharedKind[Any]) -> SharedKinds:
-    """Return kinds by their names."""
+    """Return the registry of several kinds by name."""
     return SharedKinds({kind.name: kind for kind in kinds})
--- a/catkinslip/discovery/messages.py
+++ b/catkinslip/discovery/messages.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of rules and backend servers, as JSON."""
+"""Messages between instances about rules, backend servers and peers, as JSON."""
 
 import logging
 from typing import Any
@@ -11,7 +11,8 @@
 from catkinslip.discovery.instances import PeerHealth
 
 STATE_PATH = '/peer/state'
-#: Queries of it: with all known instances, or with the health of the polled ones.
+#: Queries of the state page: with all known instances, or with the health of the
+#: polled ones.
 WITH_KNOWN = 'full'
 WITH_HEALTH = 'health'
 KNOWLEDGE_PATH = '/peer/knowledge'
@@ -23,30 +24,30 @@
 
 @frozen
 class PeerState:
-    """What an instance tells of itself."""
+    """The state of an instance, as it answers a poll."""
 
     instance: InstanceEntry
     is_ready: bool
     rules_version: int
     backends_revision: int
     reaches_store: bool = True
-    #: A hash of the instances that it knows.
+    #: Hash of the known instances.
     members: str = ''
-    #: The revision of the list that it knows them from.
+    #: Revision of the store at which the list of the known instances was read.
     list_revision: int = 0
-    #: Those that it knows, where they were asked for.
+    #: Known instances, if the query requested them.
     known: tuple[InstanceEntry, ...] = ()
-    #: The health of those that it polls, by name, where that was asked for.
+    #: Health of the polled instances by ID, if the query requested it.
     health: dict[str, PeerHealth] = Factory(dict)
-    #: Those of them that do not reach the store.
+    #: IDs of the polled instances that do not reach the store.
     lost_store: tuple[str, ...] = ()
-    #: The revision at which it last learned of a change, by the kind that changed.
+    #: Revision at which the instance last received a change, by kind.
     revision_by_kind: dict[str, int] = Factory(dict)
 
 
 @frozen
 class NamedBackend:
-    """A backend server that changed; without an entry it was removed."""
+    """A backend server that changed; the entry None is a removal."""
 
     name: str
     entry: BackendEntry | None
@@ -54,25 +55,26 @@
 
 @frozen
 class Knowledge:
-    """What an instance knows of rules and backend servers, or what is newer of it."""
+    """Rules and backend servers of an instance, or those newer than a peer's."""
 
-    #: None where the asker knows them.
+    #: Rules; None if the peer has them, or if they are too large.
     rules: RuleSet | None
     backends_revision: int
-    #: Seconds since an outage of the store ended, as whoever read it saw.
+    #: Seconds since an outage of the store ended, as measured by a reader of the store.
     regained_seconds: float | None
-    #: The changes since the asker's revision; None where all servers are told.
+    #: Changes since the peer's revision; None if `backends` holds all servers, or if
+    #: they are too many.
     changes: tuple[NamedBackend, ...] | None = None
     backends: dict[str, BackendEntry] = Factory(dict)
-    #: Whether newer rules are too large to be told; the store tells them.
+    #: Whether newer rules are too large to be sent; the peer reads them in the store.
     are_rules_large: bool = False
-    #: Whether all servers were asked for and are too many to be told.
+    #: Whether the peer needs all servers and they are too many to be sent.
     are_backends_large: bool = False
 
 
 @frozen
 class NamedValue:
-    """A value that changed, as plain data; without one it was removed."""
+    """A changed value as plain data; the value None is a removal."""
 
     name: str
     value: Any
@@ -80,20 +82,20 @@
 
 @frozen
 class KindNews:
-    """What is newer of one kind; its values are plain data."""
+    """Newer values of one kind, as plain data."""
 
     revision: int
-    #: The changes since the asker's revision; None where all values are told.
+    #: Changes since the peer's revision; None if `value_by_name` holds all values.
     changes: tuple[NamedValue, ...] | None = None
     value_by_name: dict[str, Any] = Factory(dict)
 
 
 def structure(plain: Any, wanted: type) -> Any | None:
-    """Return plain data as a value of a class; None for what cannot be one."""
+    """Return plain data as a value of a class, None if the data does not fit it."""
     if plain is None:
         return None
     try:
         return converter.structure(plain, wanted)
     except READ_ERRORS as error:
-        log.warning('peers: an answer cannot be read. error=%r', error)
+        log.warning('peers: answer not readable. error=%r', error)
         return None
--- a/catkinslip/discovery/peers.py
+++ b/catkinslip/discovery/peers.py
@@ -1,6 +1,6 @@
-"""Poll the other instances: who serves, and whether one of them knows more.
+"""Polls of the other instances, for their health and for newer rules and servers.
 
-An instance that the store refuses or does not reach still learns of leaving servers
+An instance that the store refuses or that does not reach it still gets leaving servers
 and new rules from its peers.
 """
 
@@ -39,27 +39,30 @@
 from catkinslip.models import Address
 from catkinslip.page_client import PageClient, Reply
 
-#: A dead peer leaves the address answers after two missed polls.
+#: Interval of polls in the own zone. A dead peer is left out of the address answers
+#: after two missed polls.
 POLL_SECONDS = 0.5
-#: Peers of other zones matter when a zone has none, or none that hears from the store;
-#: bytes between zones cost.
+#: Interval of polls in other zones. Their instances are needed only where a zone has no
+#: other one, or none that reaches the store, and traffic between zones has a price.
 FAR_POLL_SECONDS = 2.0
+#: Time limit of an answer.
 ANSWER_SECONDS = 0.4
-#: For rules of any size, 1 MB at most, on a link of 10 Mbit/s.
+#: Time limit of an answer with rules of any size, 1 MB at most, on a link of 10 Mbit/s.
 WHOLE_ANSWER_SECONDS = 1.5
-#: An instance that follows the store by itself is so much behind now and then.
+#: Delay by which an instance that reads the store itself may be behind a peer.
 BEHIND_SECONDS = 0.6
-#: The list of instances may be seconds old: the polls tell who lives.
+#: Interval of reads of the list of instances, longest and first. The list may be some
+#: seconds old, as the polls show which instances are alive.
 LIST_SECONDS = 5.0
 FIRST_LIST_SECONDS = 0.5
-#: A start asks the seeds when the store has not told the list by then; 313 entries take
-#: 0.03 s of waiting where it answers in 4 ms (worked out).
+#: Time after which an instance that starts queries the seeds, if the store has not sent
+#: the list. 313 entries take 0.03 s where the store answers in 4 ms (calculated).
 LIST_WAIT_SECONDS = 0.3
-#: All instances, some 200 bytes each, are asked of a peer that often at most.
+#: Shortest time between two requests for all instances, some 200 bytes each.
 MEMBERS_SECONDS = 1.0
-#: Parts of what a peer knows that are fetched one after the other.
+#: The most parts of a peer's changes that are fetched one after the other.
 MOST_PARTS = 12
-#: So long others that started too may still be reading the store.
+#: Time after a start in which peers that started too may still be reading the store.
 START_SECONDS = 1.5
 
 log = logging.getLogger('peers')
@@ -67,7 +70,7 @@
 
 @define
 class PeerPoller:
-    """Poll the other instances until cancelled."""
+    """A poller of the other instances of catkinslip."""
 
     instances: InstanceTable
     assembler: Assembler
@@ -78,13 +81,14 @@
     source: Source[InstanceEntry]
     registration: Registration
     scope_by_id: dict[str, trio.CancelScope] = Factory(dict)
-    #: Rules versions and revisions that peers had first, and when that was seen.
+    #: When newer rules versions and revisions were first seen at a peer, on the
+    #: monotonic clock.
     seen_at_by_news: dict[tuple[int, int], float] = Factory(dict)
-    #: When all instances were last asked of a peer, on the monotonic clock.
+    #: When all instances were last requested from a peer, on the monotonic clock.
     asked_members_at: float = -inf
 
     async def run(self) -> None:
-        """Announce this instance, find the others, poll each."""
+        """Announce this instance, find the others and poll them until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._ask_seeds)
             nursery.start_soon(self._follow_list, nursery)
@@ -97,10 +101,11 @@
                 await trio.sleep(POLL_SECONDS * self.random.uniform(0.9, 1.1))
 
     async def _follow(self, leaders: list[InstanceEntry]) -> None:
-        """Ask one of the zone's first instances, or all of them if it is silent.
+        """Poll one leader of the zone, or all of them if that one does not answer.
 
-        Who is not of the first polls two a second instead of fifteen: the polls of 313
-        instances in five zones take 1,060 a second instead of 4,800 (worked out).
+        An instance that is no leader makes two polls a second this way, and not
+        fifteen: 313 instances in five zones make 1,060 polls a second instead of 4,800
+        (calculated).
         """
         first = self.random.choice(leaders)
         if await self._hear(first):
@@ -111,7 +116,7 @@
                     nursery.start_soon(self._hear, entry)
 
     async def _hear(self, entry: InstanceEntry) -> bool:
-        """Poll an instance, and take what it tells of others; tell if it answers."""
+        """Poll a leader and apply its report of others; return whether it answered."""
         state = await self._poll(entry, WITH_HEALTH)
         if state is None:
             return False
@@ -121,7 +126,7 @@
         for instance_id in changed:
             health = self.instances.peer_by_id[instance_id].health
             log.info(
-                'peers: %s is %s, says %s.',
+                'peers: health changed. instance=%s health=%s reporter=%s',
                 instance_id,
                 health.name.lower(),
                 entry.instance_id,
@@ -133,10 +138,10 @@
         self.instances.end_start()
 
     async def _ask_seeds(self) -> None:
-        """Learn from a seed who there is, where the store tells of nobody near.
+        """Get the instances from a seed where the store lists none in the own zone.
 
-        313 instances that each ask three seeds, most of them in other zones, take
-        44 MB between zones at a start (worked out).
+        If all 313 instances queried three seeds each, most of them in other zones, a
+        start would take 44 MB between zones (calculated).
         """
         own = self.instances.own.peer_address
         seeds = [address for address in self.seeds if str(address) != own]
@@ -155,7 +160,7 @@
             await self._catch_up(address, state)
 
     async def _compare_members(self, address: Address, state: PeerState) -> None:
-        """Ask a peer for all instances where it knows others than this one does."""
+        """Request all instances from a peer whose newer list has other ones."""
         now = trio.current_time()
         if now - self.asked_members_at < MEMBERS_SECONDS:
             return
@@ -183,11 +188,11 @@
             delay = min(2 * delay, LIST_SECONDS)
 
     def _reads_list(self) -> bool:
-        """Tell whether no peer tells this instance who there is.
+        """Return whether this instance reads the list of instances from the store.
 
-        Each reading of 313 entries takes 7 calls of the store: all instances together
-        would make 440 calls a second. Who sends to guarded servers reads it in any
-        case, as its place rests on it.
+        Each read of 313 entries takes 7 calls to the store, so that all instances
+        together would make 440 calls a second. An instance that sends to restricted
+        servers always reads the list, as its position depends on it.
         """
         instances = self.instances
         reads = instances.reads_store() or instances.may_be_sender()
@@ -208,7 +213,7 @@
                 if self.registration.is_due(listed):
                     nursery.start_soon(self.registration.announce)
             case Failure(error):
-                log.info('peers: the list was not read. error=%s', error)
+                log.info('peers: list of instances not read. error=%s', error)
 
     def _start_polls(self, nursery: trio.Nursery) -> None:
         is_told = bool(self.instances.leaders())
@@ -239,7 +244,7 @@
         return FAR_POLL_SECONDS
 
     async def _poll(self, entry: InstanceEntry, query: str = '') -> PeerState | None:
-        """Poll an instance; return its answer, None if there is none."""
+        """Poll an instance and apply its answer; return None if there is none."""
         address = Address.parse(entry.peer_address)
         state = await self._read_state(address, query)
         if state is None or state.instance.instance_id != entry.instance_id:
@@ -259,10 +264,10 @@
 
     def _tell_health(self, entry: InstanceEntry, health: PeerHealth | None) -> None:
         if health is not None:
-            log.info('peers: %s is %s.', entry.instance_id, health.name.lower())
+            log.info('peers: health changed. instance=%s health=%s', entry.instance_id, health.name.lower())
 
     async def _catch_up(self, address: Address, state: PeerState) -> None:
-        """Fetch what a peer knows if that is newer than what is known here."""
+        """Fetch rules and servers from a peer if it has newer ones."""
         backends = self.assembler.backends
         if (
             state.rules_version <= self.assembler.rules_version
@@ -284,9 +289,9 @@
                 return
 
     async def _fetch(self, address: Address, instance_id: str) -> None:
-        """Fetch what a peer knows of rules and servers, or the first part of it."""
+        """Fetch newer rules and servers from a peer, or the first part of them."""
         since = self.assembler.backends.revision
-        # Only where the store does not answer must a peer tell rules of any size.
+        # A peer has to send rules of any size only where the store does not answer.
         is_whole = self.assembler.rules.is_lost
         query = f'{self.assembler.rules_version}.{since}{".whole" * is_whole}'
         seconds = WHOLE_ANSWER_SECONDS if is_whole else ANSWER_SECONDS
@@ -296,7 +301,7 @@
             self._take(knowledge, since, f'peer {instance_id}')
 
     async def _learn_kinds(self, address: Address, state: PeerState) -> None:
-        """Learn of the kinds of which a peer knows more."""
+        """Fetch and apply updates of the kinds of which a peer has a newer revision."""
         for kind in self.kinds.behind(state.revision_by_kind):
             since = kind.follower.revision
             plain = await self._read(address, f'{KIND_PATH}?{kind.name}.{since}')
@@ -312,7 +317,7 @@
             self.assembler.rules.read_once()
         backends = self.assembler.backends
         revision = knowledge.backends_revision
-        # Entries that lapsed in an outage are kept for a while, here too.
+        # Entries that expired in an outage are kept for some time on this instance too.
         backends.heard_regained(knowledge.regained_seconds)
         if knowledge.are_backends_large:
             backends.read_once()
@@ -323,7 +328,7 @@
             backends.learn(News(changes, revision), since)
 
     def _forget_known(self) -> None:
-        """Forget news that this instance has by now."""
+        """Remove the versions and revisions that this instance has by now."""
         rules = self.assembler.rules_version
         backends = self.assembler.backends.revision
         for news in list(self.seen_at_by_news):
@@ -337,7 +342,7 @@
     async def _read(
         self, address: Address, path: str, seconds: float = ANSWER_SECONDS
     ) -> Any | None:
-        """Return what a peer answers; None if it does not in time."""
+        """Return a peer's answer as plain data; None if none arrives in time."""
         reply = await self.client.ask(address, path, seconds)
         if not isinstance(reply, Reply):
             log.debug('peers: no answer. address=%s reason=%s', address, reply)
@@ -345,5 +350,5 @@
         try:
             return orjson.loads(reply.body)
         except orjson.JSONDecodeError as error:
-            log.warning('peers: an answer cannot be read. error=%r', error)
+            log.warning('peers: answer not readable. error=%r', error)
             return None
--- a/catkinslip/discovery/ranking.py
+++ b/catkinslip/discovery/ranking.py
@@ -1,4 +1,4 @@
-"""Rank the instances of a zone, and cut shared budgets by rank."""
+"""Ranking of a zone's instances, and the division of shared budgets by rank."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -7,15 +7,16 @@
 from catkinslip.addresses.rendezvous import weight
 from catkinslip.discovery.base import InstanceEntry
 
-#: Instances of a zone that its callers are sent to; more would each see less of the
-#: servers, keep more connections and tell each other more.
+#: Largest number of instances that the callers of a zone are sent to. With more of them
+#: each would see a smaller part of the servers' load, and they would keep more
+#: connections and exchange more messages.
 HOME_INSTANCES = 8
-#: Where some have more than twice the cores of the others, these alone are the home
-#: set, if there are so many: they start again in a fifth of the time.
+#: Instances with more than twice the cores of the others are the home set alone, if
+#: there are at least this many: they restart in a fifth of the time.
 STRONG_INSTANCES = 2
 WEAK_SHARE = 0.5
-#: Parts of each budget: of the home sets, and of as many instances times
-#: RESERVE_INSTANCES that follow in rank; the others divide the rest.
+#: Parts of each budget: that of the home sets, and that of the reserve, the next
+#: instances in rank, RESERVE_INSTANCES times as many; the others divide the remainder.
 HOME_SHARE = 0.7
 RESERVE_SHARE = 0.2
 RESERVE_INSTANCES = 2
@@ -23,10 +24,10 @@
 
 @unique
 class Tier(Enum):
-    """For which callers of its zone an instance is meant."""
+    """The group of an instance in its zone's ranking."""
 
     HOME = auto()
-    #: Next in rank, for when an instance of the home set is away.
+    #: Next in rank, for the case that an instance of the home set is missing.
     RESERVE = auto()
     REST = auto()
 
@@ -39,7 +40,7 @@
 
 
 def rank(zone: str, entries: list[InstanceEntry]) -> list[InstanceEntry]:
-    """Return the instances of a zone in the order in which callers get them."""
+    """Return the instances of a zone, the preferred ones for callers first."""
     is_weak = is_weak_among(entries)
     return sorted(
         entries, key=lambda each: (is_weak(each), weight(zone, each.instance_id))
@@ -49,8 +50,8 @@
 def sender_order(zone: str, entries: list[InstanceEntry]) -> list[InstanceEntry]:
     """Return the instances of a zone in the order in which they warm cold servers.
 
-    The strongest come first, as callers are sent to them. Two instances come in the
-    same order whatever others there are.
+    Those with the most cores come first, as callers are sent to them. The order of two
+    instances does not depend on the others.
     """
     return sorted(
         entries, key=lambda each: (-each.cores, weight(zone, each.instance_id))
@@ -58,13 +59,13 @@
 
 
 def home_size(ranked: list[InstanceEntry]) -> int:
-    """Return how many of a zone's instances are its home set."""
+    """Return the size of the home set of a zone with the given ranking."""
     strong = len(ranked) - sum(map(is_weak_among(ranked), ranked))
     return max(min(strong, HOME_INSTANCES), min(STRONG_INSTANCES, len(ranked)))
 
 
 def is_weak_among(entries: list[InstanceEntry]) -> Callable[[InstanceEntry], bool]:
-    """Return what tells instances that others of their zone far surpass."""
+    """Return a function that decides whether others have more than twice the cores."""
     least = WEAK_SHARE * max((entry.cores for entry in entries), default=0.0)
     return lambda entry: entry.cores < least
 
@@ -79,6 +80,6 @@
 
 
 def share_of(tier: Tier, counts: Counter[Tier]) -> float:
-    """Return the part of a budget that a tier has where only some are occupied."""
+    """Return the part of a budget for a tier; empty tiers get no part."""
     occupied = sum(share for each, share in SHARE_BY_TIER.items() if counts[each])
     return SHARE_BY_TIER[tier] / occupied
--- a/catkinslip/discovery/registration.py
+++ b/catkinslip/discovery/registration.py
@@ -1,4 +1,4 @@
-"""Keep the own entry in the list of instances while this one serves."""
+"""Registration of this instance in the list of instances while it serves."""
 
 import logging
 from math import inf
@@ -9,7 +9,7 @@
 
 from catkinslip.discovery.base import InstanceBook, InstanceEntry
 
-#: Until then the list may be older than the own entry in it.
+#: Time after an announcement in which the list may still lack the new entry.
 ANNOUNCE_AGAIN_SECONDS = 10.0
 
 log = logging.getLogger('peers')
@@ -17,7 +17,7 @@
 
 @define
 class Registration:
-    """Announce this instance where the list lacks it; withdraw it for good."""
+    """The entry of this instance in the list, announced if missing, then withdrawn."""
 
     book: InstanceBook
     own: InstanceEntry
@@ -25,30 +25,31 @@
     is_withdrawn: bool = False
 
     def is_due(self, listed: InstanceEntry | None) -> bool:
-        """Tell whether the list, which may be seconds old, should name this instance.
+        """Return whether this instance has to be announced, given its listed entry.
 
-        Most starts find their entry of before in it and save the call.
+        The list may be some seconds old. Most instances find the entry of an earlier
+        start in it, which saves the call.
         """
         if self.is_withdrawn or listed == self.own:
             return False
         return trio.current_time() - self.announced_at > ANNOUNCE_AGAIN_SECONDS
 
     def note_restored(self) -> None:
-        """Take that the store came back without what was written of late."""
+        """Record that the store was restored from a backup without recent entries."""
         self.announced_at = -inf
 
     async def announce(self) -> None:
-        """Write the own entry; the next look at the list tells whether to try again."""
+        """Write the own entry; the next read of the list shows whether to retry."""
         match await self.book.announce(self.own):
             case Success(_):
                 self.announced_at = trio.current_time()
                 log.info('peers: announced. instance=%s', self.own.instance_id)
             case Failure(error):
-                log.warning('peers: not announced yet. error=%s', error)
+                log.warning('peers: announcement failed, retried later. error=%s', error)
 
     async def withdraw(self) -> None:
-        """Take this instance out of the list for good."""
+        """Remove this instance from the list permanently."""
         self.is_withdrawn = True
         match await self.book.withdraw(self.own.instance_id):
             case Failure(error):
-                log.warning('peers: not withdrawn. error=%s', error)
+                log.warning('peers: withdrawal failed. error=%s', error)
--- a/catkinslip/discovery/restored.py
+++ b/catkinslip/discovery/restored.py
@@ -1,7 +1,9 @@
-"""What was known of servers before the store came back from a copy.
+"""Reconciliation of backend servers after the store was restored from a backup.
 
-For some seconds the copy shows them as they were: ready ones that leave by now, gone
-ones, earlier starts. Whoever is there writes its entry again, and what is gone lapses.
+For some seconds the backup shows servers in an earlier state: as ready although they
+are leaving by now, as present although they were removed, or at an earlier start.
+Servers that still run write their entries again, and the entries of removed ones
+expire.
 """
 
 from collections.abc import Mapping
@@ -10,16 +12,16 @@
 
 from catkinslip.discovery.base import BackendEntry
 
-#: What was known before is held against a copy so long. A server that is gone lapses
-#: from the copy after three of its heartbeats, 4.5 s.
+#: Time in which the earlier state of servers goes before that of a backup. The entry of
+#: a removed server expires from the backup after three of its heartbeats, 4.5 s.
 RESTORED_GRACE_SECONDS = 6.0
-#: A copy is some seconds old.
+#: Time for which removed servers are remembered; a backup is only some seconds old.
 REMOVED_KEPT_SECONDS = 60.0
 
 
 @define
 class RemovedBackends:
-    """The starts of servers that were removed lately, and when; monotonic seconds."""
+    """The starts of recently removed servers, with monotonic removal times."""
 
     removed_at_by_start: dict[tuple[str, int], float] = Factory(dict)
 
@@ -29,7 +31,7 @@
         after: Mapping[str, BackendEntry],
         now: float,
     ) -> None:
-        """Remember which servers are gone from one list to the next."""
+        """Record the servers that were removed between two lists."""
         for start, at in list(self.removed_at_by_start.items()):
             if now - at > REMOVED_KEPT_SECONDS:
                 del self.removed_at_by_start[start]
@@ -38,7 +40,7 @@
             self.removed_at_by_start[start] = now
 
     def has(self, entry: BackendEntry) -> bool:
-        """Tell whether a start of a server was removed lately."""
+        """Return whether this start of a server was removed recently."""
         return (entry.backend_id, entry.incarnation) in self.removed_at_by_start
 
 
@@ -47,7 +49,7 @@
     known: Mapping[str, BackendEntry],
     removed: RemovedBackends,
 ) -> dict[str, BackendEntry]:
-    """Return the servers of a copy, with what is known to have happened since."""
+    """Return the servers of a backup, updated by the changes known since then."""
     held = {}
     for backend_id, entry in listed.items():
         before = known.get(backend_id)
