--- a/catkinslip/discovery/assembly.py
+++ b/catkinslip/discovery/assembly.py
@@ -134,7 +134,7 @@
         return True
 
     def take_backends(self) -> None:
-        """Apply the registered backend servers, and keep removed ones for their grace."""
+        """Apply the registered backend servers; keep removed ones for their grace."""
         now = trio.current_time()
         listed = self.backends.value_by_name
         if now < self._restored_until():
--- a/catkinslip/discovery/follower.py
+++ b/catkinslip/discovery/follower.py
@@ -189,7 +189,9 @@
     def doubt(self) -> None:
         """Mark the values as possibly stale, so that the store is read at once."""
         if self.is_reachable:
-            log.info('discovery: wait without changes that a peer has. kind=%s', self.kind)
+            log.info(
+                'discovery: wait without changes that a peer has. kind=%s', self.kind
+            )
             self._lose()
             self._wait_scope.cancel()
 
@@ -337,7 +339,9 @@
 
     def _missed(self, error: object) -> None:
         if self.is_reachable:
-            log.warning('discovery: store unreachable. kind=%s error=%s', self.kind, error)
+            log.warning(
+                'discovery: store unreachable. kind=%s error=%s', self.kind, error
+            )
         self._lose()
         self.was_out = True
         self.has_missed = True
--- a/catkinslip/discovery/peers.py
+++ b/catkinslip/discovery/peers.py
@@ -264,7 +264,11 @@
 
     def _tell_health(self, entry: InstanceEntry, health: PeerHealth | None) -> None:
         if health is not None:
-            log.info('peers: health changed. instance=%s health=%s', entry.instance_id, health.name.lower())
+            log.info(
+                'peers: health changed. instance=%s health=%s',
+                entry.instance_id,
+                health.name.lower(),
+            )
 
     async def _catch_up(self, address: Address, state: PeerState) -> None:
         """Fetch rules and servers from a peer if it has newer ones."""
--- a/catkinslip/discovery/registration.py
+++ b/catkinslip/discovery/registration.py
@@ -45,7 +45,9 @@
                 self.announced_at = trio.current_time()
                 log.info('peers: announced. instance=%s', self.own.instance_id)
             case Failure(error):
-                log.warning('peers: announcement failed, retried later. error=%s', error)
+                log.warning(
+                    'peers: announcement failed, retried later. error=%s', error
+                )
 
     async def withdraw(self) -> None:
         """Remove this instance from the list permanently."""
