--- a/catkinslip/discovery/answers.py
+++ b/catkinslip/discovery/answers.py
@@ -13,7 +13,7 @@
 from catkinslip.discovery.messages import (
     WITH_HEALTH,
     WITH_KNOWN,
-    Knowledge,
+    DiscoverySnapshot,
     NamedBackend,
     PeerState,
 )
@@ -79,14 +79,14 @@
 
     async def kind(self, query: str) -> Page:
         """Return the changes of a kind after the revision in a query."""
-        news = self.kinds.newer(query)
-        if news is None:
+        update = self.kinds.newer(query)
+        if update is None:
             return Page(400)
-        return Page(200, orjson.dumps(converter.unstructure(news)))
+        return Page(200, orjson.dumps(converter.unstructure(update)))
 
     def newer(
         self, rules_version: int, revision: int, *, is_whole: bool = False
-    ) -> Knowledge:
+    ) -> DiscoverySnapshot:
         """Return the rules and servers that are newer than those of a peer.
 
         Without `is_whole` large rules and long lists are left out and marked as large.
@@ -94,16 +94,16 @@
         backends = self.assembler.backends
         rules = self._newer_rules(rules_version)
         is_large = rules is not None and len(rules.routes) > MOST_ROUTES_TOLD
-        knowledge = Knowledge(
+        knowledge = DiscoverySnapshot(
             rules=rules if is_whole or not is_large else None,
             backends_revision=backends.changed_at,
             regained_seconds=backends.regained_seconds(),
             are_rules_large=is_large,
         )
-        news = backends.part_after(revision, MOST_CHANGES_TOLD)
-        if news is not None:
-            named = tuple(NamedBackend(*change) for change in news.changes)
-            return evolve(knowledge, changes=named, backends_revision=news.revision)
+        part = backends.part_after(revision, MOST_CHANGES_TOLD)
+        if part is not None:
+            named = tuple(NamedBackend(*change) for change in part.changes)
+            return evolve(knowledge, changes=named, backends_revision=part.revision)
         if len(backends.value_by_name) > MOST_BACKENDS_TOLD and not is_whole:
             return evolve(knowledge, are_backends_large=True)
         return evolve(knowledge, backends=backends.value_by_name)
--- a/catkinslip/discovery/base.py
+++ b/catkinslip/discovery/base.py
@@ -76,7 +76,7 @@
 
 
 @frozen
-class News(Generic[Value]):
+class Changes(Generic[Value]):
     """Changes of one kind up to a revision, in order; the value None is a removal."""
 
     changes: tuple[tuple[str, Value | None], ...]
@@ -100,9 +100,9 @@
         """Read all values; a stale answer costs less and may be some seconds old."""
 
     @abstractmethod
-    async def wait_for_news(
+    async def wait_for_changes(
         self, revision: int, wait: float
-    ) -> Result[News[Value], PlatformError | HistoryGone]:
+    ) -> Result[Changes[Value], PlatformError | HistoryGone]:
         """Wait up to `wait` seconds for changes after a revision, and return them."""
 
 
--- a/catkinslip/discovery/changes.py
+++ b/catkinslip/discovery/changes.py
@@ -6,7 +6,7 @@
 
 from attrs import Factory, define
 
-from catkinslip.discovery.base import News, Value
+from catkinslip.discovery.base import Changes, Value
 
 #: The most changes that a log holds; a peer that lacks more gets all values. The start
 #: of 3,000 servers makes twice as many changes as servers within seconds.
@@ -44,7 +44,7 @@
             return None
         return tuple(change for at, change in self.entries if at > revision)
 
-    def part_after(self, revision: int, most: int) -> News[Value] | None:
+    def part_after(self, revision: int, most: int) -> Changes[Value] | None:
         """Return the first changes after a revision, with the revision they lead to.
 
         Changes that were received together stay together, so that there may be more
@@ -59,12 +59,12 @@
             if at <= revision:
                 continue
             if len(part) >= most and at != reached:
-                return News(tuple(part), reached)
+                return Changes(tuple(part), reached)
             part.append(change)
             reached = at
             if len(part) > MOST_TOGETHER * most:
                 return None
-        return News(tuple(part), reached)
+        return Changes(tuple(part), reached)
 
 
 def difference(before: dict[str, Value], after: dict[str, Value]) -> tuple[Change, ...]:
--- a/catkinslip/discovery/follower.py
+++ b/catkinslip/discovery/follower.py
@@ -15,7 +15,7 @@
 from attrs import Factory, define, field
 from returns.result import Failure, Success
 
-from catkinslip.discovery.base import HistoryGone, Listing, News, Source, Value
+from catkinslip.discovery.base import Changes, HistoryGone, Listing, Source, Value
 from catkinslip.discovery.changes import Change, ChangeLog, difference
 from catkinslip.discovery.revisions import era_of, text_of
 from catkinslip.store.backoff import Backoff
@@ -248,22 +248,22 @@
         """Return the changes after a peer's revision; None if it needs all values."""
         return self.changes.after(revision) if revision else None
 
-    def part_after(self, revision: int, most: int) -> News[Value] | None:
+    def part_after(self, revision: int, most: int) -> Changes[Value] | None:
         """Return the first changes after a peer's revision; None if it needs all."""
         return self.changes.part_after(revision, most) if revision else None
 
-    def learn(self, news: News[Value], since: int) -> bool:
+    def learn(self, update: Changes[Value], since: int) -> bool:
         """Apply changes that a peer sent; return whether they were applied.
 
         Changes that are not newer, or that begin after the known revision `since`, are
         not applied.
         """
-        if news.revision <= self.revision or since > self.revision:
+        if update.revision <= self.revision or since > self.revision:
             return False
-        if self._is_of_later_life(news.revision):
+        if self._is_of_later_life(update.revision):
             return False
         self.must_read = False
-        self._apply(news)
+        self._apply(update)
         return True
 
     async def _read_all(self) -> None:
@@ -281,14 +281,14 @@
     async def _take_news(self) -> None:
         wait = WAIT_SECONDS if self.is_reachable else CATCH_UP_SECONDS
         with trio.CancelScope() as self._wait_scope:
-            result = await self.source.wait_for_news(self.revision, wait)
+            result = await self.source.wait_for_changes(self.revision, wait)
         if self._wait_scope.cancelled_caught:
             return
         match result:
-            case Success(news):
+            case Success(update):
                 self._reached()
-                self._apply(news)
-                if news.changes:
+                self._apply(update)
+                if update.changes:
                     await trio.sleep(BATCH_SECONDS)
             case Failure(HistoryGone(reason)):
                 self.must_read = True
@@ -304,26 +304,26 @@
             case Failure(error):
                 self._missed(error)
 
-    def _apply(self, news: News[Value]) -> None:
-        if news.revision < self.revision:
+    def _apply(self, update: Changes[Value]) -> None:
+        if update.revision < self.revision:
             # A peer sent newer changes meanwhile.
             return
-        self.revision = news.revision
-        for name, value in news.changes:
+        self.revision = update.revision
+        for name, value in update.changes:
             log.info(
                 'discovery: %s %s. name=%s revision=%s',
                 self.kind,
                 'removed' if value is None else 'changed',
                 name,
-                text_of(news.revision),
+                text_of(update.revision),
             )
             if value is None:
                 self.value_by_name.pop(name, None)
             else:
                 self.value_by_name[name] = value
-        if news.changes:
-            self.changes.add(news.changes, news.revision)
-            self.changed_at = news.revision
+        if update.changes:
+            self.changes.add(update.changes, update.revision)
+            self.changed_at = update.revision
             self._tell()
 
     def _reached(self) -> None:
--- a/catkinslip/discovery/kinds.py
+++ b/catkinslip/discovery/kinds.py
@@ -10,9 +10,9 @@
 from attrs import define, frozen
 
 from catkinslip.config.documents import converter
-from catkinslip.discovery.base import Listing, News, Value
+from catkinslip.discovery.base import Changes, Listing, Value
 from catkinslip.discovery.follower import Follower
-from catkinslip.discovery.messages import KindNews, NamedValue, structure
+from catkinslip.discovery.messages import KindUpdate, NamedValue, structure
 
 QUERY_FORM = re.compile(r'([a-z-]+)\.([0-9]+)\Z')
 
@@ -29,30 +29,30 @@
         """Return the name of the kind in messages between instances."""
         return self.follower.kind
 
-    def newer(self, revision: int) -> KindNews:
+    def newer(self, revision: int) -> KindUpdate:
         """Return the changes after a revision, or all values, as plain data."""
         follower = self.follower
         changes = follower.changes_after(revision)
         if changes is None:
             plain = converter.unstructure(follower.value_by_name)
-            return KindNews(follower.changed_at, None, plain)
+            return KindUpdate(follower.changed_at, None, plain)
         named = (NamedValue(name, converter.unstructure(it)) for name, it in changes)
-        return KindNews(follower.changed_at, tuple(named))
+        return KindUpdate(follower.changed_at, tuple(named))
 
-    def take(self, news: KindNews, since: int, source: str) -> None:
+    def take(self, update: KindUpdate, since: int, source: str) -> None:
         """Apply an update from a peer; one that is not readable changes nothing."""
-        plain = dict(news.value_by_name)
-        if news.changes is not None:
-            plain = {each.name: each.value for each in news.changes}
+        plain = dict(update.value_by_name)
+        if update.changes is not None:
+            plain = {each.name: each.value for each in update.changes}
         value_by_name = structure(plain, dict[str, self.value_class | None])
         if value_by_name is None:
             return
-        if news.changes is None:
+        if update.changes is None:
             known = {k: it for k, it in value_by_name.items() if it is not None}
-            self.follower.offer(Listing(known, news.revision), source)
+            self.follower.offer(Listing(known, update.revision), source)
         else:
             changes = tuple(value_by_name.items())
-            self.follower.learn(News(changes, news.revision), since)
+            self.follower.learn(Changes(changes, update.revision), since)
 
 
 @define
@@ -70,7 +70,7 @@
         """Return the revision of the last change of each kind."""
         return {name: it.follower.changed_at for name, it in self.kind_by_name.items()}
 
-    def newer(self, query: str) -> KindNews | None:
+    def newer(self, query: str) -> KindUpdate | None:
         """Return the update for a query `kind.revision`; None for an invalid query."""
         match = QUERY_FORM.match(query)
         kind = self.kind_by_name.get(match.group(1)) if match else None
--- a/catkinslip/discovery/messages.py
+++ b/catkinslip/discovery/messages.py
@@ -54,7 +54,7 @@
 
 
 @frozen
-class Knowledge:
+class DiscoverySnapshot:
     """Rules and backend servers of an instance, or those newer than a peer's."""
 
     #: Rules; None if the peer has them, or if they are too large.
@@ -81,7 +81,7 @@
 
 
 @frozen
-class KindNews:
+class KindUpdate:
     """Newer values of one kind, as plain data."""
 
     revision: int
--- a/catkinslip/discovery/peers.py
+++ b/catkinslip/discovery/peers.py
@@ -16,9 +16,9 @@
 
 from catkinslip.discovery.assembly import Assembler
 from catkinslip.discovery.base import (
+    Changes,
     InstanceEntry,
     Listing,
-    News,
     Source,
 )
 from catkinslip.discovery.instances import InstanceTable, PeerHealth
@@ -29,8 +29,8 @@
     STATE_PATH,
     WITH_HEALTH,
     WITH_KNOWN,
-    KindNews,
-    Knowledge,
+    DiscoverySnapshot,
+    KindUpdate,
     PeerState,
     structure,
 )
@@ -83,7 +83,7 @@
     scope_by_id: dict[str, trio.CancelScope] = Factory(dict)
     #: When newer rules versions and revisions were first seen at a peer, on the
     #: monotonic clock.
-    seen_at_by_news: dict[tuple[int, int], float] = Factory(dict)
+    seen_at_by_versions: dict[tuple[int, int], float] = Factory(dict)
     #: When all instances were last requested from a peer, on the monotonic clock.
     asked_members_at: float = -inf
 
@@ -280,10 +280,13 @@
             return
         self._forget_known()
         now = trio.current_time()
-        news = (state.rules_version, state.backends_revision)
-        self.seen_at_by_news.setdefault(news, now)
+        versions = (state.rules_version, state.backends_revision)
+        self.seen_at_by_versions.setdefault(versions, now)
         is_following = backends.is_reachable and self.assembler.is_ready
-        if is_following and now - min(self.seen_at_by_news.values()) < BEHIND_SECONDS:
+        if (
+            is_following
+            and now - min(self.seen_at_by_versions.values()) < BEHIND_SECONDS
+        ):
             return
         self.assembler.doubt_store(state.rules_version, state.backends_revision)
         for _ in range(MOST_PARTS):
@@ -300,7 +303,7 @@
         query = f'{self.assembler.rules_version}.{since}{".whole" * is_whole}'
         seconds = WHOLE_ANSWER_SECONDS if is_whole else ANSWER_SECONDS
         plain = await self._read(address, f'{KNOWLEDGE_PATH}?{query}', seconds)
-        knowledge = structure(plain, Knowledge)
+        knowledge = structure(plain, DiscoverySnapshot)
         if knowledge is not None:
             self._take(knowledge, since, f'peer {instance_id}')
 
@@ -309,11 +312,11 @@
         for kind in self.kinds.behind(state.revision_by_kind):
             since = kind.follower.revision
             plain = await self._read(address, f'{KIND_PATH}?{kind.name}.{since}')
-            news = structure(plain, KindNews)
-            if news is not None:
-                kind.take(news, since, f'peer {state.instance.instance_id}')
+            update = structure(plain, KindUpdate)
+            if update is not None:
+                kind.take(update, since, f'peer {state.instance.instance_id}')
 
-    def _take(self, knowledge: Knowledge, since: int, source: str) -> None:
+    def _take(self, knowledge: DiscoverySnapshot, since: int, source: str) -> None:
         if knowledge.rules is not None:
             self.assembler.offer_rules(knowledge.rules)
             self.assembler.rules.reads_once = False
@@ -329,15 +332,15 @@
             backends.offer(Listing(knowledge.backends, revision), source)
         else:
             changes = tuple((each.name, each.entry) for each in knowledge.changes)
-            backends.learn(News(changes, revision), since)
+            backends.learn(Changes(changes, revision), since)
 
     def _forget_known(self) -> None:
         """Remove the versions and revisions that this instance has by now."""
         rules = self.assembler.rules_version
         backends = self.assembler.backends.revision
-        for news in list(self.seen_at_by_news):
-            if news[0] <= rules and news[1] <= backends:
-                del self.seen_at_by_news[news]
+        for versions in list(self.seen_at_by_versions):
+            if versions[0] <= rules and versions[1] <= backends:
+                del self.seen_at_by_versions[versions]
 
     async def _read_state(self, address: Address, query: str = '') -> PeerState | None:
         path = f'{STATE_PATH}?{query}' if query else STATE_PATH
--- a/catkinslip/platform/client.py
+++ b/catkinslip/platform/client.py
@@ -18,11 +18,11 @@
 from catkinslip.crashes.identity import RequestKey
 from catkinslip.crashes.objects import record_to_plain
 from catkinslip.discovery.base import (
+    Changes,
     HistoryGone,
     InstanceBook,
     InstanceEntry,
     Listing,
-    News,
     Source,
     Value,
 )
@@ -233,9 +233,9 @@
             except DECODE_ERRORS as error:
                 return Failure(Unavailable(f'a listing cannot be read, {error!r}'))
 
-    async def wait_for_news(
+    async def wait_for_changes(
         self, revision: int, wait: float
-    ) -> Result[News[Value], PlatformError | HistoryGone]:
+    ) -> Result[Changes[Value], PlatformError | HistoryGone]:
         """Return the changes after a revision, at the latest after `wait` seconds."""
         if era_of(revision) < self.client.era:
             return Failure(RESTORED)
@@ -256,7 +256,7 @@
         try:
             changes = [self._read_event(it, reply.era) for it in reply.body['events']]
             kept = tuple(each for each in changes if each is not None)
-            return Success(News(kept, ordered(reply.era, reply.body['as_of'])))
+            return Success(Changes(kept, ordered(reply.era, reply.body['as_of'])))
         except DECODE_ERRORS as error:
             # Reading all again tells what this answer would have told.
             return Failure(HistoryGone(f'news cannot be read, {error!r}'))
--- a/tests/discovery_builders.py
+++ b/tests/discovery_builders.py
@@ -9,10 +9,10 @@
 from catkinslip.config.documents import Route, Service, SplitPart
 from catkinslip.discovery.base import (
     BackendEntry,
+    Changes,
     HistoryGone,
     InstanceEntry,
     Listing,
-    News,
     RuleSet,
     Source,
 )
@@ -53,9 +53,9 @@
     return Listing({each.backend_id: each for each in entries}, revision)
 
 
-def news(revision: int, *changes: tuple[str, BackendEntry | None]) -> News:
+def changes_at(revision: int, *changes: tuple[str, BackendEntry | None]) -> Changes:
     """Return news of backend servers."""
-    return News(changes, revision)
+    return Changes(changes, revision)
 
 
 @define
@@ -72,7 +72,7 @@
         self.calls.append('read')
         return await self._next(self.listings)
 
-    async def wait_for_news(self, revision: int, wait: float) -> Result:
+    async def wait_for_changes(self, revision: int, wait: float) -> Result:
         self.calls.append(f'wait {revision}')
         self.waits_seconds.append(wait)
         return await self._next(self.waits)
--- a/tests/test_discovery_assembly.py
+++ b/tests/test_discovery_assembly.py
@@ -13,8 +13,8 @@
 from tests.discovery_builders import (
     ScriptedSource,
     backend_entry,
+    changes_at,
     listing,
-    news,
     rule_set,
 )
 
@@ -114,7 +114,7 @@
             assembler.backends.offer(listing(4, ONE, TWO), 'test')
             before = assembler.config.current.document.register.backends
             leaving = backend_entry('two', port=81, is_draining=True)
-            assembler.backends.learn(news(5, ('two', leaving)), 4)
+            assembler.backends.learn(changes_at(5, ('two', leaving)), 4)
             after = assembler.config.current.document.register.backends
             self.assertIs(after['one'], before['one'])
             self.assertTrue(after['two'].draining)
--- a/tests/test_discovery_changes.py
+++ b/tests/test_discovery_changes.py
@@ -16,7 +16,7 @@
     PeerAnswers,
 )
 from catkinslip.discovery.assembly import Assembler
-from catkinslip.discovery.base import Listing, News
+from catkinslip.discovery.base import Changes, Listing
 from catkinslip.discovery.changes import MAX_CHANGES, ChangeLog, difference
 from catkinslip.discovery.follower import Follower
 from catkinslip.discovery.instances import InstanceTable
@@ -25,9 +25,9 @@
 from tests.discovery_builders import (
     ScriptedSource,
     backend_entry,
+    changes_at,
     instance_entry,
     listing,
-    news,
     no_kinds,
     rule_set,
 )
@@ -119,7 +119,7 @@
         self.assertEqual((told.backends, told.changes), ({'one': ONE}, None))
 
     def test_asker_with_the_same_rules_gets_changes_alone(self):
-        self.assembler.backends.learn(news(8, ('two', TWO), ('one', None)), 5)
+        self.assembler.backends.learn(changes_at(8, ('two', TWO), ('one', None)), 5)
         told = self.answers.newer(3, 5)
         self.assertIsNone(told.rules)
         self.assertEqual(told.backends, {})
@@ -164,7 +164,7 @@
     def test_many_changes_are_told_in_parts_that_lead_to_the_same(self):
         backends = self.assembler.backends
         for revision, (name, entry) in enumerate(self.many(2000).items(), 6):
-            backends.learn(news(revision, (name, entry)), revision - 1)
+            backends.learn(changes_at(revision, (name, entry)), revision - 1)
         other = follower()
         other.offer(listing(5, ONE), 'test')
         parts = 0
@@ -172,7 +172,7 @@
             told = self.answers.newer(3, other.revision)
             self.assertLessEqual(len(told.changes), MOST_CHANGES_TOLD)
             changes = tuple((each.name, each.entry) for each in told.changes)
-            other.learn(News(changes, told.backends_revision), other.revision)
+            other.learn(Changes(changes, told.backends_revision), other.revision)
             parts += 1
         self.assertEqual(other.value_by_name, backends.value_by_name)
         self.assertLessEqual(parts, MOST_PARTS)
@@ -230,16 +230,16 @@
         self.follower.offer(listing(5, ONE), 'test')
 
     def test_newer_changes_are_taken(self):
-        self.assertTrue(self.follower.learn(news(8, ('two', TWO)), 5))
+        self.assertTrue(self.follower.learn(changes_at(8, ('two', TWO)), 5))
         self.assertEqual(self.follower.value_by_name, {'one': ONE, 'two': TWO})
         self.assertEqual(self.follower.revision, 8)
 
     def test_older_changes_are_not_taken(self):
-        self.assertFalse(self.follower.learn(News((('one', None),), 5), 4))
+        self.assertFalse(self.follower.learn(Changes((('one', None),), 5), 4))
         self.assertEqual(self.follower.value_by_name, {'one': ONE})
 
     def test_changes_after_an_unknown_revision_are_not_taken(self):
-        self.assertFalse(self.follower.learn(news(9, ('two', TWO)), 6))
+        self.assertFalse(self.follower.learn(changes_at(9, ('two', TWO)), 6))
         self.assertEqual(self.follower.revision, 5)
 
     def test_empty_listing_is_known_and_told(self):
--- a/tests/test_discovery_follower.py
+++ b/tests/test_discovery_follower.py
@@ -20,8 +20,8 @@
     OUTAGE,
     ScriptedSource,
     backend_entry,
+    changes_at,
     listing,
-    news,
 )
 
 ONE, TWO = backend_entry('one'), backend_entry('two', port=81)
@@ -47,7 +47,9 @@
     """Values and revision after a script."""
 
     def test_news_change_and_remove_values(self):
-        follower, _ = follow([listing(5, ONE)], [news(7, ('two', TWO), ('one', None))])
+        follower, _ = follow(
+            [listing(5, ONE)], [changes_at(7, ('two', TWO), ('one', None))]
+        )
         self.assertEqual(follower.value_by_name, {'two': TWO})
         self.assertEqual(follower.revision, 7)
 
@@ -57,13 +59,13 @@
         self.assertEqual(source.calls, ['read', 'wait 5', 'read', 'wait 9'])
 
     def test_failed_wait_goes_on_from_the_revision_known(self):
-        changes = news(6, ('two', TWO), ('one', None))
+        changes = changes_at(6, ('two', TWO), ('one', None))
         follower, source = follow([listing(5, ONE)], [OUTAGE, OUTAGE, changes])
         self.assertEqual(follower.value_by_name, {'two': TWO})
         self.assertEqual(source.calls, ['read', *['wait 5'] * 3, 'wait 6'])
 
     def test_first_wait_after_a_failure_asks_only_what_was_missed(self):
-        _, source = follow([listing(5, ONE)], [OUTAGE, news(5), news(5)])
+        _, source = follow([listing(5, ONE)], [OUTAGE, changes_at(5), changes_at(5)])
         self.assertEqual(
             source.waits_seconds,
             [WAIT_SECONDS, CATCH_UP_SECONDS, WAIT_SECONDS, WAIT_SECONDS],
@@ -85,7 +87,7 @@
                 regained_at = follower.regained_at
                 follower.doubt()
                 self.assertTrue(follower.is_lost)
-                source.waits = [news(8, ('two', TWO))]
+                source.waits = [changes_at(8, ('two', TWO))]
                 await trio.sleep(10)
                 self.assertEqual(follower.regained_at, regained_at)
                 nursery.cancel_scope.cancel()
@@ -96,7 +98,7 @@
         self.assertFalse(follower.is_lost)
 
     def test_news_without_changes_are_nothing_to_tell_peers(self):
-        follower, _ = follow([listing(5, ONE)], [news(9)])
+        follower, _ = follow([listing(5, ONE)], [changes_at(9)])
         self.assertEqual((follower.revision, follower.changed_at), (9, 5))
 
     def test_reader_of_what_a_peer_told_only_waits_for_news(self):
@@ -119,7 +121,7 @@
     def test_news_older_than_what_a_peer_told_change_nothing(self):
         follower, _ = follow([listing(5, ONE)], [])
         follower.offer(listing(9, TWO), 'peer')
-        follower._apply(news(8, ('one', ONE)))
+        follower._apply(changes_at(8, ('one', ONE)))
         self.assertEqual(follower.value_by_name, {'two': TWO})
         self.assertEqual(follower.revision, 9)
 
--- a/tests/test_discovery_restored.py
+++ b/tests/test_discovery_restored.py
@@ -10,7 +10,7 @@
 from catkinslip.crashes.book import CrashBook
 from catkinslip.crashes.suspect import Verdict
 from catkinslip.discovery.assembly import LAPSE_GRACE_SECONDS, Assembler
-from catkinslip.discovery.base import BackendEntry, Listing, News
+from catkinslip.discovery.base import BackendEntry, Changes, Listing
 from catkinslip.discovery.follower import Follower
 from catkinslip.discovery.restored import RESTORED_GRACE_SECONDS
 from catkinslip.discovery.revisions import era_of, number_of, ordered, text_of
@@ -18,8 +18,8 @@
     GONE,
     ScriptedSource,
     backend_entry,
+    changes_at,
     listing,
-    news,
     rule_set,
 )
 from tests.test_crashes_book import KEY, NOW, book_with, stored
@@ -78,7 +78,7 @@
 
     def test_changes_of_another_life_are_not_put_on_top(self):
         follower, _ = follow([listing(at(1, 71), ONE)], [])
-        self.assertFalse(follower.learn(news(at(2, 3), ('two', TWO)), at(1, 71)))
+        self.assertFalse(follower.learn(changes_at(at(2, 3), ('two', TWO)), at(1, 71)))
         self.assertEqual(follower.value_by_name, {'one': ONE})
 
     def test_earlier_life_of_a_peer_replaces_nothing(self):
@@ -250,7 +250,7 @@
             return
         known = number_of(follower.revision)
         changes = tuple((name, it) for n, name, it in self.log if n > known)
-        follower.learn(News(changes, now), follower.revision)
+        follower.learn(Changes(changes, now), follower.revision)
 
 
 def poll(asker: Follower, asked: Follower) -> None:
@@ -261,7 +261,7 @@
     if changes is None:
         asker.offer(Listing(dict(asked.value_by_name), asked.changed_at), 'peer')
     else:
-        asker.learn(News(changes, asked.changed_at), asker.revision)
+        asker.learn(Changes(changes, asked.changed_at), asker.revision)
 
 
 class FleetTest(unittest.TestCase):
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -8,7 +8,7 @@
 from catkinslip.config.checks import read_document
 from catkinslip.config.holder import ConfigHolder
 from catkinslip.discovery.assembly import Assembler
-from catkinslip.discovery.base import BackendEntry, Listing, News, ZoneEvacuation
+from catkinslip.discovery.base import BackendEntry, Changes, Listing, ZoneEvacuation
 from catkinslip.discovery.follower import Follower
 from catkinslip.discovery.kinds import SharedKind, share
 from catkinslip.routing.directory import Directory
@@ -42,9 +42,9 @@
         known = follower()
         known.offer(Listing({}, 5), 'store')
         self.assertFalse(known.offer(Listing({'zone-a': EVACUATED}, 4), 'peer'))
-        known.learn(News((('zone-a', EVACUATED),), 7), 5)
+        known.learn(Changes((('zone-a', EVACUATED),), 7), 5)
         self.assertFalse(known.offer(Listing({}, 6), 'peer'))
-        self.assertFalse(known.learn(News((('zone-a', None),), 6), 5))
+        self.assertFalse(known.learn(Changes((('zone-a', None),), 6), 5))
         self.assertEqual(known.value_by_name, {'zone-a': EVACUATED})
 
     def test_peer_tells_of_an_evacuation_and_of_its_end(self):
@@ -123,7 +123,7 @@
         entry = BackendEntry('i-4', 'limits', 'zone-a', '10.0.0.1', 90, 2)
 
         async def learn():
-            self.assembler.backends.learn(News((('i-4', entry),), 2), 1)
+            self.assembler.backends.learn(Changes((('i-4', entry),), 2), 1)
 
         trio.run(learn)
         self.assembler.offer_rules(rule_set(2))
@@ -291,7 +291,7 @@
         await trio.sleep(0)
         return OUTAGE
 
-    async def wait_for_news(self, revision: int, wait: float):
+    async def wait_for_changes(self, revision: int, wait: float):
         await trio.sleep(0)
         return OUTAGE
 
--- a/tests/test_platform_client.py
+++ b/tests/test_platform_client.py
@@ -52,7 +52,7 @@
             listing = (await source.read_all()).unwrap()
             self.assertEqual(len(pages), 3)
             self.assertEqual(len(listing.value_by_name), 5)
-            news = (await source.wait_for_news(listing.revision, 1.0)).unwrap()
+            news = (await source.wait_for_changes(listing.revision, 1.0)).unwrap()
             self.assertEqual(news.changes, (('i-0', None),))
 
         on_platform(check)
@@ -89,7 +89,7 @@
             source = backends(platform)
             listing = (await source.read_all()).unwrap()
             platform.store.put('servers', 'i-1', {'addr': '10.0.0.1:0'})
-            news = (await source.wait_for_news(listing.revision, 1.0)).unwrap()
+            news = (await source.wait_for_changes(listing.revision, 1.0)).unwrap()
             self.assertEqual(news.changes, (('i-1', None),))
             self.assertEqual(source.client.unreadable_by_kind['servers'], 1)
 
@@ -109,7 +109,7 @@
             listing = (await source.read_all()).unwrap()
             platform.store.put('config', 'other', {})
             platform.store.forget_history()
-            lost = (await source.wait_for_news(listing.revision - 1, 0.1)).failure()
+            lost = (await source.wait_for_changes(listing.revision - 1, 0.1)).failure()
             self.assertIsInstance(lost, HistoryGone)
 
         on_platform(check)
@@ -161,7 +161,7 @@
             ended = []
 
             async def wait():
-                ended.append(await source.wait_for_news(revision, GENEROUS_SECONDS))
+                ended.append(await source.wait_for_changes(revision, GENEROUS_SECONDS))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(wait)
