--- a/catkinslip/discovery/answers.py
+++ b/catkinslip/discovery/answers.py
@@ -23,14 +23,14 @@
 #: The most routes that an answer holds. A route takes some 220 bytes, so that 1,400 of
 #: them take 0.25 s on a link of 10 Mbit/s, and all instances of a zone would request
 #: them at once.
-MOST_ROUTES_TOLD = 200
+MAX_SENT_ROUTES = 200
 #: The most servers that an answer holds in full. A server takes some 220 bytes, and the
 #: whole answer 0.2 s at 5 Mbit/s. With 3,000 servers no answer arrived within its time
 #: limit of 0.4 s, and so no rules either: of 300 instances on such links the median one
 #: had new rules after 10 s.
-MOST_BACKENDS_TOLD = 600
+MAX_SENT_BACKENDS = 600
 #: The most changes of servers in one part; parts are requested one after the other.
-MOST_CHANGES_TOLD = 300
+MAX_SENT_CHANGES = 300
 
 
 @define
@@ -65,7 +65,7 @@
             )
         return Page(200, orjson.dumps(converter.unstructure(state)))
 
-    async def knowledge(self, query: str) -> Page:
+    async def snapshot(self, query: str) -> Page:
         """Return rules and servers newer than the version and revision in a query.
 
         The suffix `whole` requests rules and lists of servers of any size.
@@ -74,8 +74,8 @@
         if match is None:
             return Page(400)
         version, revision, whole = match.groups()
-        knowledge = self.newer(int(version), int(revision), is_whole=bool(whole))
-        return Page(200, orjson.dumps(converter.unstructure(knowledge)))
+        snapshot = self.newer(int(version), int(revision), is_whole=bool(whole))
+        return Page(200, orjson.dumps(converter.unstructure(snapshot)))
 
     async def kind(self, query: str) -> Page:
         """Return the changes of a kind after the revision in a query."""
@@ -93,20 +93,20 @@
         """
         backends = self.assembler.backends
         rules = self._newer_rules(rules_version)
-        is_large = rules is not None and len(rules.routes) > MOST_ROUTES_TOLD
-        knowledge = DiscoverySnapshot(
+        is_large = rules is not None and len(rules.routes) > MAX_SENT_ROUTES
+        snapshot = DiscoverySnapshot(
             rules=rules if is_whole or not is_large else None,
             backends_revision=backends.changed_at,
             regained_seconds=backends.regained_seconds(),
             are_rules_large=is_large,
         )
-        part = backends.part_after(revision, MOST_CHANGES_TOLD)
+        part = backends.part_after(revision, MAX_SENT_CHANGES)
         if part is not None:
             named = tuple(NamedBackend(*change) for change in part.changes)
-            return evolve(knowledge, changes=named, backends_revision=part.revision)
-        if len(backends.value_by_name) > MOST_BACKENDS_TOLD and not is_whole:
-            return evolve(knowledge, are_backends_large=True)
-        return evolve(knowledge, backends=backends.value_by_name)
+            return evolve(snapshot, changes=named, backends_revision=part.revision)
+        if len(backends.value_by_name) > MAX_SENT_BACKENDS and not is_whole:
+            return evolve(snapshot, are_backends_large=True)
+        return evolve(snapshot, backends=backends.value_by_name)
 
     def _newer_rules(self, rules_version: int) -> RuleSet | None:
         is_newer = self.assembler.rules_version > rules_version
--- a/catkinslip/discovery/changes.py
+++ b/catkinslip/discovery/changes.py
@@ -13,7 +13,7 @@
 MAX_CHANGES = 4000
 
 #: The largest size of a part, as a multiple of the requested size.
-MOST_TOGETHER = 2
+MAX_PART_FACTOR = 2
 
 Change = tuple[str, Value | None]
 
@@ -62,7 +62,7 @@
                 return Changes(tuple(part), reached)
             part.append(change)
             reached = at
-            if len(part) > MOST_TOGETHER * most:
+            if len(part) > MAX_PART_FACTOR * most:
                 return None
         return Changes(tuple(part), reached)
 
--- a/catkinslip/discovery/messages.py
+++ b/catkinslip/discovery/messages.py
@@ -15,7 +15,7 @@
 #: polled ones.
 WITH_KNOWN = 'full'
 WITH_HEALTH = 'health'
-KNOWLEDGE_PATH = '/peer/knowledge'
+SNAPSHOT_PATH = '/peer/knowledge'
 KIND_PATH = '/peer/kind'
 READ_ERRORS = (cattrs.BaseValidationError, KeyError, TypeError, ValueError)
 
--- a/catkinslip/discovery/peers.py
+++ b/catkinslip/discovery/peers.py
@@ -25,7 +25,7 @@
 from catkinslip.discovery.kinds import SharedKinds
 from catkinslip.discovery.messages import (
     KIND_PATH,
-    KNOWLEDGE_PATH,
+    SNAPSHOT_PATH,
     STATE_PATH,
     WITH_HEALTH,
     WITH_KNOWN,
@@ -61,7 +61,7 @@
 #: Shortest time between two requests for all instances, some 200 bytes each.
 MEMBERS_SECONDS = 1.0
 #: The most parts of a peer's changes that are fetched one after the other.
-MOST_PARTS = 12
+MAX_PARTS = 12
 #: Time after a start in which peers that started too may still be reading the store.
 START_SECONDS = 1.5
 
@@ -85,22 +85,22 @@
     #: monotonic clock.
     seen_at_by_versions: dict[tuple[int, int], float] = Factory(dict)
     #: When all instances were last requested from a peer, on the monotonic clock.
-    asked_members_at: float = -inf
+    requested_members_at: float = -inf
 
     async def run(self) -> None:
         """Announce this instance, find the others and poll them until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._ask_seeds)
+            nursery.start_soon(self._query_seeds)
             nursery.start_soon(self._follow_list, nursery)
             nursery.start_soon(self._end_start)
             while True:
                 leaders = self.instances.leaders()
                 self._start_polls(nursery)
                 if leaders:
-                    await self._follow(leaders)
+                    await self._poll_leaders(leaders)
                 await trio.sleep(POLL_SECONDS * self.random.uniform(0.9, 1.1))
 
-    async def _follow(self, leaders: list[InstanceEntry]) -> None:
+    async def _poll_leaders(self, leaders: list[InstanceEntry]) -> None:
         """Poll one leader of the zone, or all of them if that one does not answer.
 
         An instance that is no leader makes two polls a second this way, and not
@@ -108,14 +108,14 @@
         (calculated).
         """
         first = self.random.choice(leaders)
-        if await self._hear(first):
+        if await self._poll_leader(first):
             return
         async with trio.open_nursery() as nursery:
             for entry in leaders:
                 if entry is not first:
-                    nursery.start_soon(self._hear, entry)
+                    nursery.start_soon(self._poll_leader, entry)
 
-    async def _hear(self, entry: InstanceEntry) -> bool:
+    async def _poll_leader(self, entry: InstanceEntry) -> bool:
         """Poll a leader and apply its report of others; return whether it answered."""
         state = await self._poll(entry, WITH_HEALTH)
         if state is None:
@@ -137,7 +137,7 @@
         await trio.sleep(START_SECONDS)
         self.instances.end_start()
 
-    async def _ask_seeds(self) -> None:
+    async def _query_seeds(self) -> None:
         """Get the instances from a seed where the store lists none in the own zone.
 
         If all 313 instances queried three seeds each, most of them in other zones, a
@@ -162,16 +162,16 @@
     async def _compare_members(self, address: Address, state: PeerState) -> None:
         """Request all instances from a peer whose newer list has other ones."""
         now = trio.current_time()
-        if now - self.asked_members_at < MEMBERS_SECONDS:
+        if now - self.requested_members_at < MEMBERS_SECONDS:
             return
         if not self.instances.lacks(state.members, state.list_revision):
             return
-        self.asked_members_at = now
-        told = await self._read_state(address, WITH_KNOWN)
-        if told is None:
+        self.requested_members_at = now
+        answer = await self._read_state(address, WITH_KNOWN)
+        if answer is None:
             return
-        entries = (told.instance, *told.known)
-        self.instances.take_list(entries, told.list_revision)
+        entries = (answer.instance, *answer.known)
+        self.instances.take_list(entries, answer.list_revision)
         own_id = self.instances.own.instance_id
         is_known = any(entry.instance_id == own_id for entry in entries)
         if not is_known and self.registration.is_due(None):
@@ -216,13 +216,13 @@
                 log.info('peers: list of instances not read. error=%s', error)
 
     def _start_polls(self, nursery: trio.Nursery) -> None:
-        is_told = bool(self.instances.leaders())
-        polled = [] if is_told else self.instances.to_poll()
+        has_leaders = bool(self.instances.leaders())
+        polled = [] if has_leaders else self.instances.to_poll()
         wanted = {each.instance_id: each for each in polled}
         for instance_id in list(self.scope_by_id):
             if instance_id not in wanted:
                 self.scope_by_id.pop(instance_id).cancel()
-                if not is_told:
+                if not has_leaders:
                     self.instances.forget_health(instance_id)
         for instance_id, entry in wanted.items():
             if instance_id not in self.scope_by_id:
@@ -248,21 +248,21 @@
         address = Address.parse(entry.peer_address)
         state = await self._read_state(address, query)
         if state is None or state.instance.instance_id != entry.instance_id:
-            self._tell_health(entry, self.instances.missed(entry.instance_id))
+            self._log_health(entry, self.instances.missed(entry.instance_id))
             return None
         health = self.instances.answered(
             entry.instance_id,
             state.is_ready,
             reaches_store=state.reaches_store,
         )
-        self._tell_health(entry, health)
+        self._log_health(entry, health)
         await self._catch_up(address, state)
-        await self._learn_kinds(address, state)
+        await self._update_kinds(address, state)
         if entry.zone == self.instances.own.zone:
             await self._compare_members(address, state)
         return state
 
-    def _tell_health(self, entry: InstanceEntry, health: PeerHealth | None) -> None:
+    def _log_health(self, entry: InstanceEntry, health: PeerHealth | None) -> None:
         if health is not None:
             log.info(
                 'peers: health changed. instance=%s health=%s',
@@ -278,7 +278,7 @@
             and state.backends_revision <= backends.revision
         ):
             return
-        self._forget_known()
+        self._remove_known_versions()
         now = trio.current_time()
         versions = (state.rules_version, state.backends_revision)
         self.seen_at_by_versions.setdefault(versions, now)
@@ -289,7 +289,7 @@
         ):
             return
         self.assembler.doubt_store(state.rules_version, state.backends_revision)
-        for _ in range(MOST_PARTS):
+        for _ in range(MAX_PARTS):
             since = backends.revision
             await self._fetch(address, state.instance.instance_id)
             if not since < backends.revision < state.backends_revision:
@@ -302,12 +302,12 @@
         is_whole = self.assembler.rules.is_lost
         query = f'{self.assembler.rules_version}.{since}{".whole" * is_whole}'
         seconds = WHOLE_ANSWER_SECONDS if is_whole else ANSWER_SECONDS
-        plain = await self._read(address, f'{KNOWLEDGE_PATH}?{query}', seconds)
-        knowledge = structure(plain, DiscoverySnapshot)
-        if knowledge is not None:
-            self._take(knowledge, since, f'peer {instance_id}')
+        plain = await self._read(address, f'{SNAPSHOT_PATH}?{query}', seconds)
+        snapshot = structure(plain, DiscoverySnapshot)
+        if snapshot is not None:
+            self._apply_snapshot(snapshot, since, f'peer {instance_id}')
 
-    async def _learn_kinds(self, address: Address, state: PeerState) -> None:
+    async def _update_kinds(self, address: Address, state: PeerState) -> None:
         """Fetch and apply updates of the kinds of which a peer has a newer revision."""
         for kind in self.kinds.behind(state.revision_by_kind):
             since = kind.follower.revision
@@ -316,25 +316,27 @@
             if update is not None:
                 kind.take(update, since, f'peer {state.instance.instance_id}')
 
-    def _take(self, knowledge: DiscoverySnapshot, since: int, source: str) -> None:
-        if knowledge.rules is not None:
-            self.assembler.offer_rules(knowledge.rules)
+    def _apply_snapshot(
+        self, snapshot: DiscoverySnapshot, since: int, source: str
+    ) -> None:
+        if snapshot.rules is not None:
+            self.assembler.offer_rules(snapshot.rules)
             self.assembler.rules.reads_once = False
-        elif knowledge.are_rules_large:
+        elif snapshot.are_rules_large:
             self.assembler.rules.read_once()
         backends = self.assembler.backends
-        revision = knowledge.backends_revision
+        revision = snapshot.backends_revision
         # Entries that expired in an outage are kept for some time on this instance too.
-        backends.heard_regained(knowledge.regained_seconds)
-        if knowledge.are_backends_large:
+        backends.heard_regained(snapshot.regained_seconds)
+        if snapshot.are_backends_large:
             backends.read_once()
-        elif knowledge.changes is None:
-            backends.offer(Listing(knowledge.backends, revision), source)
+        elif snapshot.changes is None:
+            backends.offer(Listing(snapshot.backends, revision), source)
         else:
-            changes = tuple((each.name, each.entry) for each in knowledge.changes)
+            changes = tuple((each.name, each.entry) for each in snapshot.changes)
             backends.learn(Changes(changes, revision), since)
 
-    def _forget_known(self) -> None:
+    def _remove_known_versions(self) -> None:
         """Remove the versions and revisions that this instance has by now."""
         rules = self.assembler.rules_version
         backends = self.assembler.backends.revision
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -26,7 +26,7 @@
 from catkinslip.discovery.follower import Follower, Outage
 from catkinslip.discovery.instances import InstanceTable
 from catkinslip.discovery.kinds import SharedKind, share
-from catkinslip.discovery.messages import KIND_PATH, KNOWLEDGE_PATH, STATE_PATH
+from catkinslip.discovery.messages import KIND_PATH, SNAPSHOT_PATH, STATE_PATH
 from catkinslip.discovery.peers import PeerPoller
 from catkinslip.discovery.registration import Registration
 from catkinslip.environment import Environment
@@ -302,7 +302,7 @@
     answers = PeerAnswers(instances, assembler, kinds)
     makers: dict[str, PageMaker] = {
         STATE_PATH: answers.state,
-        KNOWLEDGE_PATH: answers.knowledge,
+        SNAPSHOT_PATH: answers.snapshot,
         KIND_PATH: answers.kind,
     }
     lag = LoopLag(clock)
--- a/tests/test_discovery_changes.py
+++ b/tests/test_discovery_changes.py
@@ -11,8 +11,8 @@
 
 from catkinslip.config.holder import ConfigHolder
 from catkinslip.discovery.answers import (
-    MOST_BACKENDS_TOLD,
-    MOST_CHANGES_TOLD,
+    MAX_SENT_BACKENDS,
+    MAX_SENT_CHANGES,
     PeerAnswers,
 )
 from catkinslip.discovery.assembly import Assembler
@@ -20,7 +20,7 @@
 from catkinslip.discovery.changes import MAX_CHANGES, ChangeLog, difference
 from catkinslip.discovery.follower import Follower
 from catkinslip.discovery.instances import InstanceTable
-from catkinslip.discovery.peers import MOST_PARTS, PeerPoller
+from catkinslip.discovery.peers import MAX_PARTS, PeerPoller
 from catkinslip.page_client import PageClient
 from tests.discovery_builders import (
     ScriptedSource,
@@ -153,7 +153,7 @@
         return {each.backend_id: each for each in entries}
 
     def test_all_of_many_servers_are_left_to_the_store_unless_it_does_not_answer(self):
-        many = self.many(MOST_BACKENDS_TOLD + 1)
+        many = self.many(MAX_SENT_BACKENDS + 1)
         self.assembler.backends.offer(Listing(many, 9), 'test')
         told = self.answers.newer(0, 0)
         self.assertTrue(told.are_backends_large)
@@ -170,15 +170,15 @@
         parts = 0
         while other.revision < backends.changed_at:
             told = self.answers.newer(3, other.revision)
-            self.assertLessEqual(len(told.changes), MOST_CHANGES_TOLD)
+            self.assertLessEqual(len(told.changes), MAX_SENT_CHANGES)
             changes = tuple((each.name, each.entry) for each in told.changes)
             other.learn(Changes(changes, told.backends_revision), other.revision)
             parts += 1
         self.assertEqual(other.value_by_name, backends.value_by_name)
-        self.assertLessEqual(parts, MOST_PARTS)
+        self.assertLessEqual(parts, MAX_PARTS)
 
     def test_more_changes_at_one_revision_than_fit_are_told_as_all(self):
-        many = self.many(3 * MOST_CHANGES_TOLD)
+        many = self.many(3 * MAX_SENT_CHANGES)
         self.assembler.backends.offer(Listing(many, 9), 'test')
         self.assertTrue(self.answers.newer(3, 5).are_backends_large)
 
@@ -195,19 +195,19 @@
             ScriptedSource(),
             None,
         )
-        many = self.many(MOST_BACKENDS_TOLD + 1)
+        many = self.many(MAX_SENT_BACKENDS + 1)
         self.assembler.backends.offer(Listing(many, 9), 'test')
-        poller._take(self.answers.newer(0, 0), 0, 'peer')
+        poller._apply_snapshot(self.answers.newer(0, 0), 0, 'peer')
         self.assertEqual(asker.rules_version, 3)
         self.assertTrue(asker.backends.reads_once)
         self.assertEqual(asker.backends.revision, 0)
 
     def test_question_that_cannot_be_read_is_refused(self):
         for query in ('', '3', '3.x', '3.5.all', '3.5.whole.', '-3.5'):
-            page = trio.run(self.answers.knowledge, query)
+            page = trio.run(self.answers.snapshot, query)
             self.assertEqual(page.status, 400, query)
         for query in ('3.5', '3.5.whole'):
-            page = trio.run(self.answers.knowledge, query)
+            page = trio.run(self.answers.snapshot, query)
             self.assertEqual(page.status, 200, query)
 
     def test_end_of_an_outage_is_told_with_its_age(self):
--- a/tests/test_discovery_following.py
+++ b/tests/test_discovery_following.py
@@ -125,7 +125,7 @@
         self.fleet.asked[place] = self.fleet.asked.get(place, 0) + 1
         answers = self.fleet.answers_by_address[place]
         path, _, query = target.partition('?')
-        maker = answers.state if path.endswith('state') else answers.knowledge
+        maker = answers.state if path.endswith('state') else answers.snapshot
         page = await maker(query)
         return Reply(page.status, page.body)
 
