--- a/catkinslip/discovery/answers.py
+++ b/catkinslip/discovery/answers.py
@@ -74,17 +74,19 @@
         if match is None:
             return Page(400)
         version, revision, whole = match.groups()
-        snapshot = self.newer(int(version), int(revision), is_whole=bool(whole))
+        snapshot = self.snapshot_after(
+            int(version), int(revision), is_whole=bool(whole)
+        )
         return Page(200, orjson.dumps(converter.unstructure(snapshot)))
 
     async def kind(self, query: str) -> Page:
         """Return the changes of a kind after the revision in a query."""
-        update = self.kinds.newer(query)
+        update = self.kinds.update_for(query)
         if update is None:
             return Page(400)
         return Page(200, orjson.dumps(converter.unstructure(update)))
 
-    def newer(
+    def snapshot_after(
         self, rules_version: int, revision: int, *, is_whole: bool = False
     ) -> DiscoverySnapshot:
         """Return the rules and servers that are newer than those of a peer.
--- a/catkinslip/discovery/kinds.py
+++ b/catkinslip/discovery/kinds.py
@@ -29,7 +29,7 @@
         """Return the name of the kind in messages between instances."""
         return self.follower.kind
 
-    def newer(self, revision: int) -> KindUpdate:
+    def update_after(self, revision: int) -> KindUpdate:
         """Return the changes after a revision, or all values, as plain data."""
         follower = self.follower
         changes = follower.changes_after(revision)
@@ -39,7 +39,7 @@
         named = (NamedValue(name, converter.unstructure(it)) for name, it in changes)
         return KindUpdate(follower.changed_at, tuple(named))
 
-    def take(self, update: KindUpdate, since: int, source: str) -> None:
+    def apply(self, update: KindUpdate, since: int, source: str) -> None:
         """Apply an update from a peer; one that is not readable changes nothing."""
         plain = dict(update.value_by_name)
         if update.changes is not None:
@@ -70,13 +70,13 @@
         """Return the revision of the last change of each kind."""
         return {name: it.follower.changed_at for name, it in self.kind_by_name.items()}
 
-    def newer(self, query: str) -> KindUpdate | None:
+    def update_for(self, query: str) -> KindUpdate | None:
         """Return the update for a query `kind.revision`; None for an invalid query."""
         match = QUERY_FORM.match(query)
         kind = self.kind_by_name.get(match.group(1)) if match else None
-        return None if kind is None else kind.newer(int(match.group(2)))
+        return None if kind is None else kind.update_after(int(match.group(2)))
 
-    def behind(self, revision_by_kind: dict[str, int]) -> list[SharedKind[Any]]:
+    def kinds_behind(self, revision_by_kind: dict[str, int]) -> list[SharedKind[Any]]:
         """Return the kinds of which a peer has a newer revision."""
         return [
             kind
@@ -85,6 +85,6 @@
         ]
 
 
-def share(*kinds: SharedKind[Any]) -> SharedKinds:
+def shared_kinds(*kinds: SharedKind[Any]) -> SharedKinds:
     """Return the registry of several kinds by name."""
     return SharedKinds({kind.name: kind for kind in kinds})
--- a/catkinslip/discovery/peers.py
+++ b/catkinslip/discovery/peers.py
@@ -309,12 +309,12 @@
 
     async def _update_kinds(self, address: Address, state: PeerState) -> None:
         """Fetch and apply updates of the kinds of which a peer has a newer revision."""
-        for kind in self.kinds.behind(state.revision_by_kind):
+        for kind in self.kinds.kinds_behind(state.revision_by_kind):
             since = kind.follower.revision
             plain = await self._read(address, f'{KIND_PATH}?{kind.name}.{since}')
             update = structure(plain, KindUpdate)
             if update is not None:
-                kind.take(update, since, f'peer {state.instance.instance_id}')
+                kind.apply(update, since, f'peer {state.instance.instance_id}')
 
     def _apply_snapshot(
         self, snapshot: DiscoverySnapshot, since: int, source: str
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -25,7 +25,7 @@
 )
 from catkinslip.discovery.follower import Follower, Outage
 from catkinslip.discovery.instances import InstanceTable
-from catkinslip.discovery.kinds import SharedKind, share
+from catkinslip.discovery.kinds import SharedKind, shared_kinds
 from catkinslip.discovery.messages import KIND_PATH, SNAPSHOT_PATH, STATE_PATH
 from catkinslip.discovery.peers import PeerPoller
 from catkinslip.discovery.registration import Registration
@@ -296,7 +296,7 @@
     evacuations = make_follower('evacuations', outside.evacuations)
     evacuations.restore_listeners.append(assembler.hold_evacuations)
     evacuations.listeners.append(lambda: assembler.evacuate(evacuations.value_by_name))
-    kinds = share(
+    kinds = shared_kinds(
         SharedKind(CrashRecord, crashes), SharedKind(ZoneEvacuation, evacuations)
     )
     answers = PeerAnswers(instances, assembler, kinds)
--- a/tests/discovery_builders.py
+++ b/tests/discovery_builders.py
@@ -16,7 +16,7 @@
     RuleSet,
     Source,
 )
-from catkinslip.discovery.kinds import SharedKinds, share
+from catkinslip.discovery.kinds import SharedKinds, shared_kinds
 from catkinslip.store.base import Unavailable
 
 OUTAGE = Failure(Unavailable('test'))
@@ -88,4 +88,4 @@
 
 def no_kinds() -> SharedKinds:
     """Return no kinds but rules and servers."""
-    return share()
+    return shared_kinds()
--- a/tests/test_discovery_changes.py
+++ b/tests/test_discovery_changes.py
@@ -114,13 +114,13 @@
         self.assembler.backends.offer(listing(5, ONE), 'test')
 
     def test_asker_without_anything_gets_everything(self):
-        told = self.answers.newer(0, 0)
+        told = self.answers.snapshot_after(0, 0)
         self.assertEqual(told.rules, rule_set(3))
         self.assertEqual((told.backends, told.changes), ({'one': ONE}, None))
 
     def test_asker_with_the_same_rules_gets_changes_alone(self):
         self.assembler.backends.learn(changes_at(8, ('two', TWO), ('one', None)), 5)
-        told = self.answers.newer(3, 5)
+        told = self.answers.snapshot_after(3, 5)
         self.assertIsNone(told.rules)
         self.assertEqual(told.backends, {})
         names = [(each.name, each.entry) for each in told.changes]
@@ -128,11 +128,11 @@
 
     def test_whole_list_read_anew_is_told_as_its_changes(self):
         self.assembler.backends.offer(listing(9, TWO), 'test')
-        names = [each.name for each in self.answers.newer(3, 5).changes]
+        names = [each.name for each in self.answers.snapshot_after(3, 5).changes]
         self.assertEqual(names, ['one', 'two'])
 
     def test_asker_that_lacks_too_much_gets_everything(self):
-        told = self.answers.newer(3, 4)
+        told = self.answers.snapshot_after(3, 4)
         self.assertEqual((told.backends, told.changes), ({'one': ONE}, None))
 
     def test_large_rules_are_left_to_the_store_unless_it_does_not_answer(self):
@@ -141,11 +141,11 @@
             routes={str(n): rule_set(9).routes['a'] for n in range(300)},
         )
         self.assembler.offer_rules(many)
-        told = self.answers.newer(3, 5)
+        told = self.answers.snapshot_after(3, 5)
         self.assertIsNone(told.rules)
         self.assertTrue(told.are_rules_large)
-        self.assertEqual(self.answers.newer(3, 5, is_whole=True).rules, many)
-        self.assertFalse(self.answers.newer(9, 5).are_rules_large)
+        self.assertEqual(self.answers.snapshot_after(3, 5, is_whole=True).rules, many)
+        self.assertFalse(self.answers.snapshot_after(9, 5).are_rules_large)
 
     def many(self, count: int) -> dict:
         """Return as many servers by name."""
@@ -155,10 +155,10 @@
     def test_all_of_many_servers_are_left_to_the_store_unless_it_does_not_answer(self):
         many = self.many(MAX_SENT_BACKENDS + 1)
         self.assembler.backends.offer(Listing(many, 9), 'test')
-        told = self.answers.newer(0, 0)
+        told = self.answers.snapshot_after(0, 0)
         self.assertTrue(told.are_backends_large)
         self.assertEqual((told.backends, told.rules), ({}, rule_set(3)))
-        told = self.answers.newer(0, 0, is_whole=True)
+        told = self.answers.snapshot_after(0, 0, is_whole=True)
         self.assertEqual((told.backends, told.are_backends_large), (many, False))
 
     def test_many_changes_are_told_in_parts_that_lead_to_the_same(self):
@@ -169,7 +169,7 @@
         other.offer(listing(5, ONE), 'test')
         parts = 0
         while other.revision < backends.changed_at:
-            told = self.answers.newer(3, other.revision)
+            told = self.answers.snapshot_after(3, other.revision)
             self.assertLessEqual(len(told.changes), MAX_SENT_CHANGES)
             changes = tuple((each.name, each.entry) for each in told.changes)
             other.learn(Changes(changes, told.backends_revision), other.revision)
@@ -180,7 +180,7 @@
     def test_more_changes_at_one_revision_than_fit_are_told_as_all(self):
         many = self.many(3 * MAX_SENT_CHANGES)
         self.assembler.backends.offer(Listing(many, 9), 'test')
-        self.assertTrue(self.answers.newer(3, 5).are_backends_large)
+        self.assertTrue(self.answers.snapshot_after(3, 5).are_backends_large)
 
     def test_asker_of_too_many_servers_reads_the_store_once(self):
         asker = Assembler(ConfigHolder(), follower(), follower())
@@ -197,7 +197,7 @@
         )
         many = self.many(MAX_SENT_BACKENDS + 1)
         self.assembler.backends.offer(Listing(many, 9), 'test')
-        poller._apply_snapshot(self.answers.newer(0, 0), 0, 'peer')
+        poller._apply_snapshot(self.answers.snapshot_after(0, 0), 0, 'peer')
         self.assertEqual(asker.rules_version, 3)
         self.assertTrue(asker.backends.reads_once)
         self.assertEqual(asker.backends.revision, 0)
@@ -211,9 +211,9 @@
             self.assertEqual(page.status, 200, query)
 
     def test_end_of_an_outage_is_told_with_its_age(self):
-        self.assertIsNone(self.answers.newer(3, 5).regained_seconds)
+        self.assertIsNone(self.answers.snapshot_after(3, 5).regained_seconds)
         self.assembler.backends.regained_at = 99.0
-        self.assertEqual(self.answers.newer(3, 5).regained_seconds, 1.0)
+        self.assertEqual(self.answers.snapshot_after(3, 5).regained_seconds, 1.0)
         other = follower()
         other.heard_regained(1.0)
         self.assertEqual(other.regained_at, 99.0)
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -10,7 +10,7 @@
 from catkinslip.discovery.assembly import Assembler
 from catkinslip.discovery.base import BackendEntry, Changes, Listing, ZoneEvacuation
 from catkinslip.discovery.follower import Follower
-from catkinslip.discovery.kinds import SharedKind, share
+from catkinslip.discovery.kinds import SharedKind, shared_kinds
 from catkinslip.routing.directory import Directory
 from catkinslip.routing.policies import LeastInFlight
 from tests.builders import backend_plain, document_of, document_plain
@@ -49,26 +49,26 @@
 
     def test_peer_tells_of_an_evacuation_and_of_its_end(self):
         teller, asker = (
-            share(SharedKind(ZoneEvacuation, follower())) for _ in range(2)
+            shared_kinds(SharedKind(ZoneEvacuation, follower())) for _ in range(2)
         )
         known = teller.kind_by_name['evacuations'].follower
         for at, listing in ((5, {'zone-a': EVACUATED}), (9, {})):
             known.offer(Listing(listing, at), 'store')
-            (kind,) = asker.behind(teller.revisions())
+            (kind,) = asker.kinds_behind(teller.revisions())
             since = kind.follower.revision
-            kind.take(teller.newer(f'evacuations.{since}'), since, 'peer')
+            kind.apply(teller.update_for(f'evacuations.{since}'), since, 'peer')
             self.assertEqual(kind.follower.value_by_name, listing)
-            self.assertEqual(asker.behind(teller.revisions()), [])
+            self.assertEqual(asker.kinds_behind(teller.revisions()), [])
 
     def test_malformed_question_or_answer_changes_nothing(self):
-        kinds = share(SharedKind(ZoneEvacuation, follower()))
+        kinds = shared_kinds(SharedKind(ZoneEvacuation, follower()))
         for query in ('', 'evacuations', 'evacuations.x', 'other.1', 'a.b.c'):
-            self.assertIsNone(kinds.newer(query))
+            self.assertIsNone(kinds.update_for(query))
         kind = kinds.kind_by_name['evacuations']
         kind.follower.offer(Listing({'zone-a': EVACUATED}, 5), 'store')
-        news = kinds.newer('evacuations.0')
+        news = kinds.update_for('evacuations.0')
         news.value_by_name['zone-b'] = 7
-        kind.take(news, 0, 'peer')
+        kind.apply(news, 0, 'peer')
         self.assertEqual(kind.follower.value_by_name, {'zone-a': EVACUATED})
 
 
