--- a/catkinslip/discovery/answers.py
+++ b/catkinslip/discovery/answers.py
@@ -99,7 +99,7 @@
         snapshot = DiscoverySnapshot(
             rules=rules if is_whole or not is_large else None,
             backends_revision=backends.changed_at,
-            regained_seconds=backends.regained_seconds(),
+            regained_seconds=backends.seconds_since_recovery(),
             are_rules_large=is_large,
         )
         part = backends.part_after(revision, MAX_SENT_CHANGES)
--- a/catkinslip/discovery/assembly.py
+++ b/catkinslip/discovery/assembly.py
@@ -77,15 +77,15 @@
         """Return whether the last calls to the store succeeded, if any were made."""
         return not (self.rules.is_lost or self.backends.is_lost)
 
-    def doubt_store(self, rules_version: int, backends_revision: int) -> None:
+    def mark_possibly_stale(self, rules_version: int, backends_revision: int) -> None:
         """Mark as possibly stale each kind of which a peer has a newer state.
 
         The store is then read again at once.
         """
         if rules_version > self.rules_version:
-            self.rules.doubt()
+            self.rules.mark_possibly_stale()
         if backends_revision > self.backends.revision:
-            self.backends.doubt()
+            self.backends.mark_possibly_stale()
 
     def start(self) -> None:
         """Register the listeners for changes of rules and servers."""
@@ -141,7 +141,7 @@
             listed = hold_against_copy(listed, self.current_backends, self.removed)
             self.kept.set()
         merged = dict(listed)
-        grace_end = self.backends.regained_at + LAPSE_GRACE_SECONDS
+        grace_end = self.backends.recovered_at + LAPSE_GRACE_SECONDS
         for backend_id in self.kept_until_by_id.keys() & listed.keys():
             del self.kept_until_by_id[backend_id]
         for backend_id in self.current_backends.keys() - listed.keys():
--- a/catkinslip/discovery/base.py
+++ b/catkinslip/discovery/base.py
@@ -84,7 +84,7 @@
 
 
 @frozen
-class HistoryGone:
+class HistoryRemoved:
     """A failure: the store no longer holds the changes after a revision."""
 
     reason: str
@@ -102,7 +102,7 @@
     @abstractmethod
     async def wait_for_changes(
         self, revision: int, wait: float
-    ) -> Result[Changes[Value], PlatformError | HistoryGone]:
+    ) -> Result[Changes[Value], PlatformError | HistoryRemoved]:
         """Wait up to `wait` seconds for changes after a revision, and return them."""
 
 
--- a/catkinslip/discovery/follower.py
+++ b/catkinslip/discovery/follower.py
@@ -15,7 +15,7 @@
 from attrs import Factory, define, field
 from returns.result import Failure, Success
 
-from catkinslip.discovery.base import Changes, HistoryGone, Listing, Source, Value
+from catkinslip.discovery.base import Changes, HistoryRemoved, Listing, Source, Value
 from catkinslip.discovery.changes import Change, ChangeLog, difference
 from catkinslip.discovery.revisions import era_of, text_of
 from catkinslip.store.backoff import Backoff
@@ -119,26 +119,26 @@
     #: When values of a new era of the store were received, on the monotonic clock.
     restored_at: float = -inf
     #: Revision after which the store no longer held the changes at the last wait.
-    gone_revision: int = -1
+    history_lost_revision: int = -1
     is_reachable: bool = False
     #: Whether the last call failed, so that others should read the store instead.
     is_lost: bool = False
     #: Whether the last call failed, so that the next one waits for its turn.
-    has_missed: bool = False
+    has_failed: bool = False
     #: Whether all values have to be read, as the store lacks the changes since the
     #: revision.
     must_read: bool = True
     #: Whether a call failed since the last successful one. A start is no outage, nor is
     #: a mark as possibly stale.
-    was_out: bool = False
+    had_outage: bool = False
     #: Whether to read all values once, although peers read the store for this instance.
     reads_once: bool = False
     #: When a call last succeeded after a failed one, on the monotonic clock.
-    regained_at: float = -inf
+    recovered_at: float = -inf
     #: Function that returns whether this instance reads the store itself; else it gets
     #: the values from peers.
-    is_wanted: Callable[[], bool] = always
-    #: Function that waits until `is_wanted` may have changed.
+    reads_store: Callable[[], bool] = always
+    #: Function that waits until `reads_store` may have changed.
     wait_change: Callable[[], Awaitable[None]] = trio.sleep_forever
     outage: Outage = Factory(Outage)
 
@@ -152,22 +152,22 @@
     async def run(self) -> None:
         """Read the values and their changes until cancelled."""
         while True:
-            if not self.is_wanted() and not self.reads_once:
+            if not self.reads_store() and not self.reads_once:
                 self.is_reachable = self.is_lost = False
-                await self._wait_wanted()
+                await self._wait_until_reader()
                 continue
-            is_late = not self.is_reachable and self.outage.is_last_resort()
-            if self.has_missed or is_late:
+            is_delayed = not self.is_reachable and self.outage.is_last_resort()
+            if self.has_failed or is_delayed:
                 await self.outage.wait(self.random)
             if self.must_read:
                 await self._read_all()
             else:
-                await self._take_news()
+                await self._wait_for_changes()
 
-    async def _wait_wanted(self) -> None:
+    async def _wait_until_reader(self) -> None:
         """Wait until this instance reads the store, without polling."""
         with trio.CancelScope() as self._wait_scope:
-            while not self.is_wanted():
+            while not self.reads_store():
                 await self.wait_change()
 
     def read_once(self) -> None:
@@ -175,24 +175,24 @@
         self.reads_once = self.must_read = True
         self._wait_scope.cancel()
 
-    def regained_seconds(self) -> float | None:
+    def seconds_since_recovery(self) -> float | None:
         """Return the seconds since the last outage of the store; None without one."""
-        seconds = trio.current_time() - self.regained_at
+        seconds = trio.current_time() - self.recovered_at
         return seconds if isfinite(seconds) else None
 
-    def heard_regained(self, seconds: float | None) -> None:
+    def apply_peer_recovery(self, seconds: float | None) -> None:
         """Record that by a peer's report an outage ended so many seconds ago."""
         if seconds is not None:
             at = trio.current_time() - max(0.0, seconds)
-            self.regained_at = max(self.regained_at, at)
+            self.recovered_at = max(self.recovered_at, at)
 
-    def doubt(self) -> None:
+    def mark_possibly_stale(self) -> None:
         """Mark the values as possibly stale, so that the store is read at once."""
         if self.is_reachable:
             log.info(
                 'discovery: wait without changes that a peer has. kind=%s', self.kind
             )
-            self._lose()
+            self._mark_lost()
             self._wait_scope.cancel()
 
     def offer(self, listing: Listing[Value], source: str) -> bool:
@@ -215,7 +215,7 @@
             len(listing.value_by_name),
         )
         self.must_read = False
-        is_restored = self.is_known and self._is_of_later_life(listing.revision)
+        is_restored = self.is_known and self._is_of_later_era(listing.revision)
         changes = difference(self.value_by_name, listing.value_by_name)
         if self.is_known and not is_restored:
             self.changes.add(changes, listing.revision)
@@ -228,10 +228,10 @@
         if changes or not self.changed_at:
             self.changed_at = listing.revision
             self.value_by_name = dict(listing.value_by_name)
-        self._tell()
+        self._notify_listeners()
         return True
 
-    def _is_of_later_life(self, revision: int) -> bool:
+    def _is_of_later_era(self, revision: int) -> bool:
         return era_of(revision) > era_of(self.revision)
 
     def _note_restored(self) -> None:
@@ -240,7 +240,7 @@
             self.kind,
             text_of(self.revision),
         )
-        self.restored_at = self.regained_at = trio.current_time()
+        self.restored_at = self.recovered_at = trio.current_time()
         for listener in self.restore_listeners:
             listener()
 
@@ -252,7 +252,7 @@
         """Return the first changes after a peer's revision; None if it needs all."""
         return self.changes.part_after(revision, most) if revision else None
 
-    def learn(self, update: Changes[Value], since: int) -> bool:
+    def apply_peer_changes(self, update: Changes[Value], since: int) -> bool:
         """Apply changes that a peer sent; return whether they were applied.
 
         Changes that are not newer, or that begin after the known revision `since`, are
@@ -260,7 +260,7 @@
         """
         if update.revision <= self.revision or since > self.revision:
             return False
-        if self._is_of_later_life(update.revision):
+        if self._is_of_later_era(update.revision):
             return False
         self.must_read = False
         self._apply(update)
@@ -270,15 +270,15 @@
         is_start = not self.is_known
         match await self.source.read_all():
             case Success(listing):
-                self._reached()
+                self._record_success()
                 self.must_read = self.reads_once = False
                 self.offer(listing, 'store')
                 if is_start:
                     await trio.sleep(SETTLE_SECONDS)
             case Failure(error):
-                self._missed(error)
+                self._record_failure(error)
 
-    async def _take_news(self) -> None:
+    async def _wait_for_changes(self) -> None:
         wait = WAIT_SECONDS if self.is_reachable else CATCH_UP_SECONDS
         with trio.CancelScope() as self._wait_scope:
             result = await self.source.wait_for_changes(self.revision, wait)
@@ -286,15 +286,15 @@
             return
         match result:
             case Success(update):
-                self._reached()
+                self._record_success()
                 self._apply(update)
                 if update.changes:
                     await trio.sleep(BATCH_SECONDS)
-            case Failure(HistoryGone(reason)):
+            case Failure(HistoryRemoved(reason)):
                 self.must_read = True
                 # A listing that is not applied leads to this failure again and again.
-                self.has_missed = self.gone_revision == self.revision
-                self.gone_revision = self.revision
+                self.has_failed = self.history_lost_revision == self.revision
+                self.history_lost_revision = self.revision
                 log.info(
                     'discovery: history of %s lost, reading all. revision=%s reason=%s',
                     self.kind,
@@ -302,7 +302,7 @@
                     reason,
                 )
             case Failure(error):
-                self._missed(error)
+                self._record_failure(error)
 
     def _apply(self, update: Changes[Value]) -> None:
         if update.revision < self.revision:
@@ -324,32 +324,32 @@
         if update.changes:
             self.changes.add(update.changes, update.revision)
             self.changed_at = update.revision
-            self._tell()
+            self._notify_listeners()
 
-    def _reached(self) -> None:
-        self.is_lost = self.has_missed = False
+    def _record_success(self) -> None:
+        self.is_lost = self.has_failed = False
         self.outage.end()
         if self.is_reachable:
             return
         self.is_reachable = True
-        if self.was_out:
-            self.was_out = False
-            self.regained_at = trio.current_time()
+        if self.had_outage:
+            self.had_outage = False
+            self.recovered_at = trio.current_time()
         log.info('discovery: store reachable. kind=%s', self.kind)
 
-    def _missed(self, error: object) -> None:
+    def _record_failure(self, error: object) -> None:
         if self.is_reachable:
             log.warning(
                 'discovery: store unreachable. kind=%s error=%s', self.kind, error
             )
-        self._lose()
-        self.was_out = True
-        self.has_missed = True
+        self._mark_lost()
+        self.had_outage = True
+        self.has_failed = True
 
-    def _lose(self) -> None:
+    def _mark_lost(self) -> None:
         self.is_reachable = False
         self.is_lost = True
 
-    def _tell(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self.listeners:
             listener()
--- a/catkinslip/discovery/peers.py
+++ b/catkinslip/discovery/peers.py
@@ -288,7 +288,7 @@
             and now - min(self.seen_at_by_versions.values()) < BEHIND_SECONDS
         ):
             return
-        self.assembler.doubt_store(state.rules_version, state.backends_revision)
+        self.assembler.mark_possibly_stale(state.rules_version, state.backends_revision)
         for _ in range(MAX_PARTS):
             since = backends.revision
             await self._fetch(address, state.instance.instance_id)
@@ -327,14 +327,14 @@
         backends = self.assembler.backends
         revision = snapshot.backends_revision
         # Entries that expired in an outage are kept for some time on this instance too.
-        backends.heard_regained(snapshot.regained_seconds)
+        backends.apply_peer_recovery(snapshot.regained_seconds)
         if snapshot.are_backends_large:
             backends.read_once()
         elif snapshot.changes is None:
             backends.offer(Listing(snapshot.backends, revision), source)
         else:
             changes = tuple((each.name, each.entry) for each in snapshot.changes)
-            backends.learn(Changes(changes, revision), since)
+            backends.apply_peer_changes(Changes(changes, revision), since)
 
     def _remove_known_versions(self) -> None:
         """Remove the versions and revisions that this instance has by now."""
--- a/catkinslip/platform/client.py
+++ b/catkinslip/platform/client.py
@@ -19,7 +19,7 @@
 from catkinslip.crashes.objects import record_to_plain
 from catkinslip.discovery.base import (
     Changes,
-    HistoryGone,
+    HistoryRemoved,
     InstanceBook,
     InstanceEntry,
     Listing,
@@ -52,7 +52,7 @@
 #: The store answers in 4 ms; its slow days take some tens of times as long.
 ANSWER_SECONDS = 1.5
 RETRY_AFTER_SECONDS = 0.5
-RESTORED = HistoryGone('the store came back from a copy')
+RESTORED = HistoryRemoved('the store came back from a copy')
 ERA_FORM = re.compile(rb'[0-9]{1,6}\Z')
 OPERATION_BY_METHOD = {
     'GET': 'read',
@@ -235,7 +235,7 @@
 
     async def wait_for_changes(
         self, revision: int, wait: float
-    ) -> Result[Changes[Value], PlatformError | HistoryGone]:
+    ) -> Result[Changes[Value], PlatformError | HistoryRemoved]:
         """Return the changes after a revision, at the latest after `wait` seconds."""
         if era_of(revision) < self.client.era:
             return Failure(RESTORED)
@@ -252,14 +252,14 @@
         if reply.era < era_of(revision):
             return Failure(Unavailable('a peer knows a later life of the store'))
         if reply.status == 410:
-            return Failure(HistoryGone('the store dropped its history'))
+            return Failure(HistoryRemoved('the store dropped its history'))
         try:
             changes = [self._read_event(it, reply.era) for it in reply.body['events']]
             kept = tuple(each for each in changes if each is not None)
             return Success(Changes(kept, ordered(reply.era, reply.body['as_of'])))
         except DECODE_ERRORS as error:
             # Reading all again tells what this answer would have told.
-            return Failure(HistoryGone(f'news cannot be read, {error!r}'))
+            return Failure(HistoryRemoved(f'news cannot be read, {error!r}'))
 
     def _read_event(
         self, event: Mapping[str, Any], era: int
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -199,7 +199,7 @@
     make_follower = partial(
         Follower,
         random=random,
-        is_wanted=instances.reads_store,
+        reads_store=instances.reads_store,
         wait_change=instances.wait_change,
         outage=Outage(instances.is_last_resort),
     )
--- a/tests/discovery_builders.py
+++ b/tests/discovery_builders.py
@@ -10,7 +10,7 @@
 from catkinslip.discovery.base import (
     BackendEntry,
     Changes,
-    HistoryGone,
+    HistoryRemoved,
     InstanceEntry,
     Listing,
     RuleSet,
@@ -20,7 +20,7 @@
 from catkinslip.store.base import Unavailable
 
 OUTAGE = Failure(Unavailable('test'))
-GONE = Failure(HistoryGone('test'))
+HISTORY_REMOVED = Failure(HistoryRemoved('test'))
 
 
 def backend_entry(
--- a/tests/test_discovery_assembly.py
+++ b/tests/test_discovery_assembly.py
@@ -82,7 +82,7 @@
             assembler = started()
             assembler.offer_rules(rule_set(1))
             assembler.backends.offer(listing(4, ONE, TWO), 'test')
-            assembler.backends.regained_at = trio.current_time()
+            assembler.backends.recovered_at = trio.current_time()
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(assembler.run)
                 assembler.backends.offer(listing(5, ONE), 'test')
@@ -100,7 +100,7 @@
             assembler = started()
             assembler.offer_rules(rule_set(1, ('limits', 'claims')))
             assembler.backends.offer(listing(4, ONE, TWO), 'test')
-            assembler.backends.regained_at = trio.current_time()
+            assembler.backends.recovered_at = trio.current_time()
             heir = backend_entry('three', 'claims', port=81)
             assembler.backends.offer(listing(5, ONE, heir), 'test')
             self.assertEqual(self.backend_ids(assembler), ['one', 'three'])
@@ -114,7 +114,7 @@
             assembler.backends.offer(listing(4, ONE, TWO), 'test')
             before = assembler.config.current.document.register.backends
             leaving = backend_entry('two', port=81, is_draining=True)
-            assembler.backends.learn(changes_at(5, ('two', leaving)), 4)
+            assembler.backends.apply_peer_changes(changes_at(5, ('two', leaving)), 4)
             after = assembler.config.current.document.register.backends
             self.assertIs(after['one'], before['one'])
             self.assertTrue(after['two'].draining)
--- a/tests/test_discovery_changes.py
+++ b/tests/test_discovery_changes.py
@@ -119,7 +119,9 @@
         self.assertEqual((told.backends, told.changes), ({'one': ONE}, None))
 
     def test_asker_with_the_same_rules_gets_changes_alone(self):
-        self.assembler.backends.learn(changes_at(8, ('two', TWO), ('one', None)), 5)
+        self.assembler.backends.apply_peer_changes(
+            changes_at(8, ('two', TWO), ('one', None)), 5
+        )
         told = self.answers.snapshot_after(3, 5)
         self.assertIsNone(told.rules)
         self.assertEqual(told.backends, {})
@@ -164,7 +166,9 @@
     def test_many_changes_are_told_in_parts_that_lead_to_the_same(self):
         backends = self.assembler.backends
         for revision, (name, entry) in enumerate(self.many(2000).items(), 6):
-            backends.learn(changes_at(revision, (name, entry)), revision - 1)
+            backends.apply_peer_changes(
+                changes_at(revision, (name, entry)), revision - 1
+            )
         other = follower()
         other.offer(listing(5, ONE), 'test')
         parts = 0
@@ -172,7 +176,9 @@
             told = self.answers.snapshot_after(3, other.revision)
             self.assertLessEqual(len(told.changes), MAX_SENT_CHANGES)
             changes = tuple((each.name, each.entry) for each in told.changes)
-            other.learn(Changes(changes, told.backends_revision), other.revision)
+            other.apply_peer_changes(
+                Changes(changes, told.backends_revision), other.revision
+            )
             parts += 1
         self.assertEqual(other.value_by_name, backends.value_by_name)
         self.assertLessEqual(parts, MAX_PARTS)
@@ -212,14 +218,14 @@
 
     def test_end_of_an_outage_is_told_with_its_age(self):
         self.assertIsNone(self.answers.snapshot_after(3, 5).regained_seconds)
-        self.assembler.backends.regained_at = 99.0
+        self.assembler.backends.recovered_at = 99.0
         self.assertEqual(self.answers.snapshot_after(3, 5).regained_seconds, 1.0)
         other = follower()
-        other.heard_regained(1.0)
-        self.assertEqual(other.regained_at, 99.0)
-        other.heard_regained(None)
-        other.heard_regained(50.0)
-        self.assertEqual(other.regained_at, 99.0)
+        other.apply_peer_recovery(1.0)
+        self.assertEqual(other.recovered_at, 99.0)
+        other.apply_peer_recovery(None)
+        other.apply_peer_recovery(50.0)
+        self.assertEqual(other.recovered_at, 99.0)
 
 
 class LearnTest(unittest.TestCase):
@@ -230,16 +236,22 @@
         self.follower.offer(listing(5, ONE), 'test')
 
     def test_newer_changes_are_taken(self):
-        self.assertTrue(self.follower.learn(changes_at(8, ('two', TWO)), 5))
+        self.assertTrue(
+            self.follower.apply_peer_changes(changes_at(8, ('two', TWO)), 5)
+        )
         self.assertEqual(self.follower.value_by_name, {'one': ONE, 'two': TWO})
         self.assertEqual(self.follower.revision, 8)
 
     def test_older_changes_are_not_taken(self):
-        self.assertFalse(self.follower.learn(Changes((('one', None),), 5), 4))
+        self.assertFalse(
+            self.follower.apply_peer_changes(Changes((('one', None),), 5), 4)
+        )
         self.assertEqual(self.follower.value_by_name, {'one': ONE})
 
     def test_changes_after_an_unknown_revision_are_not_taken(self):
-        self.assertFalse(self.follower.learn(changes_at(9, ('two', TWO)), 6))
+        self.assertFalse(
+            self.follower.apply_peer_changes(changes_at(9, ('two', TWO)), 6)
+        )
         self.assertEqual(self.follower.revision, 5)
 
     def test_empty_listing_is_known_and_told(self):
--- a/tests/test_discovery_follower.py
+++ b/tests/test_discovery_follower.py
@@ -16,7 +16,7 @@
     Outage,
 )
 from tests.discovery_builders import (
-    GONE,
+    HISTORY_REMOVED,
     OUTAGE,
     ScriptedSource,
     backend_entry,
@@ -54,7 +54,7 @@
         self.assertEqual(follower.revision, 7)
 
     def test_lost_history_reads_all_again(self):
-        follower, source = follow([listing(5, ONE), listing(9, TWO)], [GONE])
+        follower, source = follow([listing(5, ONE), listing(9, TWO)], [HISTORY_REMOVED])
         self.assertEqual(follower.value_by_name, {'two': TWO})
         self.assertEqual(source.calls, ['read', 'wait 5', 'read', 'wait 9'])
 
@@ -72,7 +72,9 @@
         )
 
     def test_history_lost_in_an_outage_reads_all_again(self):
-        follower, source = follow([listing(5, ONE), listing(6, TWO)], [OUTAGE, GONE])
+        follower, source = follow(
+            [listing(5, ONE), listing(6, TWO)], [OUTAGE, HISTORY_REMOVED]
+        )
         self.assertEqual(follower.value_by_name, {'two': TWO})
         self.assertEqual(source.calls[-2:], ['read', 'wait 6'])
 
@@ -84,12 +86,12 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(follower.run)
                 await trio.sleep(10)
-                regained_at = follower.regained_at
-                follower.doubt()
+                recovered_at = follower.recovered_at
+                follower.mark_possibly_stale()
                 self.assertTrue(follower.is_lost)
                 source.waits = [changes_at(8, ('two', TWO))]
                 await trio.sleep(10)
-                self.assertEqual(follower.regained_at, regained_at)
+                self.assertEqual(follower.recovered_at, recovered_at)
                 nursery.cancel_scope.cancel()
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
@@ -114,7 +116,7 @@
         self.assertEqual(source.calls, ['wait 5'])
 
     def test_older_listing_changes_nothing(self):
-        follower, _ = follow([listing(5, ONE), listing(4, TWO)], [GONE])
+        follower, _ = follow([listing(5, ONE), listing(4, TWO)], [HISTORY_REMOVED])
         self.assertEqual(follower.value_by_name, {'one': ONE})
         self.assertEqual(follower.revision, 5)
 
@@ -127,7 +129,7 @@
 
     def test_instance_without_the_duty_makes_no_call(self):
         source = ScriptedSource([listing(5, ONE)])
-        follower = Follower('backends', source, Random(1), is_wanted=lambda: False)
+        follower = Follower('backends', source, Random(1), reads_store=lambda: False)
 
         async def run():
             with trio.move_on_after(60):
@@ -139,7 +141,7 @@
 
     def test_instance_without_the_duty_reads_once_when_asked_to(self):
         source = ScriptedSource([OUTAGE, listing(5, ONE), listing(9, TWO)])
-        follower = Follower('rules', source, Random(1), is_wanted=lambda: False)
+        follower = Follower('rules', source, Random(1), reads_store=lambda: False)
         follower.read_once()
 
         async def run():
--- a/tests/test_discovery_restored.py
+++ b/tests/test_discovery_restored.py
@@ -15,7 +15,7 @@
 from catkinslip.discovery.restored import RESTORED_GRACE_SECONDS
 from catkinslip.discovery.revisions import era_of, number_of, ordered, text_of
 from tests.discovery_builders import (
-    GONE,
+    HISTORY_REMOVED,
     ScriptedSource,
     backend_entry,
     changes_at,
@@ -58,19 +58,19 @@
 
     def test_lower_number_of_a_later_life_is_taken(self):
         script = [listing(at(1, 71), ONE), listing(at(2, 60), TWO)]
-        follower, source = follow(script, [GONE])
+        follower, source = follow(script, [HISTORY_REMOVED])
         self.assertEqual(follower.value_by_name, {'two': TWO})
         self.assertEqual(follower.revision, at(2, 60))
         self.assertEqual(source.calls[-1], f'wait {at(2, 60)}')
 
     def test_two_losses_in_a_row(self):
         script = [listing(at(era, 9 - era), ONE) for era in (1, 2, 3)]
-        follower, _ = follow(script, [GONE, GONE])
+        follower, _ = follow(script, [HISTORY_REMOVED, HISTORY_REMOVED])
         self.assertEqual(follower.revision, at(3, 6))
 
     def test_who_asks_from_an_earlier_life_gets_everything(self):
         script = [listing(at(1, 70), ONE), listing(at(2, 60), ONE)]
-        follower, _ = follow(script, [GONE])
+        follower, _ = follow(script, [HISTORY_REMOVED])
         # The asker may know of a change at 71 that this instance never saw.
         self.assertIsNone(follower.changes_after(at(1, 71)))
         self.assertIsNone(follower.part_after(at(1, 71), 10))
@@ -78,7 +78,9 @@
 
     def test_changes_of_another_life_are_not_put_on_top(self):
         follower, _ = follow([listing(at(1, 71), ONE)], [])
-        self.assertFalse(follower.learn(changes_at(at(2, 3), ('two', TWO)), at(1, 71)))
+        self.assertFalse(
+            follower.apply_peer_changes(changes_at(at(2, 3), ('two', TWO)), at(1, 71))
+        )
         self.assertEqual(follower.value_by_name, {'one': ONE})
 
     def test_earlier_life_of_a_peer_replaces_nothing(self):
@@ -87,7 +89,9 @@
         self.assertEqual(follower.value_by_name, {'one': ONE})
 
     def test_history_that_is_gone_again_is_asked_for_after_a_pause(self):
-        source = ScriptedSource([listing(71, ONE), *[listing(60, ONE)] * 9], [GONE] * 9)
+        source = ScriptedSource(
+            [listing(71, ONE), *[listing(60, ONE)] * 9], [HISTORY_REMOVED] * 9
+        )
         follower = Follower('backends', source, Random(1))
 
         async def check():
@@ -250,7 +254,7 @@
             return
         known = number_of(follower.revision)
         changes = tuple((name, it) for n, name, it in self.log if n > known)
-        follower.learn(Changes(changes, now), follower.revision)
+        follower.apply_peer_changes(Changes(changes, now), follower.revision)
 
 
 def poll(asker: Follower, asked: Follower) -> None:
@@ -261,7 +265,7 @@
     if changes is None:
         asker.offer(Listing(dict(asked.value_by_name), asked.changed_at), 'peer')
     else:
-        asker.learn(Changes(changes, asked.changed_at), asker.revision)
+        asker.apply_peer_changes(Changes(changes, asked.changed_at), asker.revision)
 
 
 class FleetTest(unittest.TestCase):
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -42,9 +42,9 @@
         known = follower()
         known.offer(Listing({}, 5), 'store')
         self.assertFalse(known.offer(Listing({'zone-a': EVACUATED}, 4), 'peer'))
-        known.learn(Changes((('zone-a', EVACUATED),), 7), 5)
+        known.apply_peer_changes(Changes((('zone-a', EVACUATED),), 7), 5)
         self.assertFalse(known.offer(Listing({}, 6), 'peer'))
-        self.assertFalse(known.learn(Changes((('zone-a', None),), 6), 5))
+        self.assertFalse(known.apply_peer_changes(Changes((('zone-a', None),), 6), 5))
         self.assertEqual(known.value_by_name, {'zone-a': EVACUATED})
 
     def test_peer_tells_of_an_evacuation_and_of_its_end(self):
@@ -123,7 +123,7 @@
         entry = BackendEntry('i-4', 'limits', 'zone-a', '10.0.0.1', 90, 2)
 
         async def learn():
-            self.assembler.backends.learn(Changes((('i-4', entry),), 2), 1)
+            self.assembler.backends.apply_peer_changes(Changes((('i-4', entry),), 2), 1)
 
         trio.run(learn)
         self.assembler.offer_rules(rule_set(2))
@@ -257,7 +257,7 @@
             await wait_for(lambda: len(second.instances.peer_by_id) == 1)
             # What it asks of the store is not answered any more.
             second.evacuations.source = second.assembler.backends.source = Turned()
-            second.evacuations.doubt()
+            second.evacuations.mark_possibly_stale()
             platform.store.put('evacuations', 'zone-a', {})
             self.assertTrue(
                 await wait_at_most(5.0, lambda: knows(platform, {'zone-a'}))
--- a/tests/test_platform_client.py
+++ b/tests/test_platform_client.py
@@ -8,7 +8,7 @@
 
 from catkinslip.crashes.base import CrashRecord
 from catkinslip.crashes.identity import RequestKey
-from catkinslip.discovery.base import HistoryGone
+from catkinslip.discovery.base import HistoryRemoved
 from catkinslip.discovery.revisions import era_of
 from catkinslip.models import Address
 from catkinslip.platform import names
@@ -110,7 +110,7 @@
             platform.store.put('config', 'other', {})
             platform.store.forget_history()
             lost = (await source.wait_for_changes(listing.revision - 1, 0.1)).failure()
-            self.assertIsInstance(lost, HistoryGone)
+            self.assertIsInstance(lost, HistoryRemoved)
 
         on_platform(check)
 
