--- a/catkinslip/discovery/instances.py
+++ b/catkinslip/discovery/instances.py
@@ -47,7 +47,7 @@
 
 
 #: Health that an instance reports by its own answers.
-HEARD = frozenset({PeerHealth.READY, PeerHealth.NOT_READY})
+ANSWERING = frozenset({PeerHealth.READY, PeerHealth.NOT_READY})
 
 
 @define
@@ -56,20 +56,20 @@
 
     entry: InstanceEntry
     health: PeerHealth = PeerHealth.UNKNOWN
-    missed: int = 0
+    missed_polls: int = 0
     #: Whether the last call of the peer to the store succeeded, if it makes any.
     reaches_store: bool = False
     #: Number of lists in a row without the peer; lists lag behind a first start.
-    unlisted: int = 0
+    missed_lists: int = 0
     was_listed: bool = False
 
-    def is_gone(self) -> bool:
+    def is_removable(self) -> bool:
         """Return whether lists and polls show that the instance no longer exists."""
-        if self.unlisted == 0 or self.health in HEARD:
+        if self.missed_lists == 0 or self.health in ANSWERING:
             return False
         if self.health is PeerHealth.SILENT or self.was_listed:
             return True
-        return self.unlisted >= MISSED_LISTS
+        return self.missed_lists >= MISSED_LISTS
 
 
 @define
@@ -81,7 +81,7 @@
     #: Whether this instance started so recently that its peers may start too.
     is_starting: bool = False
     #: Whether a read of the list of instances has ended, also if it failed.
-    is_listed: bool = True
+    is_list_attempted: bool = True
     #: Event that is set when the readers of the store may have changed.
     has_changed: trio.Event = Factory(trio.Event)
     #: Whether the list holds this instance, as it does after an earlier start.
@@ -100,7 +100,7 @@
     _shares: float | None = field(default=None, init=False)
     _sender_rank: int | None = field(default=None, init=False)
 
-    def learn(self, entry: InstanceEntry) -> None:
+    def add_instance(self, entry: InstanceEntry) -> None:
         """Add the entry of an instance, or replace its earlier one."""
         if entry.instance_id == self.own.instance_id:
             return
@@ -109,16 +109,16 @@
             self.peer_by_id[entry.instance_id] = Peer(entry)
             self._forget_ranking()
 
-    def take_list(self, entries: Iterable[InstanceEntry], revision: int) -> None:
+    def apply_list(self, entries: Iterable[InstanceEntry], revision: int) -> None:
         """Apply the list of instances, as it was at a revision of the store."""
         known = list(entries)
         for entry in known:
-            self.learn(entry)
+            self.add_instance(entry)
         if revision >= self.list_revision:
             self.list_revision = revision
-            self.keep_only({entry.instance_id for entry in known})
+            self.remove_unlisted({entry.instance_id for entry in known})
 
-    def lacks(self, digest: str, revision: int) -> bool:
+    def is_behind(self, digest: str, revision: int) -> bool:
         """Return whether a peer has a newer list with other instances than this one.
 
         `digest` and `revision` are those of the peer.
@@ -130,13 +130,13 @@
             return False
         return True
 
-    def keep_only(self, instance_ids: set[str]) -> None:
+    def remove_unlisted(self, instance_ids: set[str]) -> None:
         """Remove instances that are no longer listed and do not answer."""
         for instance_id, peer in list(self.peer_by_id.items()):
             is_listed = instance_id in instance_ids
             peer.was_listed = peer.was_listed or is_listed
-            peer.unlisted = 0 if is_listed else peer.unlisted + 1
-            if peer.is_gone():
+            peer.missed_lists = 0 if is_listed else peer.missed_lists + 1
+            if peer.is_removable():
                 del self.peer_by_id[instance_id]
                 self._forget_ranking()
 
@@ -144,9 +144,9 @@
         self._ranked_by_zone.clear()
         self._home_size_by_zone.clear()
         self._shares = self._digest = self._sender_rank = None
-        self.note_change()
+        self.notify_change()
 
-    def note_change(self) -> None:
+    def notify_change(self) -> None:
         """Notify the waiting tasks that the readers of the store may have changed."""
         self.has_changed.set()
 
@@ -156,7 +156,7 @@
             self.has_changed = trio.Event()
         await self.has_changed.wait()
 
-    def read_list(self, asked_at: float, *, is_own_listed: bool) -> None:
+    def record_store_list(self, asked_at: float, *, is_own_listed: bool) -> None:
         """Record that this instance read the list from the store itself.
 
         `asked_at` is the start of the read on the monotonic clock.
@@ -164,7 +164,7 @@
         self.is_own_listed = is_own_listed
         now = trio.current_time()
         self.sender_lease.record_list(asked_at, now, is_listed=is_own_listed)
-        self.note_change()
+        self.notify_change()
 
     def leave(self) -> None:
         """Mark this instance as leaving, so that callers are no longer sent to it."""
@@ -176,7 +176,7 @@
         now = trio.current_time()
         return self.sender_lease.sender(self.own.zone, self._rank_of_senders(), now)
 
-    def sender_place(self) -> SenderPosition | None:
+    def sender_position(self) -> SenderPosition | None:
         """Return the position as a sender, also if the list may have changed since."""
         now = trio.current_time()
         return self.sender_lease.position(self.own.zone, self._rank_of_senders(), now)
@@ -192,15 +192,15 @@
             self._sender_rank = sender_order(zone, entries).index(self.own)
         return self._sender_rank
 
-    def end_start(self) -> None:
+    def end_start_phase(self) -> None:
         """End the start phase: from now on peers are assumed to have all values."""
         self.is_starting = False
-        self.note_change()
+        self.notify_change()
 
-    def note_listed(self) -> None:
+    def record_list_attempt(self) -> None:
         """Record that a read of the list of instances has ended."""
-        self.is_listed = True
-        self.note_change()
+        self.is_list_attempted = True
+        self.notify_change()
 
     def digest(self) -> str:
         """Return a hash of the known instances, this one among them."""
@@ -211,7 +211,7 @@
             self._digest = xxhash.xxh3_64_hexdigest('\n'.join(names).encode())
         return self._digest
 
-    def answered(
+    def record_answer(
         self, instance_id: str, is_ready: bool, *, reaches_store: bool = True
     ) -> PeerHealth | None:
         """Record the answer to a poll; return the peer's health if it changed."""
@@ -219,8 +219,8 @@
         peer = self.peer_by_id.get(instance_id)
         if peer is not None and peer.reaches_store != reaches_store:
             peer.reaches_store = reaches_store
-            self.note_change()
-        return self._set(instance_id, health, 0)
+            self.notify_change()
+        return self._set_health(instance_id, health, 0)
 
     def health_by_id(self) -> dict[str, PeerHealth]:
         """Return the known health of other instances, by ID."""
@@ -238,9 +238,9 @@
             if peer.health is PeerHealth.READY and not peer.reaches_store
         ]
 
-    def heard(
+    def apply_peer_report(
         self,
-        teller: str,
+        reporter: str,
         health_by_id: Mapping[str, PeerHealth],
         lost_store: Iterable[str],
     ) -> list[str]:
@@ -253,29 +253,29 @@
         lost_store_ids = frozenset(lost_store)
         for instance_id in self.health_by_id().keys() | health_by_id.keys():
             peer = self.peer_by_id.get(instance_id)
-            if peer is None or instance_id == teller:
+            if peer is None or instance_id == reporter:
                 continue
             health = health_by_id.get(instance_id, PeerHealth.UNKNOWN)
             reaches_store = instance_id not in lost_store_ids
             if peer.reaches_store != reaches_store:
                 peer.reaches_store = reaches_store
-                self.note_change()
-            if self._set(instance_id, health, 0) is not None:
+                self.notify_change()
+            if self._set_health(instance_id, health, 0) is not None:
                 changed.append(instance_id)
         return changed
 
     def forget_health(self, instance_id: str) -> None:
         """Reset the health of an instance that is no longer polled to unknown."""
-        self._set(instance_id, PeerHealth.UNKNOWN, 0)
+        self._set_health(instance_id, PeerHealth.UNKNOWN, 0)
 
-    def missed(self, instance_id: str) -> PeerHealth | None:
+    def record_missed_poll(self, instance_id: str) -> PeerHealth | None:
         """Record a poll without an answer; return the peer's health if it changed."""
         peer = self.peer_by_id.get(instance_id)
         if peer is None:
             return None
-        missed = peer.missed + 1
+        missed = peer.missed_polls + 1
         health = PeerHealth.SILENT if missed >= MISSED_POLLS else peer.health
-        return self._set(instance_id, health, missed)
+        return self._set_health(instance_id, health, missed)
 
     def shares(self) -> float:
         """Return the divisor that gives this instance's part of a shared budget.
@@ -315,7 +315,7 @@
         that callers do not wait. On its very first start an instance is not listed, and
         only the seeds read.
         """
-        if not self.is_listed:
+        if not self.is_list_attempted:
             return False
         if self.is_starting and not self.is_own_listed and not self.is_seed:
             return False
@@ -324,7 +324,7 @@
         home = self.home_size(self.own.zone)
         if self.is_starting and position < home:
             return True
-        readers = sum(map(self._tells_news, ranked[:position]))
+        readers = sum(map(self._is_reader, ranked[:position]))
         return readers < (READERS if position <= home + NEAR_POLLED else 1)
 
     def is_last_resort(self) -> bool:
@@ -339,7 +339,7 @@
             return False
         return any(map(self._lost_store, ranked[:position]))
 
-    def _tells_news(self, entry: InstanceEntry) -> bool:
+    def _is_reader(self, entry: InstanceEntry) -> bool:
         peer = self.peer_by_id[entry.instance_id]
         if self.is_starting:
             # Peers that start now read the store too, before they are ready.
@@ -381,11 +381,11 @@
             return []
         return [each for each in polled if not self._is_silent(each)]
 
-    def knows_near(self) -> bool:
+    def has_zone_peer(self) -> bool:
         """Return whether another instance of the own zone is known."""
         return len(self._ranked(self.own.zone)) > 1
 
-    def knows_ready(self) -> bool:
+    def has_ready_zone_peer(self) -> bool:
         """Return whether another instance of the own zone is known to be ready."""
         return any(
             peer.health is PeerHealth.READY and peer.entry.zone == self.own.zone
@@ -402,18 +402,20 @@
         peer = self.peer_by_id.get(instance_id)
         return None if peer is None else Address.parse(peer.entry.report_address)
 
-    def near(self) -> list[InstanceEntry]:
+    def home_peers(self) -> list[InstanceEntry]:
         """Return the other ready instances in the home set of the own zone."""
-        return [each for each in self._home(self.own.zone) if each is not self.own]
+        return [
+            each for each in self._ready_home_set(self.own.zone) if each is not self.own
+        ]
 
-    def serving(self) -> list[InstanceEntry]:
+    def serving_peers(self) -> list[InstanceEntry]:
         """Return the other ready instances in the home sets of all zones."""
         zones = {entry.zone for entry in self._entries()}
-        homes = [each for zone in zones for each in self._home(zone)]
+        homes = [each for zone in zones for each in self._ready_home_set(zone)]
         return [each for each in homes if each is not self.own]
 
     def usable(
-        self, zone: str, region: str = '', homes: Collection[str] = ()
+        self, zone: str, region: str = '', bound_regions: Collection[str] = ()
     ) -> list[InstanceEntry]:
         """Return the instances for callers of a zone; the list is never empty.
 
@@ -422,16 +424,16 @@
         requests are bound to; all ready instances; the home set of the zone without
         silent ones, which is ready first where all start at once; all instances.
         """
-        near = self._home(zone)
+        near = self._ready_home_set(zone)
         if near:
             return near
         ready = [entry for entry in self._entries() if self._is_ready(entry)]
         in_region = [entry for entry in ready if entry.region == region]
-        at_home = [entry for entry in ready if entry.region in homes]
-        starting = self._starting_home(zone)
-        return in_region or at_home or ready or starting or self._entries()
+        in_bound_region = [entry for entry in ready if entry.region in bound_regions]
+        starting = self._answering_home_set(zone)
+        return in_region or in_bound_region or ready or starting or self._entries()
 
-    def _starting_home(self, zone: str) -> list[InstanceEntry]:
+    def _answering_home_set(self, zone: str) -> list[InstanceEntry]:
         """Return the home set of a zone without silent instances, ready or not.
 
         With it 39 of 900 callers around the loss of 118 instances are refused, without
@@ -440,7 +442,7 @@
         ranked = [each for each in self._ranked(zone) if not self._is_silent(each)]
         return ranked[: self.home_size(zone)]
 
-    def _home(self, zone: str) -> list[InstanceEntry]:
+    def _ready_home_set(self, zone: str) -> list[InstanceEntry]:
         ready = [each for each in self._ranked(zone) if self._is_ready(each)]
         return ready[: self.home_size(zone)]
 
@@ -461,7 +463,7 @@
             self._ranked_by_zone[zone] = ranked
         return ranked
 
-    def _set(
+    def _set_health(
         self, instance_id: str, health: PeerHealth, missed: int
     ) -> PeerHealth | None:
         peer = self.peer_by_id.get(instance_id)
@@ -469,7 +471,7 @@
             return None
         is_new = peer.health is not health
         peer.health = health
-        peer.missed = missed
+        peer.missed_polls = missed
         if is_new:
-            self.note_change()
+            self.notify_change()
         return health if is_new else None
--- a/catkinslip/discovery/peers.py
+++ b/catkinslip/discovery/peers.py
@@ -120,7 +120,7 @@
         state = await self._poll(entry, WITH_HEALTH)
         if state is None:
             return False
-        changed = self.instances.heard(
+        changed = self.instances.apply_peer_report(
             entry.instance_id, state.health, state.lost_store
         )
         for instance_id in changed:
@@ -135,7 +135,7 @@
 
     async def _end_start(self) -> None:
         await trio.sleep(START_SECONDS)
-        self.instances.end_start()
+        self.instances.end_start_phase()
 
     async def _query_seeds(self) -> None:
         """Get the instances from a seed where the store lists none in the own zone.
@@ -147,16 +147,16 @@
         seeds = [address for address in self.seeds if str(address) != own]
         self.random.shuffle(seeds)
         with trio.move_on_after(LIST_WAIT_SECONDS):
-            while not self.instances.is_listed:
+            while not self.instances.is_list_attempted:
                 await self.instances.wait_change()
         for address in seeds:
-            if self.instances.knows_near():
+            if self.instances.has_zone_peer():
                 return
             state = await self._read_state(address, WITH_KNOWN)
             if state is None:
                 continue
             for entry in (state.instance, *state.known):
-                self.instances.learn(entry)
+                self.instances.add_instance(entry)
             await self._catch_up(address, state)
 
     async def _compare_members(self, address: Address, state: PeerState) -> None:
@@ -164,14 +164,14 @@
         now = trio.current_time()
         if now - self.requested_members_at < MEMBERS_SECONDS:
             return
-        if not self.instances.lacks(state.members, state.list_revision):
+        if not self.instances.is_behind(state.members, state.list_revision):
             return
         self.requested_members_at = now
         answer = await self._read_state(address, WITH_KNOWN)
         if answer is None:
             return
         entries = (answer.instance, *answer.known)
-        self.instances.take_list(entries, answer.list_revision)
+        self.instances.apply_list(entries, answer.list_revision)
         own_id = self.instances.own.instance_id
         is_known = any(entry.instance_id == own_id for entry in entries)
         if not is_known and self.registration.is_due(None):
@@ -180,10 +180,10 @@
     async def _follow_list(self, nursery: trio.Nursery) -> None:
         delay = FIRST_LIST_SECONDS
         while True:
-            if not self.instances.is_listed or self._reads_list():
+            if not self.instances.is_list_attempted or self._reads_list():
                 await self._read_list(nursery)
-            if not self.instances.is_listed:
-                self.instances.note_listed()
+            if not self.instances.is_list_attempted:
+                self.instances.record_list_attempt()
             await trio.sleep(delay * self.random.uniform(0.8, 1.2))
             delay = min(2 * delay, LIST_SECONDS)
 
@@ -196,7 +196,7 @@
         """
         instances = self.instances
         reads = instances.reads_store() or instances.may_be_sender()
-        return reads or not instances.knows_ready()
+        return reads or not instances.has_ready_zone_peer()
 
     async def _read_list(self, nursery: trio.Nursery) -> None:
         asked_at = trio.current_time()
@@ -205,11 +205,11 @@
                 entry_by_id = listing.value_by_name
                 if era_of(listing.revision) > era_of(self.instances.list_revision):
                     self.registration.note_restored()
-                self.instances.take_list(entry_by_id.values(), listing.revision)
+                self.instances.apply_list(entry_by_id.values(), listing.revision)
                 self._start_polls(nursery)
                 listed = entry_by_id.get(self.instances.own.instance_id)
                 is_own_listed = listed is not None
-                self.instances.read_list(asked_at, is_own_listed=is_own_listed)
+                self.instances.record_store_list(asked_at, is_own_listed=is_own_listed)
                 if self.registration.is_due(listed):
                     nursery.start_soon(self.registration.announce)
             case Failure(error):
@@ -248,9 +248,11 @@
         address = Address.parse(entry.peer_address)
         state = await self._read_state(address, query)
         if state is None or state.instance.instance_id != entry.instance_id:
-            self._log_health(entry, self.instances.missed(entry.instance_id))
+            self._log_health(
+                entry, self.instances.record_missed_poll(entry.instance_id)
+            )
             return None
-        health = self.instances.answered(
+        health = self.instances.record_answer(
             entry.instance_id,
             state.is_ready,
             reaches_store=state.reaches_store,
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -193,7 +193,7 @@
     instances = InstanceTable(
         settings.own,
         is_starting=True,
-        is_listed=False,
+        is_list_attempted=False,
         is_seed=settings.own.peer_address in map(str, settings.seeds),
     )
     make_follower = partial(
@@ -212,7 +212,7 @@
     directory = make_directory(settings, environment, instances)
     sharer = ReportSharer(
         Address.parse(settings.own.report_address),
-        lambda: [Address.parse(each.report_address) for each in instances.near()],
+        lambda: [Address.parse(each.report_address) for each in instances.home_peers()],
         directory,
         clock,
     )
@@ -225,7 +225,9 @@
     )
 
     def serving_addresses() -> list[Address]:
-        return [Address.parse(each.report_address) for each in instances.serving()]
+        return [
+            Address.parse(each.report_address) for each in instances.serving_peers()
+        ]
 
     teller = CrashTeller(
         settings.own.instance_id,
@@ -374,7 +376,7 @@
         ),
         make_sample=lambda: Sample(random, zone),
         make_cold_gate=lambda: ColdGate(divide_bound, instances.sender),
-        make_throttle=lambda: ThrottleGate(divide_named, instances.sender_place),
+        make_throttle=lambda: ThrottleGate(divide_named, instances.sender_position),
         cold_bound=cold_bound(settings),
         region_by_zone=lambda: settings.region_by_zone,
         clock=environment.clock,
--- a/tests/sender_builders.py
+++ b/tests/sender_builders.py
@@ -44,9 +44,9 @@
         """Let an instance read a list that may be old."""
         made_at = self.now - self.random.uniform(0, STALE_LIST_SECONDS)
         at, entry_by_id = [each for each in self.lists if each[0] <= made_at][-1]
-        table.take_list(entry_by_id.values(), round(at * 1000) + 1)
+        table.apply_list(entry_by_id.values(), round(at * 1000) + 1)
         is_listed = table.own.instance_id in entry_by_id
-        table.read_list(trio.current_time(), is_own_listed=is_listed)
+        table.record_store_list(trio.current_time(), is_own_listed=is_listed)
 
     def senders(self) -> list[Sender]:
         """Return the positions that instances consider theirs."""
--- a/tests/test_crashes_incident.py
+++ b/tests/test_crashes_incident.py
@@ -57,7 +57,9 @@
     for _ in range(INSTANCES):
         await platform.add_entry()
     for entry in platform.entries:
-        await wait_for(lambda e=entry: len(e.instances.serving()) == INSTANCES - 1)
+        await wait_for(
+            lambda e=entry: len(e.instances.serving_peers()) == INSTANCES - 1
+        )
     async with trio.open_nursery() as nursery:
         for number in range(4 * SERVERS):
             nursery.start_soon(platform.get, '/q/a', number % INSTANCES)
--- a/tests/test_discovery_following.py
+++ b/tests/test_discovery_following.py
@@ -61,7 +61,7 @@
         assembler.start()
         assembler.offer_rules(rule_set(1))
         table = InstanceTable(
-            entry, is_own_ready=True, is_starting=True, is_listed=False
+            entry, is_own_ready=True, is_starting=True, is_list_attempted=False
         )
         address = entry.peer_address
         self.answers_by_address[address] = PeerAnswers(table, assembler, no_kinds())
@@ -268,7 +268,7 @@
         # Known from the start, but not of the first of its zone.
         far = [entry for entry in fleet.listed.values() if entry.zone == 'zone-1']
         last = rank('zone-1', far)[-1]
-        first.instances.learn(last)
+        first.instances.add_instance(last)
 
         async def check(_):
             await trio.sleep(SETTLED_SECONDS)
@@ -293,7 +293,9 @@
 
             async def check(_, asking=asking, seed=seed):
                 for number in range(2, 6):
-                    seed.instances.learn(instance_entry(f'i0x{number}', 'zone-0'))
+                    seed.instances.add_instance(
+                        instance_entry(f'i0x{number}', 'zone-0')
+                    )
                 await trio.sleep(1)
                 self.assertEqual(len(asking.instances.peer_by_id), 5)
 
@@ -311,7 +313,9 @@
         asking = fleet.poller_by_address['i0x1:90']
         asking.seeds = (Address('i0x0', 90),)
         asking.source = ScriptedSource()
-        fleet.poller_by_address['i0x0:90'].instances.learn(instance_entry('i0x2'))
+        fleet.poller_by_address['i0x0:90'].instances.add_instance(
+            instance_entry('i0x2')
+        )
 
         async def check(_):
             await trio.sleep(LIST_WAIT_SECONDS + 0.1)
--- a/tests/test_discovery_instances.py
+++ b/tests/test_discovery_instances.py
@@ -23,8 +23,8 @@
     def setUp(self):
         self.table = InstanceTable(instance_entry('own'))
         for name, zone in (('near', 'zone-a'), ('far', 'zone-b')):
-            self.table.learn(instance_entry(name, zone))
-            self.table.answered(name, is_ready=True)
+            self.table.add_instance(instance_entry(name, zone))
+            self.table.record_answer(name, is_ready=True)
 
     def usable(self, zone: str) -> list[str]:
         return sorted(each.instance_id for each in self.table.usable(zone))
@@ -35,15 +35,15 @@
         self.assertEqual(self.usable('zone-b'), ['far'])
 
     def test_stopping_instance_is_left_out_at_once(self):
-        self.table.answered('near', is_ready=False)
+        self.table.record_answer('near', is_ready=False)
         self.assertEqual(self.usable('zone-a'), ['far'])
 
     def test_silent_instance_is_left_out_after_two_polls(self):
-        self.table.missed('near')
+        self.table.record_missed_poll('near')
         self.assertEqual(self.usable('zone-a'), ['near'])
-        self.table.missed('near')
+        self.table.record_missed_poll('near')
         self.assertEqual(self.usable('zone-a'), ['far'])
-        self.table.answered('near', is_ready=True)
+        self.table.record_answer('near', is_ready=True)
         self.assertEqual(self.usable('zone-a'), ['near'])
 
     def test_zone_without_instances_gets_all_others(self):
@@ -51,45 +51,45 @@
 
     def test_some_address_is_always_answered(self):
         for name in ('near', 'far'):
-            self.table.answered(name, is_ready=False)
+            self.table.record_answer(name, is_ready=False)
         self.assertEqual(self.usable('zone-a'), ['near', 'own'])
         self.assertEqual(self.usable('zone-x'), ['far', 'near', 'own'])
 
     def test_start_of_all_sends_callers_to_those_that_are_ready_first(self):
         table = InstanceTable(instance_entry('weak'), is_starting=True)
         for number in range(20):
-            table.learn(instance_entry(f'weak-{number}'))
+            table.add_instance(instance_entry(f'weak-{number}'))
         for name in ('strong-1', 'strong-2'):
-            table.learn(evolve(instance_entry(name), cores=2.15))
+            table.add_instance(evolve(instance_entry(name), cores=2.15))
         named = {each.instance_id for each in table.usable('zone-a')}
         self.assertEqual(named, {'strong-1', 'strong-2'})
         for _ in range(2):
-            table.missed('strong-1')
-            table.missed('strong-2')
+            table.record_missed_poll('strong-1')
+            table.record_missed_poll('strong-2')
         named = {each.instance_id for each in table.usable('zone-a')}
         self.assertTrue(named)
         self.assertFalse(named & {'strong-1', 'strong-2'})
 
     def test_silent_instance_still_counts_for_shared_budgets(self):
         for _ in range(5):
-            self.table.missed('far')
+            self.table.record_missed_poll('far')
         self.assertEqual(self.table.shares(), 3)
-        self.table.keep_only({'own', 'near'})
+        self.table.remove_unlisted({'own', 'near'})
         self.assertEqual(self.table.shares(), 2)
 
     def fill(self, count: int, zones: tuple[str, ...] = ('zone-a', 'zone-b')) -> None:
         for zone in zones:
             for number in range(count):
                 name = f'{zone}-{number}'
-                self.table.learn(instance_entry(name, zone))
-                self.table.answered(name, is_ready=True)
+                self.table.add_instance(instance_entry(name, zone))
+                self.table.record_answer(name, is_ready=True)
 
     def test_callers_of_a_large_zone_get_its_home_set(self):
         self.fill(2 * HOME_INSTANCES)
         home = self.usable('zone-a')
         self.assertEqual(len(home), HOME_INSTANCES)
         gone = next(name for name in home if name != 'own')
-        self.table.answered(gone, is_ready=False)
+        self.table.record_answer(gone, is_ready=False)
         after = self.usable('zone-a')
         self.assertEqual(len(set(home) & set(after)), HOME_INSTANCES - 1)
 
@@ -97,14 +97,14 @@
         """Fill the own zone with instances that have five times the cores of others."""
         for number in range(strong + weak):
             name, cores = f'more-{number}', 2.15 if number < strong else 0.43
-            self.table.learn(evolve(instance_entry(name), cores=cores))
-            self.table.answered(name, is_ready=True)
+            self.table.add_instance(evolve(instance_entry(name), cores=cores))
+            self.table.record_answer(name, is_ready=True)
 
     def test_strong_instances_are_the_home_set_where_there_are_two(self):
         self.table = InstanceTable(evolve(instance_entry('own'), cores=0.43))
         self.fill_strong(2, 20)
         self.assertEqual(self.usable('zone-a'), ['more-0', 'more-1'])
-        self.table.answered('more-0', is_ready=False)
+        self.table.record_answer('more-0', is_ready=False)
         self.assertEqual(len(self.usable('zone-a')), 2)
         self.assertIn('more-1', self.usable('zone-a'))
 
@@ -133,8 +133,8 @@
         for own in entries:
             table = InstanceTable(own, is_own_ready=True)
             for entry in entries:
-                table.learn(entry)
-                table.answered(entry.instance_id, is_ready=True)
+                table.add_instance(entry)
+                table.record_answer(entry.instance_id, is_ready=True)
             tables.append(table)
         return tables
 
@@ -152,7 +152,7 @@
         self.assertEqual(sizes, {HOME_INSTANCES})
         reader = next(each.own for each in tables if each.reads_store())
         for table in tables:
-            table.answered(reader.instance_id, is_ready=True, reaches_store=False)
+            table.record_answer(reader.instance_id, is_ready=True, reaches_store=False)
         readers = [table.own for table in tables if table.reads_store()]
         self.assertIn(reader, readers)
         self.assertEqual(len(readers), READERS + 1)
@@ -165,7 +165,9 @@
         for table in tables:
             ranked = table._ranked('zone-a')
             for entry in ranked[:asked_first]:
-                table.answered(entry.instance_id, is_ready=True, reaches_store=False)
+                table.record_answer(
+                    entry.instance_id, is_ready=True, reaches_store=False
+                )
             for entry in ranked[asked_first:]:
                 table.forget_health(entry.instance_id)
         trying = [table for table in tables if table.reads_store()]
@@ -176,7 +178,7 @@
     def test_start_waits_for_those_ahead_that_wait_for_the_store(self):
         self.fill(4 * HOME_INSTANCES, ('zone-a',))
         for instance_id in self.table.peer_by_id:
-            self.table.answered(instance_id, is_ready=False)
+            self.table.record_answer(instance_id, is_ready=False)
         self.table.is_own_ready = False
         ranked = self.table._ranked('zone-a')
         is_first = ranked.index(self.table.own) < READERS
@@ -188,8 +190,8 @@
     def test_somebody_reads_the_store_where_no_reader_answers(self):
         self.fill(4 * HOME_INSTANCES, ('zone-a',))
         for instance_id in self.table.peer_by_id:
-            self.table.missed(instance_id)
-            self.table.missed(instance_id)
+            self.table.record_missed_poll(instance_id)
+            self.table.record_missed_poll(instance_id)
         self.assertTrue(self.table.reads_store())
 
     def test_home_set_of_a_zone_that_starts_reads_at_once(self):
@@ -198,8 +200,8 @@
         for own in [each.own for each in self.tables()]:
             table = InstanceTable(own, is_starting=True)
             for peer in self.table.peer_by_id.values():
-                table.learn(peer.entry)
-            table.learn(self.table.own)
+                table.add_instance(peer.entry)
+            table.add_instance(self.table.own)
             if own.zone == 'zone-a':
                 readers += table.reads_store()
             table.is_starting = False
@@ -215,13 +217,15 @@
                 is_own_listed=False,
                 is_seed=is_seed,
             )
-            table.learn(instance_entry('other'))
+            table.add_instance(instance_entry('other'))
             self.assertEqual(table.reads_store(), is_seed)
             table.is_starting = False
             self.assertTrue(table.reads_store())
 
     def test_nobody_reads_the_store_before_the_list(self):
-        table = InstanceTable(instance_entry('own'), is_starting=True, is_listed=False)
+        table = InstanceTable(
+            instance_entry('own'), is_starting=True, is_list_attempted=False
+        )
         self.assertFalse(table.reads_store())
 
     def test_polls_do_not_grow_with_the_fleet(self):
@@ -233,7 +237,7 @@
         self.fill(50)
         for _ in range(2):
             for entry in self.table.to_poll():
-                self.table.missed(entry.instance_id)
+                self.table.record_missed_poll(entry.instance_id)
         silent = HOME_INSTANCES + NEAR_POLLED + FAR_POLLED
         self.assertEqual(len(self.table.to_poll()), 2 * silent)
 
@@ -259,13 +263,13 @@
         first = table.leaders()
         for _ in range(2):
             for entry in first:
-                table.missed(entry.instance_id)
+                table.record_missed_poll(entry.instance_id)
         self.assertFalse(set(first) & set(table.leaders()))
         after = [each.instance_id for each in table.to_poll()]
         self.assertLess({each.instance_id for each in first}, set(after))
 
     def hear(self, **health_by_id: PeerHealth) -> list[str]:
-        return self.table.heard('teller', health_by_id, ['far'])
+        return self.table.apply_peer_report('teller', health_by_id, ['far'])
 
     def test_health_is_taken_from_who_polls(self):
         silent, ready = PeerHealth.SILENT, PeerHealth.READY
@@ -276,8 +280,8 @@
         self.assertEqual(self.table.lost_store_ids(), ['far'])
 
     def test_health_that_nobody_polls_any_more_is_forgotten(self):
-        self.table.learn(instance_entry('teller', 'zone-c'))
-        self.table.answered('teller', is_ready=True)
+        self.table.add_instance(instance_entry('teller', 'zone-c'))
+        self.table.record_answer('teller', is_ready=True)
         self.assertEqual(self.hear(near=PeerHealth.READY), ['far'])
         self.assertEqual(self.usable('zone-b'), ['near', 'teller'])
         self.table.forget_health('near')
@@ -286,35 +290,35 @@
     def test_digest_tells_other_instances_only(self):
         twin = InstanceTable(instance_entry('far', 'zone-b'))
         for entry in (self.table.own, instance_entry('near')):
-            twin.learn(entry)
+            twin.add_instance(entry)
         self.assertEqual(twin.digest(), self.table.digest())
-        self.table.answered('near', is_ready=False)
+        self.table.record_answer('near', is_ready=False)
         self.assertEqual(twin.digest(), self.table.digest())
-        self.table.learn(instance_entry('new'))
+        self.table.add_instance(instance_entry('new'))
         self.assertNotEqual(twin.digest(), self.table.digest())
 
     def test_newer_list_with_other_instances_is_lacked(self):
-        self.table.take_list([instance_entry('near')], 5)
+        self.table.apply_list([instance_entry('near')], 5)
         digest = self.table.digest()
-        self.assertFalse(self.table.lacks('other', 5))
-        self.assertTrue(self.table.lacks('other', 6))
-        self.assertFalse(self.table.lacks(digest, 8))
-        self.assertFalse(self.table.lacks('other', 7))
+        self.assertFalse(self.table.is_behind('other', 5))
+        self.assertTrue(self.table.is_behind('other', 6))
+        self.assertFalse(self.table.is_behind(digest, 8))
+        self.assertFalse(self.table.is_behind('other', 7))
 
     def test_older_list_removes_nobody(self):
-        self.table.learn(instance_entry('new'))
-        self.table.take_list([instance_entry('near'), instance_entry('new')], 5)
-        self.table.take_list([instance_entry('near')], 4)
+        self.table.add_instance(instance_entry('new'))
+        self.table.apply_list([instance_entry('near'), instance_entry('new')], 5)
+        self.table.apply_list([instance_entry('near')], 4)
         self.assertIn('new', self.table.peer_by_id)
-        self.table.take_list([instance_entry('near')], 6)
+        self.table.apply_list([instance_entry('near')], 6)
         self.assertNotIn('new', self.table.peer_by_id)
 
     def test_instance_that_the_list_does_not_name_yet_stays_a_while(self):
-        self.table.learn(instance_entry('new'))
+        self.table.add_instance(instance_entry('new'))
         for revision in (1, 2):
-            self.table.take_list([], revision)
+            self.table.apply_list([], revision)
             self.assertIn('new', self.table.peer_by_id)
-        self.table.take_list([], 3)
+        self.table.apply_list([], 3)
         self.assertNotIn('new', self.table.peer_by_id)
 
     def test_parts_of_a_budget_add_up_to_the_whole(self):
@@ -329,7 +333,7 @@
             for own in entries:
                 table = InstanceTable(own)
                 for entry in entries:
-                    table.learn(entry)
+                    table.add_instance(entry)
                 total += 1 / table.shares()
             self.assertAlmostEqual(total, 1.0)
 
--- a/tests/test_discovery_peers.py
+++ b/tests/test_discovery_peers.py
@@ -51,7 +51,7 @@
         Follower('rules', source, random),
         Follower('backends', source, random),
     )
-    table = InstanceTable(OWN, is_starting=True, is_listed=False)
+    table = InstanceTable(OWN, is_starting=True, is_list_attempted=False)
     return PeerPoller(
         table,
         assembler,
--- a/tests/test_discovery_shares.py
+++ b/tests/test_discovery_shares.py
@@ -28,8 +28,8 @@
     """Return the table of an instance that knows others, all of them ready."""
     table = InstanceTable(own, is_own_ready=True)
     for entry in known:
-        table.learn(entry)
-        table.answered(entry.instance_id, is_ready=True)
+        table.add_instance(entry)
+        table.record_answer(entry.instance_id, is_ready=True)
     return table
 
 
@@ -52,8 +52,8 @@
         table = table_of(own, entries)
         before = table.shares()
         for entry in data.draw(st.lists(st.sampled_from(entries))):
-            table.missed(entry.instance_id)
-            table.missed(entry.instance_id)
+            table.record_missed_poll(entry.instance_id)
+            table.record_missed_poll(entry.instance_id)
         self.assertEqual(table.shares(), before)
 
 
@@ -69,7 +69,9 @@
         for own in entries:
             table = table_of(own, entries)
             for entry in lost:
-                table.answered(entry.instance_id, is_ready=True, reaches_store=False)
+                table.record_answer(
+                    entry.instance_id, is_ready=True, reaches_store=False
+                )
             if table.reads_store():
                 readers.append(own)
         for zone in {entry.zone for entry in entries}:
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -61,8 +61,8 @@
     def setUp(self):
         self.table = InstanceTable(self.entry('own', 'zone-a'), is_own_ready=True)
         for name, zone in (('south', 'zone-b'), ('west', 'zone-c')):
-            self.table.learn(self.entry(name, zone))
-            self.table.answered(name, is_ready=True)
+            self.table.add_instance(self.entry(name, zone))
+            self.table.record_answer(name, is_ready=True)
 
     def entry(self, name: str, zone: str):
         return evolve(instance_entry(name, zone), region=REGION_BY_ZONE[zone])
--- a/tests/test_throttling_fleet.py
+++ b/tests/test_throttling_fleet.py
@@ -92,7 +92,7 @@
         load = BackendLoad('i-1', ZONES[0], 2)
         gate = ThrottleGate(
             lambda load, rate: divide_rate(rate, load.backend_id, load.zone, ZONES),
-            table.sender_place,
+            table.sender_position,
         )
         now = trio.current_time()
         sign = RateSign(self.per_second)
--- a/tests/test_throttling_path.py
+++ b/tests/test_throttling_path.py
@@ -73,7 +73,9 @@
         entry = await platform.add_entry()
         await wait_for(lambda e=entry: e.instances.sender_lease.listed_since < inf)
     for entry in platform.entries:
-        await wait_for(lambda e=entry: len(e.instances.serving()) == instances - 1)
+        await wait_for(
+            lambda e=entry: len(e.instances.serving_peers()) == instances - 1
+        )
     first = platform.entries[0]
     while len(throttle_of(first).book.holding()) < len(server_ids):
         await platform.ask('POST', '/p/x', request_id='first')
--- a/tests/test_warmup.py
+++ b/tests/test_warmup.py
@@ -233,9 +233,9 @@
         senders = set()
         for own in entries:
             table = InstanceTable(own)
-            table.take_list(entries, 1)
+            table.apply_list(entries, 1)
             for other in entries:
-                table.answered(other.instance_id, is_ready=True)
+                table.record_answer(other.instance_id, is_ready=True)
             table.is_own_ready = True
             if table.may_be_sender():
                 senders.add(own.instance_id)
