--- a/catkinslip/discovery/assembly.py
+++ b/catkinslip/discovery/assembly.py
@@ -22,12 +22,12 @@
 from catkinslip.discovery.restored import (
     RESTORED_GRACE_SECONDS,
     RemovedBackends,
-    hold_against_copy,
+    reconcile_with_backup,
 )
 
 #: Within this time after an outage of the store the entries that expired in it are
 #: back.
-LAPSE_GRACE_SECONDS = 1.8
+EXPIRY_GRACE_SECONDS = 1.8
 
 log = logging.getLogger('discovery')
 
@@ -60,7 +60,7 @@
     zones_held_until: float = -inf
     removed: RemovedBackends = Factory(RemovedBackends)
     changes: int = 0
-    kept: trio.Event = Factory(trio.Event)
+    grace_changed: trio.Event = Factory(trio.Event)
 
     @property
     def rules_version(self) -> int:
@@ -89,8 +89,8 @@
 
     def start(self) -> None:
         """Register the listeners for changes of rules and servers."""
-        self.rules.listeners.append(self.take_rules)
-        self.backends.listeners.append(self.take_backends)
+        self.rules.listeners.append(self.apply_rules)
+        self.backends.listeners.append(self.apply_backends)
 
     async def run(self) -> None:
         """Remove kept entries and zones at the end of their grace, until cancelled."""
@@ -98,10 +98,10 @@
             ends = self._ends_of_grace(trio.current_time())
             with trio.move_on_at(min(ends, default=inf)) as scope:
                 # An entry that is kept meanwhile may end sooner.
-                await self.kept.wait()
-                self.kept = trio.Event()
+                await self.grace_changed.wait()
+                self.grace_changed = trio.Event()
             if scope.cancelled_caught:
-                self.take_backends()
+                self.apply_backends()
                 self.evacuate(self.ordered_zones)
 
     def _ends_of_grace(self, now: float) -> list[float]:
@@ -112,7 +112,7 @@
     def _restored_until(self) -> float:
         return self.backends.restored_at + RESTORED_GRACE_SECONDS
 
-    def take_rules(self) -> None:
+    def apply_rules(self) -> None:
         """Apply the rules of the store if they are newer."""
         for rules in self.rules.value_by_name.values():
             self.offer_rules(rules)
@@ -129,19 +129,19 @@
         services_before = self.current_rules and self.current_rules.services
         self.current_rules = rules
         if rules.services != services_before:
-            self._take_changes(self.current_backends.items())
+            self._update_backends(self.current_backends.items())
         self._offer()
         return True
 
-    def take_backends(self) -> None:
+    def apply_backends(self) -> None:
         """Apply the registered backend servers; keep removed ones for their grace."""
         now = trio.current_time()
         listed = self.backends.value_by_name
         if now < self._restored_until():
-            listed = hold_against_copy(listed, self.current_backends, self.removed)
-            self.kept.set()
+            listed = reconcile_with_backup(listed, self.current_backends, self.removed)
+            self.grace_changed.set()
         merged = dict(listed)
-        grace_end = self.backends.recovered_at + LAPSE_GRACE_SECONDS
+        grace_end = self.backends.recovered_at + EXPIRY_GRACE_SECONDS
         for backend_id in self.kept_until_by_id.keys() & listed.keys():
             del self.kept_until_by_id[backend_id]
         for backend_id in self.current_backends.keys() - listed.keys():
@@ -149,21 +149,21 @@
             until = self.kept_until_by_id.setdefault(backend_id, grace_end)
             if now < until and not self._has_address(entry, listed):
                 merged[backend_id] = entry
-                self.kept.set()
+                self.grace_changed.set()
             else:
                 del self.kept_until_by_id[backend_id]
         changes = difference(self.current_backends, merged)
         if changes:
-            self.removed.note(self.current_backends, merged, now)
+            self.removed.record(self.current_backends, merged, now)
             self.current_backends = merged
-            self._take_changes(changes)
+            self._update_backends(changes)
             self._offer()
 
     def hold_evacuations(self) -> None:
         """Keep zones evacuated while a restored store may lack their orders."""
         self.held_zones = self.evacuated_zones
         self.zones_held_until = trio.current_time() + RESTORED_GRACE_SECONDS
-        self.kept.set()
+        self.grace_changed.set()
 
     def evacuate(self, zones: Collection[str]) -> None:
         """Evacuate exactly these zones: their servers get no new requests."""
@@ -183,7 +183,7 @@
         self.evacuated_zones = evacuated
         self._offer()
 
-    def _take_changes(self, changes: Iterable[Change]) -> None:
+    def _update_backends(self, changes: Iterable[Change]) -> None:
         """Replace the servers that changed and keep the objects of all others.
 
         With 660 servers a change takes 0.6 ms, and 5 ms where all servers are built
--- a/catkinslip/discovery/base.py
+++ b/catkinslip/discovery/base.py
@@ -106,7 +106,7 @@
         """Wait up to `wait` seconds for changes after a revision, and return them."""
 
 
-class InstanceBook(ABC):
+class InstanceRegistry(ABC):
     """The registry in which instances list themselves so that others can find them."""
 
     @abstractmethod
--- a/catkinslip/discovery/instances.py
+++ b/catkinslip/discovery/instances.py
@@ -96,8 +96,8 @@
     #: Ranking of each zone; cleared when an instance is added or removed.
     _ranked_by_zone: dict[str, list[InstanceEntry]] = field(factory=dict, init=False)
     _home_size_by_zone: dict[str, int] = field(factory=dict, init=False)
-    #: Cached result of `shares`, which each probe calls.
-    _shares: float | None = field(default=None, init=False)
+    #: Cached result of `budget_divisor`, which each probe calls.
+    _budget_divisor: float | None = field(default=None, init=False)
     _sender_rank: int | None = field(default=None, init=False)
 
     def add_instance(self, entry: InstanceEntry) -> None:
@@ -143,7 +143,7 @@
     def _forget_ranking(self) -> None:
         self._ranked_by_zone.clear()
         self._home_size_by_zone.clear()
-        self._shares = self._digest = self._sender_rank = None
+        self._budget_divisor = self._digest = self._sender_rank = None
         self.notify_change()
 
     def notify_change(self) -> None:
@@ -277,7 +277,7 @@
         health = PeerHealth.SILENT if missed >= MISSED_POLLS else peer.health
         return self._set_health(instance_id, health, missed)
 
-    def shares(self) -> float:
+    def budget_divisor(self) -> float:
         """Return the divisor that gives this instance's part of a shared budget.
 
         The home sets divide most of a budget, the instances next in rank a smaller
@@ -285,7 +285,7 @@
         Silent instances count: they may only be unreachable and still spend their
         parts.
         """
-        if self._shares is None:
+        if self._budget_divisor is None:
             counts = Counter[Tier]()
             for zone in {entry.zone for entry in self._entries()}:
                 home = self.home_size(zone)
@@ -295,8 +295,8 @@
             own_zone = self.own.zone
             position = self._ranked(own_zone).index(self.own)
             own = tier(position, self.home_size(own_zone))
-            self._shares = counts[own] / share_of(own, counts)
-        return self._shares
+            self._budget_divisor = counts[own] / share_of(own, counts)
+        return self._budget_divisor
 
     def home_size(self, zone: str) -> int:
         """Return the number of instances in the home set of a zone."""
--- a/catkinslip/discovery/ranking.py
+++ b/catkinslip/discovery/ranking.py
@@ -29,13 +29,13 @@
     HOME = auto()
     #: Next in rank, for the case that an instance of the home set is missing.
     RESERVE = auto()
-    REST = auto()
+    OTHER = auto()
 
 
 SHARE_BY_TIER = {
     Tier.HOME: HOME_SHARE,
     Tier.RESERVE: RESERVE_SHARE,
-    Tier.REST: 1 - HOME_SHARE - RESERVE_SHARE,
+    Tier.OTHER: 1 - HOME_SHARE - RESERVE_SHARE,
 }
 
 
@@ -76,7 +76,7 @@
         return Tier.HOME
     if position < home_size * (1 + RESERVE_INSTANCES):
         return Tier.RESERVE
-    return Tier.REST
+    return Tier.OTHER
 
 
 def share_of(tier: Tier, counts: Counter[Tier]) -> float:
--- a/catkinslip/discovery/registration.py
+++ b/catkinslip/discovery/registration.py
@@ -7,7 +7,7 @@
 from attrs import define
 from returns.result import Failure, Success
 
-from catkinslip.discovery.base import InstanceBook, InstanceEntry
+from catkinslip.discovery.base import InstanceEntry, InstanceRegistry
 
 #: Time after an announcement in which the list may still lack the new entry.
 ANNOUNCE_AGAIN_SECONDS = 10.0
@@ -19,7 +19,7 @@
 class Registration:
     """The entry of this instance in the list, announced if missing, then withdrawn."""
 
-    book: InstanceBook
+    registry: InstanceRegistry
     own: InstanceEntry
     announced_at: float = -inf
     is_withdrawn: bool = False
@@ -40,7 +40,7 @@
 
     async def announce(self) -> None:
         """Write the own entry; the next read of the list shows whether to retry."""
-        match await self.book.announce(self.own):
+        match await self.registry.announce(self.own):
             case Success(_):
                 self.announced_at = trio.current_time()
                 log.info('peers: announced. instance=%s', self.own.instance_id)
@@ -52,6 +52,6 @@
     async def withdraw(self) -> None:
         """Remove this instance from the list permanently."""
         self.is_withdrawn = True
-        match await self.book.withdraw(self.own.instance_id):
+        match await self.registry.withdraw(self.own.instance_id):
             case Failure(error):
                 log.warning('peers: withdrawal failed. error=%s', error)
--- a/catkinslip/discovery/restored.py
+++ b/catkinslip/discovery/restored.py
@@ -25,7 +25,7 @@
 
     removed_at_by_start: dict[tuple[str, int], float] = Factory(dict)
 
-    def note(
+    def record(
         self,
         before: Mapping[str, BackendEntry],
         after: Mapping[str, BackendEntry],
@@ -39,27 +39,27 @@
             start = backend_id, before[backend_id].incarnation
             self.removed_at_by_start[start] = now
 
-    def has(self, entry: BackendEntry) -> bool:
+    def contains(self, entry: BackendEntry) -> bool:
         """Return whether this start of a server was removed recently."""
         return (entry.backend_id, entry.incarnation) in self.removed_at_by_start
 
 
-def hold_against_copy(
+def reconcile_with_backup(
     listed: Mapping[str, BackendEntry],
     known: Mapping[str, BackendEntry],
     removed: RemovedBackends,
 ) -> dict[str, BackendEntry]:
     """Return the servers of a backup, updated by the changes known since then."""
-    held = {}
+    reconciled = {}
     for backend_id, entry in listed.items():
         before = known.get(backend_id)
         if before is None:
-            if not removed.has(entry):
-                held[backend_id] = entry
+            if not removed.contains(entry):
+                reconciled[backend_id] = entry
         elif before.incarnation > entry.incarnation:
-            held[backend_id] = before
+            reconciled[backend_id] = before
         elif before.incarnation == entry.incarnation and before.is_draining:
-            held[backend_id] = evolve(entry, is_draining=True)
+            reconciled[backend_id] = evolve(entry, is_draining=True)
         else:
-            held[backend_id] = entry
-    return held
+            reconciled[backend_id] = entry
+    return reconciled
--- a/catkinslip/discovery/revisions.py
+++ b/catkinslip/discovery/revisions.py
@@ -8,7 +8,7 @@
 NUMBERS_PER_ERA = 1 << 40
 
 
-def ordered(era: int, number: int) -> int:
+def revision_of(era: int, number: int) -> int:
     """Return the revision for an era and a number of the store.
 
     Raise ValueError for a number that is no integer or out of range.
--- a/catkinslip/platform/client.py
+++ b/catkinslip/platform/client.py
@@ -20,13 +20,13 @@
 from catkinslip.discovery.base import (
     Changes,
     HistoryRemoved,
-    InstanceBook,
     InstanceEntry,
+    InstanceRegistry,
     Listing,
     Source,
     Value,
 )
-from catkinslip.discovery.revisions import era_of, number_of, ordered
+from catkinslip.discovery.revisions import era_of, number_of, revision_of
 from catkinslip.metrics.base import Family, MetricSource, counter, gauge
 from catkinslip.metrics.calls import calls_family, outcome_of
 from catkinslip.models import Address
@@ -222,7 +222,7 @@
             try:
                 last = self._read_page(value_by_name, reply)
                 if revision is None:
-                    revision = ordered(reply.era, reply.body['as_of'])
+                    revision = revision_of(reply.era, reply.body['as_of'])
                 if reply.era != era_of(revision):
                     return Failure(Unavailable('the store came back meanwhile'))
                 if not reply.body.get('more'):
@@ -256,7 +256,7 @@
         try:
             changes = [self._read_event(it, reply.era) for it in reply.body['events']]
             kept = tuple(each for each in changes if each is not None)
-            return Success(Changes(kept, ordered(reply.era, reply.body['as_of'])))
+            return Success(Changes(kept, revision_of(reply.era, reply.body['as_of'])))
         except DECODE_ERRORS as error:
             # Reading all again tells what this answer would have told.
             return Failure(HistoryRemoved(f'news cannot be read, {error!r}'))
@@ -307,7 +307,7 @@
     metadata = item['metadata']
     if not era or 'revision' not in metadata:
         return item
-    revision = ordered(era, metadata['revision'])
+    revision = revision_of(era, metadata['revision'])
     return {**item, 'metadata': {**metadata, 'revision': revision}}
 
 
@@ -322,7 +322,7 @@
 
 
 @define
-class StoredInstances(InstanceBook):
+class StoredInstances(InstanceRegistry):
     """Keep the entries of our instances in objects of a kind of our own."""
 
     client: StoreClient
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -17,8 +17,8 @@
 from catkinslip.discovery.assembly import Assembler
 from catkinslip.discovery.base import (
     BackendEntry,
-    InstanceBook,
     InstanceEntry,
+    InstanceRegistry,
     RuleSet,
     Source,
     ZoneEvacuation,
@@ -112,7 +112,7 @@
     rules: Source[RuleSet]
     backends: Source[BackendEntry]
     instances: Source[InstanceEntry]
-    book: InstanceBook
+    book: InstanceRegistry
     crashes: Source[CrashRecord]
     crash_store: CrashStore
     evacuations: Source[ZoneEvacuation]
@@ -255,7 +255,7 @@
     health = make_tracker(
         directory, clock, random, max_instances=1, counts_closes=False
     )
-    pool = BackendPool(instances.shares)
+    pool = BackendPool(instances.budget_divisor)
     config.listeners.extend(
         (directory.update, health.update, pool.update, guard.update)
     )
@@ -264,14 +264,14 @@
     traces = TraceRing(instance_id, clock, directory, deque(maxlen=MAX_TRACES))
     observer = ObserverGroup((requests, traces))
     hedges = HedgeTimer()
-    limits = LimitBook(limit_settings(settings), lambda _: instances.shares())
+    limits = LimitBook(limit_settings(settings), lambda _: instances.budget_divisor())
     sampler = LoadSampler(
         health,
         pool,
         clock,
         outside.dialect,
         settings.probes_per_second,
-        instances.shares,
+        instances.budget_divisor,
     )
     forwarder = Forwarder(
         directory,
--- a/tests/test_discovery_assembly.py
+++ b/tests/test_discovery_assembly.py
@@ -7,7 +7,7 @@
 import trio.testing
 
 from catkinslip.config.holder import ConfigHolder
-from catkinslip.discovery.assembly import LAPSE_GRACE_SECONDS, Assembler
+from catkinslip.discovery.assembly import EXPIRY_GRACE_SECONDS, Assembler
 from catkinslip.discovery.base import Listing
 from catkinslip.discovery.follower import Follower
 from tests.discovery_builders import (
@@ -87,7 +87,7 @@
                 nursery.start_soon(assembler.run)
                 assembler.backends.offer(listing(5, ONE), 'test')
                 self.assertEqual(self.backend_ids(assembler), ['one', 'two'])
-                await trio.sleep(LAPSE_GRACE_SECONDS - 0.1)
+                await trio.sleep(EXPIRY_GRACE_SECONDS - 0.1)
                 self.assertEqual(self.backend_ids(assembler), ['one', 'two'])
                 await trio.sleep(0.2)
                 self.assertEqual(self.backend_ids(assembler), ['one'])
--- a/tests/test_discovery_following.py
+++ b/tests/test_discovery_following.py
@@ -31,7 +31,7 @@
     no_kinds,
     rule_set,
 )
-from tests.test_discovery_peers import CountingBook
+from tests.test_discovery_peers import CountingRegistry
 
 SETTLED_SECONDS = 8.0
 #: Two polls of a silent instance and one that is told of it, with their time-outs.
@@ -73,7 +73,7 @@
             random,
             (),
             FleetList(self),
-            Registration(CountingBook(), entry),
+            Registration(CountingRegistry(), entry),
         )
 
     def fill(self, zones: int, count: int) -> None:
--- a/tests/test_discovery_instances.py
+++ b/tests/test_discovery_instances.py
@@ -73,9 +73,9 @@
     def test_silent_instance_still_counts_for_shared_budgets(self):
         for _ in range(5):
             self.table.record_missed_poll('far')
-        self.assertEqual(self.table.shares(), 3)
+        self.assertEqual(self.table.budget_divisor(), 3)
         self.table.remove_unlisted({'own', 'near'})
-        self.assertEqual(self.table.shares(), 2)
+        self.assertEqual(self.table.budget_divisor(), 2)
 
     def fill(self, count: int, zones: tuple[str, ...] = ('zone-a', 'zone-b')) -> None:
         for zone in zones:
@@ -122,9 +122,9 @@
 
     def test_instances_next_in_rank_keep_more_of_a_budget_than_the_rest(self):
         self.fill_strong(2, 20)
-        shares = sorted({round(table.shares(), 3) for table in self.tables()})
-        self.assertEqual(len(shares), 3)
-        self.assertLess(shares[1], 4 * shares[0] * HOME_SHARE / RESERVE_SHARE)
+        divisors = sorted({round(table.budget_divisor(), 3) for table in self.tables()})
+        self.assertEqual(len(divisors), 3)
+        self.assertLess(divisors[1], 4 * divisors[0] * HOME_SHARE / RESERVE_SHARE)
 
     def tables(self) -> list[InstanceTable]:
         """Return the table of each instance, where all know that all are ready."""
@@ -334,7 +334,7 @@
                 table = InstanceTable(own)
                 for entry in entries:
                     table.add_instance(entry)
-                total += 1 / table.shares()
+                total += 1 / table.budget_divisor()
             self.assertAlmostEqual(total, 1.0)
 
     def test_answer_has_a_bound(self):
--- a/tests/test_discovery_peers.py
+++ b/tests/test_discovery_peers.py
@@ -10,7 +10,7 @@
 
 from catkinslip.config.holder import ConfigHolder
 from catkinslip.discovery.assembly import Assembler
-from catkinslip.discovery.base import InstanceBook, InstanceEntry, Listing
+from catkinslip.discovery.base import InstanceEntry, InstanceRegistry, Listing
 from catkinslip.discovery.follower import Follower
 from catkinslip.discovery.instances import InstanceTable
 from catkinslip.discovery.peers import PeerPoller
@@ -27,7 +27,7 @@
 
 
 @define
-class CountingBook(InstanceBook):
+class CountingRegistry(InstanceRegistry):
     """Count what is written."""
 
     results: list[Result] = Factory(list)
@@ -42,7 +42,7 @@
         return Success(None)
 
 
-def make_poller(listings: list, book: CountingBook) -> PeerPoller:
+def make_poller(listings: list, registry: CountingRegistry) -> PeerPoller:
     """Return a poller that reads the given lists of instances."""
     random = Random(1)
     source = ScriptedSource()
@@ -60,13 +60,15 @@
         random,
         (),
         ScriptedSource(listings),
-        Registration(book, OWN),
+        Registration(registry, OWN),
     )
 
 
-def poll(listings: list, book: CountingBook, seconds: float = 60.0) -> PeerPoller:
+def poll(
+    listings: list, registry: CountingRegistry, seconds: float = 60.0
+) -> PeerPoller:
     """Poll for some seconds of a clock that jumps."""
-    poller = make_poller(listings, book)
+    poller = make_poller(listings, registry)
 
     async def run():
         with trio.move_on_after(seconds):
@@ -80,32 +82,32 @@
     """What is written into the list of instances."""
 
     def setUp(self):
-        self.book = CountingBook()
+        self.registry = CountingRegistry()
 
     def test_start_announces_itself_once_while_the_list_is_old(self):
-        poll([EMPTY, EMPTY, EMPTY, WITH_OWN, WITH_OWN], self.book)
-        self.assertEqual(self.book.calls, ['announce own'])
+        poll([EMPTY, EMPTY, EMPTY, WITH_OWN, WITH_OWN], self.registry)
+        self.assertEqual(self.registry.calls, ['announce own'])
 
     def test_start_that_finds_its_entry_writes_nothing(self):
-        poll([WITH_OWN] * 5, self.book)
-        self.assertEqual(self.book.calls, [])
+        poll([WITH_OWN] * 5, self.registry)
+        self.assertEqual(self.registry.calls, [])
 
     def test_changed_entry_is_replaced(self):
         before = instance_entry('own', zone='zone-b')
-        poll([Listing({'own': before}, 1), WITH_OWN], self.book)
-        self.assertEqual(self.book.calls, ['announce own'])
+        poll([Listing({'own': before}, 1), WITH_OWN], self.registry)
+        self.assertEqual(self.registry.calls, ['announce own'])
 
     def test_failed_announcement_is_made_again(self):
-        self.book.results = [OUTAGE, OUTAGE]
-        poll([EMPTY] * 3 + [WITH_OWN] * 3, self.book)
-        self.assertEqual(len(self.book.calls), 3)
+        self.registry.results = [OUTAGE, OUTAGE]
+        poll([EMPTY] * 3 + [WITH_OWN] * 3, self.registry)
+        self.assertEqual(len(self.registry.calls), 3)
 
     def test_lost_entry_is_announced_again(self):
-        poll([WITH_OWN] * 6 + [EMPTY], self.book, 10 * ANNOUNCE_AGAIN_SECONDS)
-        self.assertEqual(self.book.calls, ['announce own'])
+        poll([WITH_OWN] * 6 + [EMPTY], self.registry, 10 * ANNOUNCE_AGAIN_SECONDS)
+        self.assertEqual(self.registry.calls, ['announce own'])
 
     def test_instance_that_withdrew_does_not_come_back(self):
-        poller = make_poller([WITH_OWN, EMPTY, EMPTY], self.book)
+        poller = make_poller([WITH_OWN, EMPTY, EMPTY], self.registry)
 
         async def run():
             with trio.move_on_after(30):
@@ -115,10 +117,10 @@
                     await poller.registration.withdraw()
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
-        self.assertEqual(self.book.calls, ['withdraw own'])
+        self.assertEqual(self.registry.calls, ['withdraw own'])
 
     def test_store_is_read_once_the_list_was_asked_for_whatever_it_told(self):
-        poller = poll([OUTAGE], self.book, 0.1)
+        poller = poll([OUTAGE], self.registry, 0.1)
         self.assertTrue(poller.instances.reads_store())
 
 
--- a/tests/test_discovery_restored.py
+++ b/tests/test_discovery_restored.py
@@ -9,11 +9,11 @@
 
 from catkinslip.crashes.book import CrashBook
 from catkinslip.crashes.suspect import Verdict
-from catkinslip.discovery.assembly import LAPSE_GRACE_SECONDS, Assembler
+from catkinslip.discovery.assembly import EXPIRY_GRACE_SECONDS, Assembler
 from catkinslip.discovery.base import BackendEntry, Changes, Listing
 from catkinslip.discovery.follower import Follower
 from catkinslip.discovery.restored import RESTORED_GRACE_SECONDS
-from catkinslip.discovery.revisions import era_of, number_of, ordered, text_of
+from catkinslip.discovery.revisions import era_of, number_of, revision_of, text_of
 from tests.discovery_builders import (
     HISTORY_REMOVED,
     ScriptedSource,
@@ -35,7 +35,7 @@
 
 def at(era: int, number: int) -> int:
     """Return a revision of one life of the store."""
-    return ordered(era, number)
+    return revision_of(era, number)
 
 
 class RevisionTest(unittest.TestCase):
@@ -50,7 +50,7 @@
     def test_what_is_no_number_is_no_revision(self):
         for wrong in (-1, 1.0, '7', None, True, 1 << 40):
             with self.assertRaises(ValueError):
-                ordered(1, wrong)
+                revision_of(1, wrong)
 
 
 class FollowerTest(unittest.TestCase):
@@ -120,7 +120,7 @@
                     assembler.backends.offer(listing(at(1, number), *entries), 'x')
                 assembler.backends.offer(listing(at(2, 1), *copy), 'x')
                 known.append(dict(assembler.current_backends))
-                await trio.sleep(LAPSE_GRACE_SECONDS + 0.1)
+                await trio.sleep(EXPIRY_GRACE_SECONDS + 0.1)
                 known.append(dict(assembler.current_backends))
                 await trio.sleep(RESTORED_GRACE_SECONDS)
                 known.append(dict(assembler.current_backends))
@@ -161,7 +161,7 @@
                 assembler.hold_evacuations()
                 await trio.sleep(0.05)
                 assembler.backends.offer(listing(at(2, 1), ONE), 'x')
-                await trio.sleep(LAPSE_GRACE_SECONDS + 0.1)
+                await trio.sleep(EXPIRY_GRACE_SECONDS + 0.1)
                 self.assertEqual(assembler.current_backends, {'one': ONE})
                 nursery.cancel_scope.cancel()
 
--- a/tests/test_discovery_shares.py
+++ b/tests/test_discovery_shares.py
@@ -40,7 +40,7 @@
     @given(MANY)
     def test_parts_add_up_to_the_whole_where_all_know_all(self, many):
         entries = entries_of(many)
-        parts = [1 / table_of(own, entries).shares() for own in entries]
+        parts = [1 / table_of(own, entries).budget_divisor() for own in entries]
         self.assertAlmostEqual(sum(parts), 1.0)
         self.assertGreater(min(parts), 0.0)
 
@@ -50,11 +50,11 @@
         entries = entries_of(many)
         own = data.draw(st.sampled_from(entries))
         table = table_of(own, entries)
-        before = table.shares()
+        before = table.budget_divisor()
         for entry in data.draw(st.lists(st.sampled_from(entries))):
             table.record_missed_poll(entry.instance_id)
             table.record_missed_poll(entry.instance_id)
-        self.assertEqual(table.shares(), before)
+        self.assertEqual(table.budget_divisor(), before)
 
 
 class ReadersTest(unittest.TestCase):
