--- a/tests/discovery_builders.py
+++ b/tests/discovery_builders.py
@@ -1,4 +1,4 @@
-"""Builders of what an outside store tells."""
+"""Builders of values in an outside store, and a scripted store."""
 
 from collections.abc import Sequence
 
@@ -26,7 +26,7 @@
 def backend_entry(
     backend_id: str, service: str = 'limits', port: int = 80, **fields: object
 ) -> BackendEntry:
-    """Return a backend server whose address follows from a port."""
+    """Return a backend server at a fixed host and the given port."""
     return BackendEntry(backend_id, service, 'zone-a', '10.0.0.1', port, 2, **fields)
 
 
@@ -54,13 +54,13 @@
 
 
 def changes_at(revision: int, *changes: tuple[str, BackendEntry | None]) -> Changes:
-    """Return news of backend servers."""
+    """Return changes of backend servers up to a revision."""
     return Changes(changes, revision)
 
 
 @define
 class ScriptedSource(Source):
-    """Answer as scripted, then wait forever."""
+    """A source that answers as scripted and then waits forever."""
 
     listings: list[Result] = Factory(list)
     waits: list[Result] = Factory(list)
@@ -87,5 +87,5 @@
 
 
 def no_kinds() -> SharedKinds:
-    """Return no kinds but rules and servers."""
+    """Return an empty registry of shared kinds."""
     return shared_kinds()
--- a/tests/test_discovery_assembly.py
+++ b/tests/test_discovery_assembly.py
@@ -1,4 +1,4 @@
-"""Rules and registered servers become one configuration that moves forward."""
+"""Tests of the assembly of rules and registered servers into one configuration."""
 
 import unittest
 from random import Random
@@ -22,7 +22,7 @@
 
 
 def started() -> Assembler:
-    """Return an assembler that follows two kinds that tell nothing yet."""
+    """Return an assembler with followers that have no values yet."""
     source = ScriptedSource()
     assembler = Assembler(
         ConfigHolder(),
@@ -34,12 +34,12 @@
 
 
 def run(check) -> None:
-    """Run an async check on a clock that jumps."""
+    """Run an async check on a mock clock that skips waiting times."""
     trio.run(check, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
 class AssemblyTest(unittest.TestCase):
-    """The configuration in force after rules and servers changed."""
+    """The configuration in force after changes of rules and servers."""
 
     def backend_ids(self, assembler: Assembler) -> list[str]:
         return sorted(assembler.config.current.document.register.backends)
@@ -77,7 +77,7 @@
 
         run(check)
 
-    def test_entry_that_lapsed_in_an_outage_is_kept_until_servers_are_back(self):
+    def test_entry_that_expired_in_an_outage_is_kept_until_servers_are_back(self):
         async def check():
             assembler = started()
             assembler.offer_rules(rule_set(1))
@@ -95,14 +95,14 @@
 
         run(check)
 
-    def test_lapsed_entry_goes_when_another_server_has_its_address(self):
+    def test_expired_entry_is_removed_when_another_server_has_its_address(self):
         async def check():
             assembler = started()
             assembler.offer_rules(rule_set(1, ('limits', 'claims')))
             assembler.backends.offer(listing(4, ONE, TWO), 'test')
             assembler.backends.recovered_at = trio.current_time()
-            heir = backend_entry('three', 'claims', port=81)
-            assembler.backends.offer(listing(5, ONE, heir), 'test')
+            successor = backend_entry('three', 'claims', port=81)
+            assembler.backends.offer(listing(5, ONE, successor), 'test')
             self.assertEqual(self.backend_ids(assembler), ['one', 'three'])
 
         run(check)
--- a/tests/test_discovery_changes.py
+++ b/tests/test_discovery_changes.py
@@ -1,4 +1,4 @@
-"""Peers get just what they lack, and everything where that is not held any more."""
+"""Tests of change logs and updates: peers get the changes that they lack, or all."""
 
 import unittest
 from random import Random
@@ -39,7 +39,7 @@
 
 
 def apply(values: dict, changes: tuple) -> dict:
-    """Return values after changes."""
+    """Return the values that result from changes."""
     after = dict(values)
     for name, value in changes:
         if value is None:
@@ -50,9 +50,9 @@
 
 
 class ChangeLogTest(unittest.TestCase):
-    """What a log tells of the changes after a revision."""
+    """Changes of a log after a revision."""
 
-    def test_only_later_changes_are_told(self):
+    def test_only_later_changes_are_returned(self):
         log = ChangeLog()
         log.start(5)
         log.add((('a', 1), ('b', 2)), 7)
@@ -99,8 +99,8 @@
     return Follower('backends', ScriptedSource(), Random(1))
 
 
-class KnowledgeTest(unittest.TestCase):
-    """What an instance tells another."""
+class SnapshotTest(unittest.TestCase):
+    """Rules and servers that an instance sends to a peer."""
 
     def setUp(self):
         clock = patch('trio.current_time', return_value=100.0)
@@ -113,12 +113,12 @@
         self.assembler.offer_rules(rule_set(3))
         self.assembler.backends.offer(listing(5, ONE), 'test')
 
-    def test_asker_without_anything_gets_everything(self):
+    def test_peer_without_anything_gets_everything(self):
         told = self.answers.snapshot_after(0, 0)
         self.assertEqual(told.rules, rule_set(3))
         self.assertEqual((told.backends, told.changes), ({'one': ONE}, None))
 
-    def test_asker_with_the_same_rules_gets_changes_alone(self):
+    def test_peer_with_the_same_rules_gets_only_changes(self):
         self.assembler.backends.apply_peer_changes(
             changes_at(8, ('two', TWO), ('one', None)), 5
         )
@@ -128,12 +128,12 @@
         names = [(each.name, each.entry) for each in told.changes]
         self.assertEqual(names, [('two', TWO), ('one', None)])
 
-    def test_whole_list_read_anew_is_told_as_its_changes(self):
+    def test_whole_list_that_was_read_again_is_sent_as_its_changes(self):
         self.assembler.backends.offer(listing(9, TWO), 'test')
         names = [each.name for each in self.answers.snapshot_after(3, 5).changes]
         self.assertEqual(names, ['one', 'two'])
 
-    def test_asker_that_lacks_too_much_gets_everything(self):
+    def test_peer_that_lacks_too_much_gets_everything(self):
         told = self.answers.snapshot_after(3, 4)
         self.assertEqual((told.backends, told.changes), ({'one': ONE}, None))
 
@@ -150,7 +150,7 @@
         self.assertFalse(self.answers.snapshot_after(9, 5).are_rules_large)
 
     def many(self, count: int) -> dict:
-        """Return as many servers by name."""
+        """Return the given number of servers, by name."""
         entries = [backend_entry(f'i-{n}', port=n + 1) for n in range(count)]
         return {each.backend_id: each for each in entries}
 
@@ -163,7 +163,7 @@
         told = self.answers.snapshot_after(0, 0, is_whole=True)
         self.assertEqual((told.backends, told.are_backends_large), (many, False))
 
-    def test_many_changes_are_told_in_parts_that_lead_to_the_same(self):
+    def test_many_changes_are_sent_in_parts_that_lead_to_the_same(self):
         backends = self.assembler.backends
         for revision, (name, entry) in enumerate(self.many(2000).items(), 6):
             backends.apply_peer_changes(
@@ -183,12 +183,12 @@
         self.assertEqual(other.value_by_name, backends.value_by_name)
         self.assertLessEqual(parts, MAX_PARTS)
 
-    def test_more_changes_at_one_revision_than_fit_are_told_as_all(self):
+    def test_more_changes_at_one_revision_than_fit_are_marked_as_large(self):
         many = self.many(3 * MAX_SENT_CHANGES)
         self.assembler.backends.offer(Listing(many, 9), 'test')
         self.assertTrue(self.answers.snapshot_after(3, 5).are_backends_large)
 
-    def test_asker_of_too_many_servers_reads_the_store_once(self):
+    def test_peer_that_lacks_too_many_servers_reads_the_store_once(self):
         asker = Assembler(ConfigHolder(), follower(), follower())
         asker.start()
         poller = PeerPoller(
@@ -208,7 +208,7 @@
         self.assertTrue(asker.backends.reads_once)
         self.assertEqual(asker.backends.revision, 0)
 
-    def test_question_that_cannot_be_read_is_refused(self):
+    def test_invalid_query_is_refused(self):
         for query in ('', '3', '3.x', '3.5.all', '3.5.whole.', '-3.5'):
             page = trio.run(self.answers.snapshot, query)
             self.assertEqual(page.status, 400, query)
@@ -216,7 +216,7 @@
             page = trio.run(self.answers.snapshot, query)
             self.assertEqual(page.status, 200, query)
 
-    def test_end_of_an_outage_is_told_with_its_age(self):
+    def test_end_of_an_outage_is_sent_with_its_age(self):
         self.assertIsNone(self.answers.snapshot_after(3, 5).regained_seconds)
         self.assembler.backends.recovered_at = 99.0
         self.assertEqual(self.answers.snapshot_after(3, 5).regained_seconds, 1.0)
@@ -228,33 +228,33 @@
         self.assertEqual(other.recovered_at, 99.0)
 
 
-class LearnTest(unittest.TestCase):
-    """What a follower takes of a peer's changes."""
+class PeerChangesTest(unittest.TestCase):
+    """Changes from a peer that a follower applies."""
 
     def setUp(self):
         self.follower = follower()
         self.follower.offer(listing(5, ONE), 'test')
 
-    def test_newer_changes_are_taken(self):
+    def test_newer_changes_are_applied(self):
         self.assertTrue(
             self.follower.apply_peer_changes(changes_at(8, ('two', TWO)), 5)
         )
         self.assertEqual(self.follower.value_by_name, {'one': ONE, 'two': TWO})
         self.assertEqual(self.follower.revision, 8)
 
-    def test_older_changes_are_not_taken(self):
+    def test_older_changes_are_not_applied(self):
         self.assertFalse(
             self.follower.apply_peer_changes(Changes((('one', None),), 5), 4)
         )
         self.assertEqual(self.follower.value_by_name, {'one': ONE})
 
-    def test_changes_after_an_unknown_revision_are_not_taken(self):
+    def test_changes_after_an_unknown_revision_are_not_applied(self):
         self.assertFalse(
             self.follower.apply_peer_changes(changes_at(9, ('two', TWO)), 6)
         )
         self.assertEqual(self.follower.revision, 5)
 
-    def test_empty_listing_is_known_and_told(self):
+    def test_empty_listing_is_known_and_sent(self):
         empty = follower()
         empty.offer(Listing({}, 4), 'test')
         self.assertTrue(empty.is_known)
--- a/tests/test_discovery_follower.py
+++ b/tests/test_discovery_follower.py
@@ -1,4 +1,4 @@
-"""A follower holds the newest values, whatever goes wrong on the way."""
+"""Tests of followers, which hold the newest values through outages of the store."""
 
 import unittest
 from random import Random
@@ -28,7 +28,7 @@
 
 
 def follow(listings: list, waits: list) -> tuple[Follower, ScriptedSource]:
-    """Follow a script to its end on a clock that jumps."""
+    """Run a follower to the end of a script, on a mock clock that skips waits."""
     source = ScriptedSource(listings, waits)
     follower = Follower('backends', source, Random(1))
 
@@ -44,9 +44,9 @@
 
 
 class FollowerTest(unittest.TestCase):
-    """Values and revision after a script."""
+    """Values, revision and calls of a follower after a script."""
 
-    def test_news_change_and_remove_values(self):
+    def test_changes_replace_and_remove_values(self):
         follower, _ = follow(
             [listing(5, ONE)], [changes_at(7, ('two', TWO), ('one', None))]
         )
@@ -58,13 +58,13 @@
         self.assertEqual(follower.value_by_name, {'two': TWO})
         self.assertEqual(source.calls, ['read', 'wait 5', 'read', 'wait 9'])
 
-    def test_failed_wait_goes_on_from_the_revision_known(self):
+    def test_failed_wait_continues_at_the_known_revision(self):
         changes = changes_at(6, ('two', TWO), ('one', None))
         follower, source = follow([listing(5, ONE)], [OUTAGE, OUTAGE, changes])
         self.assertEqual(follower.value_by_name, {'two': TWO})
         self.assertEqual(source.calls, ['read', *['wait 5'] * 3, 'wait 6'])
 
-    def test_first_wait_after_a_failure_asks_only_what_was_missed(self):
+    def test_first_wait_after_a_failure_reads_only_missed_changes(self):
         _, source = follow([listing(5, ONE)], [OUTAGE, changes_at(5), changes_at(5)])
         self.assertEqual(
             source.waits_seconds,
@@ -78,7 +78,7 @@
         self.assertEqual(follower.value_by_name, {'two': TWO})
         self.assertEqual(source.calls[-2:], ['read', 'wait 6'])
 
-    def test_doubt_ends_a_wait_that_hangs_and_is_no_outage(self):
+    def test_mark_as_possibly_stale_ends_a_wait_that_hangs_and_is_no_outage(self):
         source = ScriptedSource([listing(5, ONE)])
         follower = Follower('backends', source, Random(1))
 
@@ -99,11 +99,11 @@
         self.assertEqual(source.calls, ['read', 'wait 5', 'wait 5', 'wait 8'])
         self.assertFalse(follower.is_lost)
 
-    def test_news_without_changes_are_nothing_to_tell_peers(self):
+    def test_empty_changes_need_not_be_sent_to_peers(self):
         follower, _ = follow([listing(5, ONE)], [changes_at(9)])
         self.assertEqual((follower.revision, follower.changed_at), (9, 5))
 
-    def test_reader_of_what_a_peer_told_only_waits_for_news(self):
+    def test_reader_with_values_from_a_peer_only_waits_for_changes(self):
         source = ScriptedSource()
         follower = Follower('backends', source, Random(1))
         follower.offer(listing(5, ONE), 'peer')
@@ -120,14 +120,14 @@
         self.assertEqual(follower.value_by_name, {'one': ONE})
         self.assertEqual(follower.revision, 5)
 
-    def test_news_older_than_what_a_peer_told_change_nothing(self):
+    def test_changes_older_than_those_of_a_peer_change_nothing(self):
         follower, _ = follow([listing(5, ONE)], [])
         follower.offer(listing(9, TWO), 'peer')
         follower._apply(changes_at(8, ('one', ONE)))
         self.assertEqual(follower.value_by_name, {'two': TWO})
         self.assertEqual(follower.revision, 9)
 
-    def test_instance_without_the_duty_makes_no_call(self):
+    def test_instance_that_is_no_reader_makes_no_call(self):
         source = ScriptedSource([listing(5, ONE)])
         follower = Follower('backends', source, Random(1), reads_store=lambda: False)
 
@@ -139,7 +139,7 @@
         self.assertEqual(source.calls, [])
         self.assertTrue(follower.offer(listing(7, TWO), 'peer'))
 
-    def test_instance_without_the_duty_reads_once_when_asked_to(self):
+    def test_instance_that_is_no_reader_reads_once_on_request(self):
         source = ScriptedSource([OUTAGE, listing(5, ONE), listing(9, TWO)])
         follower = Follower('rules', source, Random(1), reads_store=lambda: False)
         follower.read_once()
@@ -153,7 +153,7 @@
         self.assertEqual(follower.value_by_name, {'one': ONE})
 
     def play_outage(self, outage: Outage, seconds: float) -> tuple[int, float]:
-        """Let four followers meet an outage; return their calls and when all knew."""
+        """Return the calls of four followers in an outage and the delay of the last."""
         calls = 0
         end = 0.0
 
@@ -185,11 +185,11 @@
 
     def test_followers_take_turns_in_an_outage(self):
         calls, late = self.play_outage(Outage(), 20.0)
-        # Alone, each of them would ask about 25 times.
+        # Without turns each of them would make about 25 calls.
         self.assertLess(calls, 40)
         self.assertLess(late, LONGEST_RETRY_SECONDS + 0.1)
 
-    def test_last_resort_asks_rarely_and_is_in_time(self):
+    def test_last_resort_calls_rarely_and_is_in_time(self):
         calls, late = self.play_outage(Outage(lambda: True), 20.0)
         self.assertLess(calls, 25)
         self.assertLess(late, LAST_RESORT_SECONDS + 0.1)
--- a/tests/test_discovery_following.py
+++ b/tests/test_discovery_following.py
@@ -1,4 +1,4 @@
-"""Instances that are not of a zone's first ask one of these for all others."""
+"""Tests of polls: instances that are not leaders poll one leader for all others."""
 
 import unittest
 from random import Random
@@ -34,19 +34,19 @@
 from tests.test_discovery_peers import CountingRegistry
 
 SETTLED_SECONDS = 8.0
-#: Two polls of a silent instance and one that is told of it, with their time-outs.
+#: Two polls of a silent instance and one of a leader that reports it, with time-outs.
 NOTICED_SECONDS = 3.0
 
 
 @define
 class Fleet:
-    """Instances in one loop that reach each other without sockets."""
+    """Instances in one event loop that reach each other without sockets."""
 
     poller_by_address: dict[str, PeerPoller] = Factory(dict)
     answers_by_address: dict[str, PeerAnswers] = Factory(dict)
-    #: Addresses that answer nothing.
+    #: Addresses that do not answer.
     dark: set[str] = Factory(set)
-    #: Questions that each address got.
+    #: Number of requests by address.
     asked: dict[str, int] = Factory(dict)
     listed: dict[str, InstanceEntry] = Factory(dict)
 
@@ -77,7 +77,7 @@
         )
 
     def fill(self, zones: int, count: int) -> None:
-        """Add as many instances to each zone."""
+        """Add `count` instances to each of `zones` zones."""
         for zone in range(zones):
             for number in range(count):
                 name = f'i{zone}x{number}'
@@ -86,7 +86,7 @@
                 self.add(entry)
 
     def tables(self) -> list[InstanceTable]:
-        """Return the tables of all instances that are not dark."""
+        """Return the tables of all instances that answer."""
         return [
             poller.instances
             for address, poller in self.poller_by_address.items()
@@ -96,14 +96,14 @@
 
 @define
 class Pages:
-    """The pages of one instance, for a test to look into."""
+    """The pages of one instance, with a replaced state page."""
 
     state: object
 
 
 @define
 class FleetClient(PageClient):
-    """Ask the pages of a fleet's instances."""
+    """A client that calls the pages of a fleet's instances directly."""
 
     fleet: Fleet = Factory(Fleet)
     own: str = ''
@@ -115,7 +115,7 @@
     async def ask(
         self, address: Address, target: str, seconds: float, *_: object
     ) -> Reply | NotRun:
-        """Return the page, or nothing in time."""
+        """Return the page of an instance, or a failure if it does not answer."""
         await trio.sleep(0.001)
         place = str(address)
         is_there = place in self.fleet.answers_by_address
@@ -132,7 +132,7 @@
 
 @define
 class FleetList(ScriptedSource):
-    """Tell who is listed."""
+    """A source of the listed instances of a fleet."""
 
     fleet: Fleet = Factory(Fleet)
 
@@ -142,14 +142,14 @@
 
     async def read_all(self, *, may_be_stale: bool = False):
         self.calls.append('read')
-        # Each reading is newer than the one before, as other objects change too.
+        # Each read has a newer revision, as other objects change too.
         revision = int(trio.current_time() * 1000) + 1
         self.listings = [Listing(dict(self.fleet.listed), revision)]
         return await self._next(self.listings)
 
 
 def run_fleet(fleet: Fleet, check) -> None:
-    """Run all instances on a clock that jumps, and a check beside them."""
+    """Run all instances and a check on a mock clock that skips waiting times."""
 
     async def run():
         async with trio.open_nursery() as nursery:
@@ -163,9 +163,9 @@
 
 
 class FollowingTest(unittest.TestCase):
-    """What instances learn of others, and how much they ask."""
+    """Health and values that instances receive, and the number of their requests."""
 
-    def test_what_an_instance_asks_and_is_asked_does_not_grow(self):
+    def test_requests_of_and_to_an_instance_do_not_grow_with_the_fleet(self):
         questions, most = {}, {}
         for count in (15, 45):
             fleet = Fleet()
@@ -181,10 +181,10 @@
             run_fleet(fleet, check)
         self.assertLess(questions[45], 10)
         self.assertLess(questions[45], questions[15])
-        # Twelve ask each other; the rest of the zone shares these.
+        # Twelve instances poll each other; the others of the zone poll these.
         self.assertLess(most[45], 40)
 
-    def test_all_learn_of_an_instance_that_went_dark(self):
+    def test_silent_instance_is_noticed_by_all(self):
         fleet = Fleet()
         fleet.fill(2, 20)
 
@@ -201,7 +201,7 @@
 
         run_fleet(fleet, check)
 
-    def test_loss_of_all_that_lead_is_noticed_by_the_rest(self):
+    def test_loss_of_all_leaders_is_noticed_by_the_rest(self):
         fleet = Fleet()
         fleet.fill(1, 40)
 
@@ -217,7 +217,7 @@
 
         run_fleet(fleet, check)
 
-    def test_news_reaches_all_soon_whoever_has_them_first(self):
+    def test_newer_rules_of_one_leader_reach_all_soon(self):
         fleet = Fleet()
         fleet.fill(2, 20)
 
@@ -226,7 +226,7 @@
             leading = next(t for t in fleet.tables() if not t.leaders())
             answers = fleet.answers_by_address[leading.own.peer_address]
             answers.assembler.offer_rules(rule_set(7))
-            # To those that lead, from them to the rest, and to the other zone.
+            # The rules reach the leaders, then the rest of the zone and the other zone.
             await trio.sleep(3 * POLL_SECONDS)
             near = [t for t in fleet.tables() if t.own.zone == leading.own.zone]
             versions = {
@@ -237,7 +237,7 @@
 
         run_fleet(fleet, check)
 
-    def test_store_is_asked_for_the_list_by_few(self):
+    def test_few_instances_read_the_list_from_the_store(self):
         fleet = Fleet()
         fleet.fill(2, 20)
 
@@ -261,11 +261,11 @@
 
         run_fleet(fleet, check)
 
-    def test_leaders_forget_who_they_polled_before_they_knew_all(self):
+    def test_leaders_reset_the_health_of_instances_no_longer_polled(self):
         fleet = Fleet()
         fleet.fill(2, 18)
         first = fleet.poller_by_address['i0x0:90']
-        # Known from the start, but not of the first of its zone.
+        # Known from the start, but not among the first of its zone.
         far = [entry for entry in fleet.listed.values() if entry.zone == 'zone-1']
         last = rank('zone-1', far)[-1]
         first.instances.add_instance(last)
@@ -279,7 +279,7 @@
 
         run_fleet(fleet, check)
 
-    def test_seeds_are_asked_only_where_the_store_tells_of_nobody_near(self):
+    def test_seeds_are_queried_only_where_the_store_lists_no_zone_peer(self):
         for is_listed in (True, False):
             fleet = Fleet()
             fleet.fill(1, 6)
@@ -307,7 +307,7 @@
             run_fleet(fleet, check)
             self.assertEqual('full' in questions, not is_listed)
 
-    def test_seeds_are_asked_soon_where_the_store_is_silent(self):
+    def test_seeds_are_queried_soon_where_the_store_is_silent(self):
         fleet = Fleet()
         fleet.fill(1, 3)
         asking = fleet.poller_by_address['i0x1:90']
@@ -323,7 +323,7 @@
 
         run_fleet(fleet, check)
 
-    def test_answer_with_health_names_it(self):
+    def test_answer_to_a_query_for_health_holds_it(self):
         fleet = Fleet()
         fleet.fill(1, 3)
 
--- a/tests/test_discovery_instances.py
+++ b/tests/test_discovery_instances.py
@@ -1,4 +1,4 @@
-"""Callers get the ready instances of their zone while there is one."""
+"""Tests of the instance table: addresses for callers, readers, polls and budgets."""
 
 import unittest
 from random import Random
@@ -18,7 +18,7 @@
 
 
 class InstanceTableTest(unittest.TestCase):
-    """Which instances callers may use."""
+    """Instances that callers may use, that read the store and that are polled."""
 
     def setUp(self):
         self.table = InstanceTable(instance_entry('own'))
@@ -94,7 +94,7 @@
         self.assertEqual(len(set(home) & set(after)), HOME_INSTANCES - 1)
 
     def fill_strong(self, strong: int, weak: int) -> None:
-        """Fill the own zone with instances that have five times the cores of others."""
+        """Fill the own zone with strong instances (2.15 cores) and weak ones (0.43)."""
         for number in range(strong + weak):
             name, cores = f'more-{number}', 2.15 if number < strong else 0.43
             self.table.add_instance(evolve(instance_entry(name), cores=cores))
@@ -127,7 +127,7 @@
         self.assertLess(divisors[1], 4 * divisors[0] * HOME_SHARE / RESERVE_SHARE)
 
     def tables(self) -> list[InstanceTable]:
-        """Return the table of each instance, where all know that all are ready."""
+        """Return the tables of all instances, each with all others as ready."""
         entries = [self.table.own, *(p.entry for p in self.table.peer_by_id.values())]
         tables = []
         for own in entries:
@@ -157,11 +157,11 @@
         self.assertIn(reader, readers)
         self.assertEqual(len(readers), READERS + 1)
 
-    def test_few_try_at_once_a_store_that_answers_nobody(self):
+    def test_few_instances_retry_at_once_a_store_that_does_not_answer(self):
         self.fill(5 * HOME_INSTANCES, ('zone-a',))
         tables = [each for each in self.tables() if each.own.zone == 'zone-a']
         asked_first = HOME_INSTANCES + NEAR_POLLED + 1
-        # Those that are polled found the store lost; the others hear of no more.
+        # The polled instances lost the store; the health of the others is not known.
         for table in tables:
             ranked = table._ranked('zone-a')
             for entry in ranked[:asked_first]:
@@ -183,11 +183,11 @@
         ranked = self.table._ranked('zone-a')
         is_first = ranked.index(self.table.own) < READERS
         self.assertEqual(self.table.reads_store(), is_first)
-        # One that serves takes those that stop for no readers.
+        # An instance that serves does not count those that stop as readers.
         self.table.is_own_ready = True
         self.assertTrue(self.table.reads_store())
 
-    def test_somebody_reads_the_store_where_no_reader_answers(self):
+    def test_instance_reads_the_store_where_no_reader_answers(self):
         self.fill(4 * HOME_INSTANCES, ('zone-a',))
         for instance_id in self.table.peer_by_id:
             self.table.record_missed_poll(instance_id)
@@ -205,7 +205,7 @@
             if own.zone == 'zone-a':
                 readers += table.reads_store()
             table.is_starting = False
-            # Nobody has told anything by then.
+            # No peer has answered by then.
             self.assertTrue(table.reads_store())
         self.assertEqual(readers, HOME_INSTANCES)
 
@@ -222,7 +222,7 @@
             table.is_starting = False
             self.assertTrue(table.reads_store())
 
-    def test_nobody_reads_the_store_before_the_list(self):
+    def test_store_is_not_read_before_the_list(self):
         table = InstanceTable(
             instance_entry('own'), is_starting=True, is_list_attempted=False
         )
@@ -241,7 +241,7 @@
         silent = HOME_INSTANCES + NEAR_POLLED + FAR_POLLED
         self.assertEqual(len(self.table.to_poll()), 2 * silent)
 
-    def test_all_but_the_first_of_a_zone_ask_one_of_these(self):
+    def test_all_but_the_first_of_a_zone_poll_one_leader(self):
         self.fill(50)
         tables = [each for each in self.tables() if each.own.zone == 'zone-a']
         leading = [table.own for table in tables if not table.leaders()]
@@ -271,7 +271,7 @@
     def hear(self, **health_by_id: PeerHealth) -> list[str]:
         return self.table.apply_peer_report('teller', health_by_id, ['far'])
 
-    def test_health_is_taken_from_who_polls(self):
+    def test_health_is_applied_from_reports_of_peers(self):
         silent, ready = PeerHealth.SILENT, PeerHealth.READY
         self.assertEqual(self.hear(near=silent, own=silent, far=ready), ['near'])
         self.assertEqual(self.usable('zone-a'), ['far'])
@@ -279,7 +279,7 @@
         self.assertEqual(self.usable('zone-a'), ['near'])
         self.assertEqual(self.table.lost_store_ids(), ['far'])
 
-    def test_health_that_nobody_polls_any_more_is_forgotten(self):
+    def test_health_that_is_no_longer_reported_becomes_unknown(self):
         self.table.add_instance(instance_entry('teller', 'zone-c'))
         self.table.record_answer('teller', is_ready=True)
         self.assertEqual(self.hear(near=PeerHealth.READY), ['far'])
@@ -287,7 +287,7 @@
         self.table.forget_health('near')
         self.assertEqual(self.usable('zone-a'), ['teller'])
 
-    def test_digest_tells_other_instances_only(self):
+    def test_digest_depends_only_on_the_known_instances(self):
         twin = InstanceTable(instance_entry('far', 'zone-b'))
         for entry in (self.table.own, instance_entry('near')):
             twin.add_instance(entry)
@@ -297,7 +297,7 @@
         self.table.add_instance(instance_entry('new'))
         self.assertNotEqual(twin.digest(), self.table.digest())
 
-    def test_newer_list_with_other_instances_is_lacked(self):
+    def test_table_is_behind_a_newer_list_with_other_instances(self):
         self.table.apply_list([instance_entry('near')], 5)
         digest = self.table.digest()
         self.assertFalse(self.table.is_behind('other', 5))
@@ -305,7 +305,7 @@
         self.assertFalse(self.table.is_behind(digest, 8))
         self.assertFalse(self.table.is_behind('other', 7))
 
-    def test_older_list_removes_nobody(self):
+    def test_older_list_removes_no_instance(self):
         self.table.add_instance(instance_entry('new'))
         self.table.apply_list([instance_entry('near'), instance_entry('new')], 5)
         self.table.apply_list([instance_entry('near')], 4)
--- a/tests/test_discovery_peers.py
+++ b/tests/test_discovery_peers.py
@@ -1,4 +1,4 @@
-"""An instance keeps its own entry in the list while it serves."""
+"""Tests of the registration of an instance in the list while it serves."""
 
 import unittest
 from random import Random
@@ -28,7 +28,7 @@
 
 @define
 class CountingRegistry(InstanceRegistry):
-    """Count what is written."""
+    """A registry that records the calls to it."""
 
     results: list[Result] = Factory(list)
     calls: list[str] = Factory(list)
@@ -43,7 +43,7 @@
 
 
 def make_poller(listings: list, registry: CountingRegistry) -> PeerPoller:
-    """Return a poller that reads the given lists of instances."""
+    """Return a poller with a store that answers the given lists of instances."""
     random = Random(1)
     source = ScriptedSource()
     assembler = Assembler(
@@ -67,7 +67,7 @@
 def poll(
     listings: list, registry: CountingRegistry, seconds: float = 60.0
 ) -> PeerPoller:
-    """Poll for some seconds of a clock that jumps."""
+    """Run a poller for some seconds of a mock clock that skips waiting times."""
     poller = make_poller(listings, registry)
 
     async def run():
@@ -79,7 +79,7 @@
 
 
 class AnnounceTest(unittest.TestCase):
-    """What is written into the list of instances."""
+    """Calls that announce and withdraw an instance."""
 
     def setUp(self):
         self.registry = CountingRegistry()
@@ -119,7 +119,7 @@
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
         self.assertEqual(self.registry.calls, ['withdraw own'])
 
-    def test_store_is_read_once_the_list_was_asked_for_whatever_it_told(self):
+    def test_store_is_read_after_a_failed_read_of_the_list(self):
         poller = poll([OUTAGE], self.registry, 0.1)
         self.assertTrue(poller.instances.reads_store())
 
--- a/tests/test_discovery_restored.py
+++ b/tests/test_discovery_restored.py
@@ -1,4 +1,4 @@
-"""What instances know after the store came back from a copy, without any I/O."""
+"""Tests of discovery after a restore of the store from a backup, without any I/O."""
 
 import unittest
 from random import Random
@@ -29,17 +29,17 @@
 ONE, TWO = backend_entry('one'), backend_entry('two', port=81)
 SIZES = (17, 118, 313)
 READERS = 3
-#: Polls in which each instance asks one other.
+#: Rounds of polls; in each round every instance polls one other.
 ROUNDS = 12
 
 
 def at(era: int, number: int) -> int:
-    """Return a revision of one life of the store."""
+    """Return a revision of one era of the store."""
     return revision_of(era, number)
 
 
 class RevisionTest(unittest.TestCase):
-    """The one order of revisions."""
+    """The order of revisions over eras."""
 
     def test_era_goes_before_number(self):
         self.assertLess(at(1, 999), at(2, 1))
@@ -47,16 +47,16 @@
         self.assertEqual((era_of(at(3, 7)), number_of(at(3, 7))), (3, 7))
         self.assertEqual((text_of(at(3, 7)), text_of(7)), ('3/7', '7'))
 
-    def test_what_is_no_number_is_no_revision(self):
+    def test_invalid_number_is_refused(self):
         for wrong in (-1, 1.0, '7', None, True, 1 << 40):
             with self.assertRaises(ValueError):
                 revision_of(1, wrong)
 
 
 class FollowerTest(unittest.TestCase):
-    """Values and change log over lives of the store."""
+    """Values and change log of a follower over eras of the store."""
 
-    def test_lower_number_of_a_later_life_is_taken(self):
+    def test_lower_number_of_a_later_era_is_applied(self):
         script = [listing(at(1, 71), ONE), listing(at(2, 60), TWO)]
         follower, source = follow(script, [HISTORY_REMOVED])
         self.assertEqual(follower.value_by_name, {'two': TWO})
@@ -68,27 +68,27 @@
         follower, _ = follow(script, [HISTORY_REMOVED, HISTORY_REMOVED])
         self.assertEqual(follower.revision, at(3, 6))
 
-    def test_who_asks_from_an_earlier_life_gets_everything(self):
+    def test_peer_of_an_earlier_era_gets_everything(self):
         script = [listing(at(1, 70), ONE), listing(at(2, 60), ONE)]
         follower, _ = follow(script, [HISTORY_REMOVED])
-        # The asker may know of a change at 71 that this instance never saw.
+        # The peer may have a change at 71 that this instance never received.
         self.assertIsNone(follower.changes_after(at(1, 71)))
         self.assertIsNone(follower.part_after(at(1, 71), 10))
         self.assertEqual(follower.changes_after(at(2, 60)), ())
 
-    def test_changes_of_another_life_are_not_put_on_top(self):
+    def test_changes_of_another_era_are_not_applied(self):
         follower, _ = follow([listing(at(1, 71), ONE)], [])
         self.assertFalse(
             follower.apply_peer_changes(changes_at(at(2, 3), ('two', TWO)), at(1, 71))
         )
         self.assertEqual(follower.value_by_name, {'one': ONE})
 
-    def test_earlier_life_of_a_peer_replaces_nothing(self):
+    def test_earlier_era_of_a_peer_replaces_nothing(self):
         follower, _ = follow([listing(at(2, 5), ONE)], [])
         self.assertFalse(follower.offer(listing(at(1, 900), TWO), 'peer'))
         self.assertEqual(follower.value_by_name, {'one': ONE})
 
-    def test_history_that_is_gone_again_is_asked_for_after_a_pause(self):
+    def test_history_that_is_lost_again_is_read_after_a_pause(self):
         source = ScriptedSource(
             [listing(71, ONE), *[listing(60, ONE)] * 9], [HISTORY_REMOVED] * 9
         )
@@ -98,17 +98,17 @@
             source.ended = trio.Event()
             with trio.move_on_after(1.5):
                 await follower.run()
-            # The first round is free, each more waits for its turn.
+            # The first round has no delay, each later one waits for its turn.
             self.assertLess(source.calls.count('read'), 9)
 
         run(check)
 
 
 class ServersTest(unittest.TestCase):
-    """Servers that the copy shows as they were."""
+    """Servers that the backup shows in an earlier state."""
 
     def play(self, before: list, copy: list) -> tuple[Assembler, dict, dict]:
-        """Return what is known right after the return, and after the grace."""
+        """Return the servers at the restore, after the expiry and after the grace."""
         assembler = started()
         known = []
 
@@ -129,7 +129,7 @@
         run(check)
         return known
 
-    def test_leaving_server_is_not_ready_again(self):
+    def test_leaving_server_does_not_become_ready_again(self):
         leaving = evolve(ONE, is_draining=True)
         at_once, later, last = self.play([[leaving]], [ONE])
         self.assertTrue(at_once['one'].is_draining and later['one'].is_draining)
@@ -140,17 +140,17 @@
         self.assertEqual((at_once, later), ({'two': TWO}, {'two': TWO}))
         self.assertEqual(last, {'one': ONE, 'two': TWO})
 
-    def test_earlier_start_is_not_believed_again(self):
+    def test_earlier_start_is_not_applied_again(self):
         first, second = (evolve(ONE, incarnation=n) for n in (1, 2))
         at_once, later, _ = self.play([[first], [second]], [first])
         self.assertEqual((at_once, later), ({'one': second}, {'one': second}))
 
-    def test_server_that_came_after_the_copy_is_kept_until_it_writes_again(self):
+    def test_server_newer_than_the_backup_is_kept_until_it_writes_again(self):
         at_once, later, _ = self.play([[ONE, TWO]], [ONE])
         self.assertEqual(at_once, {'one': ONE, 'two': TWO})
         self.assertEqual(later, {'one': ONE})
 
-    def test_entry_that_the_copy_lacks_lapses_in_time_beside_a_longer_grace(self):
+    def test_entry_that_the_backup_lacks_expires_beside_a_longer_grace(self):
         assembler = started()
 
         async def check():
@@ -167,14 +167,14 @@
 
         run(check)
 
-    def test_what_is_written_again_is_believed(self):
+    def test_entry_that_is_written_again_is_applied(self):
         moved = evolve(ONE, slots=7)
         at_once, _, _ = self.play([[ONE]], [moved])
         self.assertEqual(at_once, {'one': moved})
 
 
 class OrdersTest(unittest.TestCase):
-    """Evacuations, rules and records that the copy lacks."""
+    """Evacuations, rules and records that the backup lacks."""
 
     def test_zone_stays_evacuated_until_the_order_is_back_or_the_grace_over(self):
         assembler = started()
@@ -194,7 +194,7 @@
 
         run(check)
 
-    def test_older_rules_of_the_copy_replace_nothing(self):
+    def test_older_rules_of_the_backup_replace_nothing(self):
         async def check():
             assembler = started()
             assembler.rules.offer(Listing({'main': rule_set(9)}, at(1, 70)), 'x')
@@ -205,7 +205,7 @@
 
         run(check)
 
-    def test_verdict_that_the_copy_lacks_stands_and_is_written_again(self):
+    def test_verdict_that_the_backup_lacks_stays_and_is_written_again(self):
         book = book_with(0)
         book.take_stored({'a': stored(3, at(1, 71))}, NOW)
         book.lost_by_store()
@@ -213,7 +213,7 @@
         self.assertEqual(book.judge(KEY, 'q', NOW).verdict, Verdict.REFUSED)
         self.assertEqual([it.record.revision for it in book.to_save()], [0])
 
-    def test_trials_that_the_copy_lacks_are_not_given_again(self):
+    def test_trials_that_the_backup_lacks_are_not_repeated(self):
         book = CrashBook()
         book.take_stored({'a': stored(3, at(1, 71), trials=2)}, NOW)
         book.lost_by_store()
@@ -224,7 +224,7 @@
 
 @define
 class LivingStore:
-    """A store whose lives follow each other."""
+    """A store that can be restored from a backup, with a new era each time."""
 
     entry_by_id: dict[str, BackendEntry] = Factory(dict)
     era: int = 1
@@ -241,13 +241,13 @@
             self.entry_by_id[name] = entry
 
     def restore(self, entry_by_id: dict[str, BackendEntry], number: int) -> None:
-        """Come back from a copy."""
+        """Restore the entries and the number of a backup."""
         self.entry_by_id = dict(entry_by_id)
         self.log = [each for each in self.log if each[0] <= number]
         self.number, self.era = number, self.era + 1
 
     def tell(self, follower: Follower) -> None:
-        """Tell a reader what it lacks."""
+        """Send the missing values or changes to a follower."""
         now = at(self.era, self.number)
         if era_of(follower.revision) < self.era:
             follower.offer(Listing(dict(self.entry_by_id), now), 'store')
@@ -258,7 +258,7 @@
 
 
 def poll(asker: Follower, asked: Follower) -> None:
-    """Let an instance learn what another one knows more, as polls do."""
+    """Fetch newer values from another follower, as a poll of a peer does."""
     if asked.changed_at <= asker.revision:
         return
     changes = asked.changes_after(asker.revision)
@@ -269,7 +269,7 @@
 
 
 class FleetTest(unittest.TestCase):
-    """A fleet at whatever revisions its instances were as the store came back."""
+    """A fleet whose instances have various revisions when the store is restored."""
 
     def play(self, size: int, seed: int, losses: int) -> None:
         random = Random(seed)
@@ -282,11 +282,12 @@
             for number in range(10, 20):
                 store.put(f'i-{number}', backend_entry(f'i-{number}', port=80 + number))
                 store.put(f'i-{number - 10}', None)
-                # Some know all of it, some a part, some nothing of what will be lost.
+                # Some instances have all of the changes that will be lost, some a part,
+                # some none.
                 self.spread(store, random.sample(followers, size // 3), random)
             store.restore(copy, copied_at)
             if random.random() < 0.5:
-                # The old numbers are passed again before anybody asks.
+                # The numbers exceed the old ones before any instance reads.
                 for number in range(30, 60):
                     entry = backend_entry(f'i-{number}', port=80 + number)
                     store.put(f'i-{number}', entry)
@@ -298,13 +299,13 @@
             self.assertEqual(follower.value_by_name, store.entry_by_id)
 
     def spread(self, store: LivingStore, reached: list, random: Random) -> None:
-        """Let the first read the store, and each ask another."""
+        """Make the first instances read the store, and each poll another one."""
         for follower in reached[:READERS]:
             store.tell(follower)
         for follower in reached:
             poll(follower, random.choice(reached))
 
-    def test_all_know_what_the_store_holds_after_one_loss_and_after_several(self):
+    def test_all_followers_match_the_store_after_one_loss_and_after_several(self):
         async def check():
             for size in SIZES:
                 for seed in range(3):
--- a/tests/test_discovery_shares.py
+++ b/tests/test_discovery_shares.py
@@ -1,4 +1,4 @@
-"""Whatever instances there are, their parts of a budget add up, and somebody reads."""
+"""Property tests of budget parts and readers of the store for arbitrary zones."""
 
 import unittest
 
@@ -25,7 +25,7 @@
 
 
 def table_of(own: InstanceEntry, known: list[InstanceEntry]) -> InstanceTable:
-    """Return the table of an instance that knows others, all of them ready."""
+    """Return the table of an instance with the given others, all of them ready."""
     table = InstanceTable(own, is_own_ready=True)
     for entry in known:
         table.add_instance(entry)
@@ -34,7 +34,7 @@
 
 
 class SharesTest(unittest.TestCase):
-    """Parts of budgets, each worked out alone."""
+    """Parts of budgets, calculated by each instance alone."""
 
     @SETTINGS
     @given(MANY)
@@ -46,7 +46,7 @@
 
     @SETTINGS
     @given(MANY, st.data())
-    def test_who_is_silent_still_has_its_part(self, many, data):
+    def test_silent_instance_still_has_its_part(self, many, data):
         entries = entries_of(many)
         own = data.draw(st.sampled_from(entries))
         table = table_of(own, entries)
@@ -58,7 +58,7 @@
 
 
 class ReadersTest(unittest.TestCase):
-    """Who reads the store."""
+    """Instances that read the store."""
 
     @SETTINGS
     @given(MANY, st.data())
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -1,4 +1,4 @@
-"""Routes that are bound to regions: where a request runs, and who is named for it."""
+"""Tests of routes bound to regions: servers of requests and addresses for callers."""
 
 import unittest
 from random import Random
@@ -44,7 +44,7 @@
 
 
 class DecodingTest(unittest.TestCase):
-    """The operators' configuration names regions of a route."""
+    """Regions of a route in the operators' configuration."""
 
     def test_regions_are_read_and_may_be_left_out(self):
         item = config_item()
@@ -56,7 +56,7 @@
 
 
 class AddressTest(unittest.TestCase):
-    """Which instances callers are sent to."""
+    """Instances that callers are sent to."""
 
     def setUp(self):
         self.table = InstanceTable(self.entry('own', 'zone-a'), is_own_ready=True)
@@ -116,7 +116,7 @@
 
 
 class PathTest(unittest.TestCase):
-    """Where requests run."""
+    """Regions in which requests run."""
 
     def test_bound_requests_run_in_their_region_only(self):
         async def check(platform):
