--- a/catkinslip/discovery/assembly.py
+++ b/catkinslip/discovery/assembly.py
@@ -34,7 +34,7 @@
 
 @define
 class Assembler:
-    """A source of a new configuration at each change of rules or backend servers.
+    """An assembler that offers a configuration at each change of rules or servers.
 
     The version of the rules only rises, also where a stale read or a peer has older
     ones.
@@ -93,7 +93,7 @@
         self.backends.listeners.append(self.apply_backends)
 
     async def run(self) -> None:
-        """Remove kept entries and zones at the end of their grace, until cancelled."""
+        """Remove kept entries and zones after their grace periods, until cancelled."""
         while True:
             ends = self._ends_of_grace(trio.current_time())
             with trio.move_on_at(min(ends, default=inf)) as scope:
@@ -105,7 +105,7 @@
                 self.evacuate(self.ordered_zones)
 
     def _ends_of_grace(self, now: float) -> list[float]:
-        """Return the ends of the graces of all entries and zones that are kept."""
+        """Return the ends of the grace periods of all kept entries and zones."""
         ends = [self._restored_until(), self.zones_held_until]
         return [*self.kept_until_by_id.values(), *(at for at in ends if at > now)]
 
@@ -134,7 +134,7 @@
         return True
 
     def apply_backends(self) -> None:
-        """Apply the registered backend servers; keep removed ones for their grace."""
+        """Apply the registered servers, with those kept for a grace period."""
         now = trio.current_time()
         listed = self.backends.value_by_name
         if now < self._restored_until():
--- a/catkinslip/discovery/follower.py
+++ b/catkinslip/discovery/follower.py
@@ -56,7 +56,7 @@
 
 @define
 class Outage:
-    """An outage of the store, shared by all followers of one instance.
+    """The state of an outage of the store, shared by all followers of one instance.
 
     A store that is down for some seconds would get retries from each follower of each
     reader. The followers of an instance take turns instead: one retries, and its
@@ -66,8 +66,8 @@
     instead of 6,564 (one run each).
     """
 
-    #: Whether other instances of the zone failed to read the store, so that this one
-    #: may wait for longer.
+    #: Function that returns whether other instances of the zone failed to read the
+    #: store, so that this one may wait longer.
     is_last_resort: Callable[[], bool] = never
     turn: trio.Lock = Factory(trio.Lock)
     ended: trio.Event = Factory(trio.Event)
@@ -181,7 +181,7 @@
         return seconds if isfinite(seconds) else None
 
     def apply_peer_recovery(self, seconds: float | None) -> None:
-        """Record that by a peer's report an outage ended so many seconds ago."""
+        """Apply a peer's report that an outage ended `seconds` ago; ignore None."""
         if seconds is not None:
             at = trio.current_time() - max(0.0, seconds)
             self.recovered_at = max(self.recovered_at, at)
@@ -255,8 +255,9 @@
     def apply_peer_changes(self, update: Changes[Value], since: int) -> bool:
         """Apply changes that a peer sent; return whether they were applied.
 
-        Changes that are not newer, or that begin after the known revision `since`, are
-        not applied.
+        `since` is the revision that the changes follow. They are not applied if they
+        are not newer, if `since` is later than the known revision, or if they are of a
+        later era of the store.
         """
         if update.revision <= self.revision or since > self.revision:
             return False
--- a/catkinslip/discovery/instances.py
+++ b/catkinslip/discovery/instances.py
@@ -52,7 +52,7 @@
 
 @define
 class Peer:
-    """Another instance, with its health as known here."""
+    """Another instance, with its health as known to this one."""
 
     entry: InstanceEntry
     health: PeerHealth = PeerHealth.UNKNOWN
@@ -78,7 +78,8 @@
 
     own: InstanceEntry
     is_own_ready: bool = False
-    #: Whether this instance started so recently that its peers may start too.
+    #: Whether this instance started so recently that its peers may have no more values
+    #: than it has.
     is_starting: bool = False
     #: Whether a read of the list of instances has ended, also if it failed.
     is_list_attempted: bool = True
@@ -121,7 +122,8 @@
     def is_behind(self, digest: str, revision: int) -> bool:
         """Return whether a peer has a newer list with other instances than this one.
 
-        `digest` and `revision` are those of the peer.
+        `digest` and `revision` are those of the peer. Where the peer has the same
+        instances its newer revision is recorded.
         """
         if revision <= self.list_revision:
             return False
@@ -223,7 +225,7 @@
         return self._set_health(instance_id, health, 0)
 
     def health_by_id(self) -> dict[str, PeerHealth]:
-        """Return the known health of other instances, by ID."""
+        """Return the health of the other instances by ID, where it is known."""
         return {
             instance_id: peer.health
             for instance_id, peer in self.peer_by_id.items()
--- a/catkinslip/discovery/ranking.py
+++ b/catkinslip/discovery/ranking.py
@@ -65,7 +65,7 @@
 
 
 def is_weak_among(entries: list[InstanceEntry]) -> Callable[[InstanceEntry], bool]:
-    """Return a function that decides whether others have more than twice the cores."""
+    """Return a predicate for instances with under half of the largest core count."""
     least = WEAK_SHARE * max((entry.cores for entry in entries), default=0.0)
     return lambda entry: entry.cores < least
 
--- a/catkinslip/discovery/revisions.py
+++ b/catkinslip/discovery/revisions.py
@@ -1,4 +1,4 @@
-"""Revisions of the outside store, in one order over all its eras.
+"""Revisions of the outside store, ordered over all its eras.
 
 The store numbers its changes. When it is restored from a backup it uses numbers again,
 and its era rises by one. A revision is one integer that holds both, the era in the
