--- a/tests/test_discovery_changes.py
+++ b/tests/test_discovery_changes.py
@@ -114,18 +114,18 @@
         self.assembler.backends.offer(listing(5, ONE), 'test')
 
     def test_peer_without_anything_gets_everything(self):
-        told = self.answers.snapshot_after(0, 0)
-        self.assertEqual(told.rules, rule_set(3))
-        self.assertEqual((told.backends, told.changes), ({'one': ONE}, None))
+        sent = self.answers.snapshot_after(0, 0)
+        self.assertEqual(sent.rules, rule_set(3))
+        self.assertEqual((sent.backends, sent.changes), ({'one': ONE}, None))
 
     def test_peer_with_the_same_rules_gets_only_changes(self):
         self.assembler.backends.apply_peer_changes(
             changes_at(8, ('two', TWO), ('one', None)), 5
         )
-        told = self.answers.snapshot_after(3, 5)
-        self.assertIsNone(told.rules)
-        self.assertEqual(told.backends, {})
-        names = [(each.name, each.entry) for each in told.changes]
+        sent = self.answers.snapshot_after(3, 5)
+        self.assertIsNone(sent.rules)
+        self.assertEqual(sent.backends, {})
+        names = [(each.name, each.entry) for each in sent.changes]
         self.assertEqual(names, [('two', TWO), ('one', None)])
 
     def test_whole_list_that_was_read_again_is_sent_as_its_changes(self):
@@ -134,8 +134,8 @@
         self.assertEqual(names, ['one', 'two'])
 
     def test_peer_that_lacks_too_much_gets_everything(self):
-        told = self.answers.snapshot_after(3, 4)
-        self.assertEqual((told.backends, told.changes), ({'one': ONE}, None))
+        sent = self.answers.snapshot_after(3, 4)
+        self.assertEqual((sent.backends, sent.changes), ({'one': ONE}, None))
 
     def test_large_rules_are_left_to_the_store_unless_it_does_not_answer(self):
         many = evolve(
@@ -143,9 +143,9 @@
             routes={str(n): rule_set(9).routes['a'] for n in range(300)},
         )
         self.assembler.offer_rules(many)
-        told = self.answers.snapshot_after(3, 5)
-        self.assertIsNone(told.rules)
-        self.assertTrue(told.are_rules_large)
+        sent = self.answers.snapshot_after(3, 5)
+        self.assertIsNone(sent.rules)
+        self.assertTrue(sent.are_rules_large)
         self.assertEqual(self.answers.snapshot_after(3, 5, is_whole=True).rules, many)
         self.assertFalse(self.answers.snapshot_after(9, 5).are_rules_large)
 
@@ -157,11 +157,11 @@
     def test_all_of_many_servers_are_left_to_the_store_unless_it_does_not_answer(self):
         many = self.many(MAX_SENT_BACKENDS + 1)
         self.assembler.backends.offer(Listing(many, 9), 'test')
-        told = self.answers.snapshot_after(0, 0)
-        self.assertTrue(told.are_backends_large)
-        self.assertEqual((told.backends, told.rules), ({}, rule_set(3)))
-        told = self.answers.snapshot_after(0, 0, is_whole=True)
-        self.assertEqual((told.backends, told.are_backends_large), (many, False))
+        sent = self.answers.snapshot_after(0, 0)
+        self.assertTrue(sent.are_backends_large)
+        self.assertEqual((sent.backends, sent.rules), ({}, rule_set(3)))
+        sent = self.answers.snapshot_after(0, 0, is_whole=True)
+        self.assertEqual((sent.backends, sent.are_backends_large), (many, False))
 
     def test_many_changes_are_sent_in_parts_that_lead_to_the_same(self):
         backends = self.assembler.backends
@@ -173,11 +173,11 @@
         other.offer(listing(5, ONE), 'test')
         parts = 0
         while other.revision < backends.changed_at:
-            told = self.answers.snapshot_after(3, other.revision)
-            self.assertLessEqual(len(told.changes), MAX_SENT_CHANGES)
-            changes = tuple((each.name, each.entry) for each in told.changes)
+            sent = self.answers.snapshot_after(3, other.revision)
+            self.assertLessEqual(len(sent.changes), MAX_SENT_CHANGES)
+            changes = tuple((each.name, each.entry) for each in sent.changes)
             other.apply_peer_changes(
-                Changes(changes, told.backends_revision), other.revision
+                Changes(changes, sent.backends_revision), other.revision
             )
             parts += 1
         self.assertEqual(other.value_by_name, backends.value_by_name)
@@ -189,11 +189,11 @@
         self.assertTrue(self.answers.snapshot_after(3, 5).are_backends_large)
 
     def test_peer_that_lacks_too_many_servers_reads_the_store_once(self):
-        asker = Assembler(ConfigHolder(), follower(), follower())
-        asker.start()
+        peer = Assembler(ConfigHolder(), follower(), follower())
+        peer.start()
         poller = PeerPoller(
-            InstanceTable(instance_entry('asker')),
-            asker,
+            InstanceTable(instance_entry('peer')),
+            peer,
             no_kinds(),
             PageClient(),
             Random(1),
@@ -204,9 +204,9 @@
         many = self.many(MAX_SENT_BACKENDS + 1)
         self.assembler.backends.offer(Listing(many, 9), 'test')
         poller._apply_snapshot(self.answers.snapshot_after(0, 0), 0, 'peer')
-        self.assertEqual(asker.rules_version, 3)
-        self.assertTrue(asker.backends.reads_once)
-        self.assertEqual(asker.backends.revision, 0)
+        self.assertEqual(peer.rules_version, 3)
+        self.assertTrue(peer.backends.reads_once)
+        self.assertEqual(peer.backends.revision, 0)
 
     def test_invalid_query_is_refused(self):
         for query in ('', '3', '3.x', '3.5.all', '3.5.whole.', '-3.5'):
--- a/tests/test_discovery_follower.py
+++ b/tests/test_discovery_follower.py
@@ -180,30 +180,32 @@
                 nursery.cancel_scope.cancel()
             return trio.current_time() - end
 
-        late = trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
-        return calls, late
+        delay = trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
+        return calls, delay
 
     def test_followers_take_turns_in_an_outage(self):
-        calls, late = self.play_outage(Outage(), 20.0)
+        calls, delay = self.play_outage(Outage(), 20.0)
         # Without turns each of them would make about 25 calls.
         self.assertLess(calls, 40)
-        self.assertLess(late, LONGEST_RETRY_SECONDS + 0.1)
+        self.assertLess(delay, LONGEST_RETRY_SECONDS + 0.1)
 
     def test_last_resort_calls_rarely_and_is_in_time(self):
-        calls, late = self.play_outage(Outage(lambda: True), 20.0)
+        calls, delay = self.play_outage(Outage(lambda: True), 20.0)
         self.assertLess(calls, 25)
-        self.assertLess(late, LAST_RESORT_SECONDS + 0.1)
+        self.assertLess(delay, LAST_RESORT_SECONDS + 0.1)
 
     def test_kind_that_cannot_be_read_does_not_hold_up_the_others(self):
         outage = Outage()
-        stuck = Follower('a', ScriptedSource([OUTAGE] * 1000), Random(1), outage=outage)
+        failing = Follower(
+            'a', ScriptedSource([OUTAGE] * 1000), Random(1), outage=outage
+        )
         other = Follower(
             'b', ScriptedSource([OUTAGE, listing(5, ONE)]), Random(1), outage=outage
         )
 
         async def run():
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(stuck.run)
+                nursery.start_soon(failing.run)
                 nursery.start_soon(other.run)
                 await trio.sleep(2 * LONGEST_RETRY_SECONDS)
                 self.assertTrue(other.is_known)
--- a/tests/test_discovery_following.py
+++ b/tests/test_discovery_following.py
@@ -45,9 +45,9 @@
     poller_by_address: dict[str, PeerPoller] = Factory(dict)
     answers_by_address: dict[str, PeerAnswers] = Factory(dict)
     #: Addresses that do not answer.
-    dark: set[str] = Factory(set)
+    silent: set[str] = Factory(set)
     #: Number of requests by address.
-    asked: dict[str, int] = Factory(dict)
+    requests: dict[str, int] = Factory(dict)
     listed: dict[str, InstanceEntry] = Factory(dict)
 
     def add(self, entry: InstanceEntry) -> None:
@@ -90,7 +90,7 @@
         return [
             poller.instances
             for address, poller in self.poller_by_address.items()
-            if address not in self.dark
+            if address not in self.silent
         ]
 
 
@@ -117,16 +117,16 @@
     ) -> Reply | NotRun:
         """Return the page of an instance, or a failure if it does not answer."""
         await trio.sleep(0.001)
-        place = str(address)
-        is_there = place in self.fleet.answers_by_address
-        if not is_there or {place, self.own} & self.fleet.dark:
+        name = str(address)
+        is_there = name in self.fleet.answers_by_address
+        if not is_there or {name, self.own} & self.fleet.silent:
             await trio.sleep(seconds)
-            return NotRun(Reason.CONNECT_FAILED, 'dark')
-        self.fleet.asked[place] = self.fleet.asked.get(place, 0) + 1
-        answers = self.fleet.answers_by_address[place]
+            return NotRun(Reason.CONNECT_FAILED, 'silent')
+        self.fleet.requests[name] = self.fleet.requests.get(name, 0) + 1
+        answers = self.fleet.answers_by_address[name]
         path, _, query = target.partition('?')
-        maker = answers.state if path.endswith('state') else answers.snapshot
-        page = await maker(query)
+        page_of = answers.state if path.endswith('state') else answers.snapshot
+        page = await page_of(query)
         return Reply(page.status, page.body)
 
 
@@ -166,21 +166,21 @@
     """Health and values that instances receive, and the number of their requests."""
 
     def test_requests_of_and_to_an_instance_do_not_grow_with_the_fleet(self):
-        questions, most = {}, {}
+        requests, most = {}, {}
         for count in (15, 45):
             fleet = Fleet()
             fleet.fill(2, count)
 
             async def check(_, fleet=fleet, count=count):
                 await trio.sleep(SETTLED_SECONDS)
-                fleet.asked.clear()
+                fleet.requests.clear()
                 await trio.sleep(10)
-                questions[count] = sum(fleet.asked.values()) / 10 / 2 / count
-                most[count] = max(fleet.asked.values()) / 10
+                requests[count] = sum(fleet.requests.values()) / 10 / 2 / count
+                most[count] = max(fleet.requests.values()) / 10
 
             run_fleet(fleet, check)
-        self.assertLess(questions[45], 10)
-        self.assertLess(questions[45], questions[15])
+        self.assertLess(requests[45], 10)
+        self.assertLess(requests[45], requests[15])
         # Twelve instances poll each other; the others of the zone poll these.
         self.assertLess(most[45], 40)
 
@@ -190,14 +190,14 @@
 
         async def check(_):
             await trio.sleep(SETTLED_SECONDS)
-            gone = fleet.tables()[0].usable('zone-0')[0]
-            fleet.dark.add(gone.peer_address)
+            lost = fleet.tables()[0].usable('zone-0')[0]
+            fleet.silent.add(lost.peer_address)
             await trio.sleep(NOTICED_SECONDS)
-            near = [t for t in fleet.tables() if t.own.zone == gone.zone]
-            self.assertFalse(any(gone in table.usable(gone.zone) for table in near))
-            fleet.dark.clear()
+            near = [t for t in fleet.tables() if t.own.zone == lost.zone]
+            self.assertFalse(any(lost in table.usable(lost.zone) for table in near))
+            fleet.silent.clear()
             await trio.sleep(NOTICED_SECONDS)
-            self.assertTrue(all(gone in table.usable(gone.zone) for table in near))
+            self.assertTrue(all(lost in table.usable(lost.zone) for table in near))
 
         run_fleet(fleet, check)
 
@@ -207,12 +207,12 @@
 
         async def check(_):
             await trio.sleep(SETTLED_SECONDS)
-            leading = [t.own for t in fleet.tables() if not t.leaders()]
-            fleet.dark.update(each.peer_address for each in leading)
+            leaders = [t.own for t in fleet.tables() if not t.leaders()]
+            fleet.silent.update(each.peer_address for each in leaders)
             await trio.sleep(2 * NOTICED_SECONDS)
             for table in fleet.tables():
                 usable = table.usable('zone-0')
-                self.assertFalse(set(usable) & set(leading))
+                self.assertFalse(set(usable) & set(leaders))
                 self.assertTrue(usable)
 
         run_fleet(fleet, check)
@@ -223,12 +223,12 @@
 
         async def check(_):
             await trio.sleep(SETTLED_SECONDS)
-            leading = next(t for t in fleet.tables() if not t.leaders())
-            answers = fleet.answers_by_address[leading.own.peer_address]
+            leader = next(t for t in fleet.tables() if not t.leaders())
+            answers = fleet.answers_by_address[leader.own.peer_address]
             answers.assembler.offer_rules(rule_set(7))
             # The rules reach the leaders, then the rest of the zone and the other zone.
             await trio.sleep(3 * POLL_SECONDS)
-            near = [t for t in fleet.tables() if t.own.zone == leading.own.zone]
+            near = [t for t in fleet.tables() if t.own.zone == leader.own.zone]
             versions = {
                 fleet.answers_by_address[t.own.peer_address].assembler.rules_version
                 for t in near
@@ -248,8 +248,8 @@
                 poller.source.calls.clear()
             fleet.listed['new'] = instance_entry('new', 'zone-1')
             await trio.sleep(15)
-            reading = [poller for poller in pollers if poller.source.calls]
-            self.assertLess(len(reading), 10)
+            readers = [poller for poller in pollers if poller.source.calls]
+            self.assertLess(len(readers), 10)
             self.assertTrue(
                 all('new' in poller.instances.peer_by_id for poller in pollers)
             )
@@ -284,42 +284,42 @@
             fleet = Fleet()
             fleet.fill(1, 6)
             seed = fleet.poller_by_address['i0x0:90']
-            asking = fleet.poller_by_address['i0x1:90']
-            asking.seeds = (Address('i0x0', 90), Address('nowhere', 90))
-            questions = []
+            starting = fleet.poller_by_address['i0x1:90']
+            starting.seeds = (Address('i0x0', 90), Address('nowhere', 90))
+            requests = []
             seed_state = fleet.answers_by_address['i0x0:90'].state
             if not is_listed:
                 fleet.listed.clear()
 
-            async def check(_, asking=asking, seed=seed):
+            async def check(_, starting=starting, seed=seed):
                 for number in range(2, 6):
                     seed.instances.add_instance(
                         instance_entry(f'i0x{number}', 'zone-0')
                     )
                 await trio.sleep(1)
-                self.assertEqual(len(asking.instances.peer_by_id), 5)
+                self.assertEqual(len(starting.instances.peer_by_id), 5)
 
-            async def state(query, seed_state=seed_state, questions=questions):
-                questions.append(query)
+            async def state(query, seed_state=seed_state, requests=requests):
+                requests.append(query)
                 return await seed_state(query)
 
             fleet.answers_by_address['i0x0:90'] = Pages(state)
             run_fleet(fleet, check)
-            self.assertEqual('full' in questions, not is_listed)
+            self.assertEqual('full' in requests, not is_listed)
 
     def test_seeds_are_queried_soon_where_the_store_is_silent(self):
         fleet = Fleet()
         fleet.fill(1, 3)
-        asking = fleet.poller_by_address['i0x1:90']
-        asking.seeds = (Address('i0x0', 90),)
-        asking.source = ScriptedSource()
+        starting = fleet.poller_by_address['i0x1:90']
+        starting.seeds = (Address('i0x0', 90),)
+        starting.source = ScriptedSource()
         fleet.poller_by_address['i0x0:90'].instances.add_instance(
             instance_entry('i0x2')
         )
 
         async def check(_):
             await trio.sleep(LIST_WAIT_SECONDS + 0.1)
-            self.assertEqual(set(asking.instances.peer_by_id), {'i0x0', 'i0x2'})
+            self.assertEqual(set(starting.instances.peer_by_id), {'i0x0', 'i0x2'})
 
         run_fleet(fleet, check)
 
--- a/tests/test_discovery_instances.py
+++ b/tests/test_discovery_instances.py
@@ -88,8 +88,8 @@
         self.fill(2 * HOME_INSTANCES)
         home = self.usable('zone-a')
         self.assertEqual(len(home), HOME_INSTANCES)
-        gone = next(name for name in home if name != 'own')
-        self.table.record_answer(gone, is_ready=False)
+        lost = next(name for name in home if name != 'own')
+        self.table.record_answer(lost, is_ready=False)
         after = self.usable('zone-a')
         self.assertEqual(len(set(home) & set(after)), HOME_INSTANCES - 1)
 
@@ -244,10 +244,10 @@
     def test_all_but_the_first_of_a_zone_poll_one_leader(self):
         self.fill(50)
         tables = [each for each in self.tables() if each.own.zone == 'zone-a']
-        leading = [table.own for table in tables if not table.leaders()]
-        self.assertEqual(len(leading), HOME_INSTANCES + NEAR_POLLED + 1)
+        leaders = [table.own for table in tables if not table.leaders()]
+        self.assertEqual(len(leaders), HOME_INSTANCES + NEAR_POLLED + 1)
         for table in tables:
-            self.assertLessEqual(set(table.leaders()), set(leading))
+            self.assertLessEqual(set(table.leaders()), set(leaders))
 
     def test_instances_of_a_small_zone_poll_each_other(self):
         self.fill(HOME_INSTANCES + NEAR_POLLED - 1)
@@ -268,24 +268,24 @@
         after = [each.instance_id for each in table.to_poll()]
         self.assertLess({each.instance_id for each in first}, set(after))
 
-    def hear(self, **health_by_id: PeerHealth) -> list[str]:
-        return self.table.apply_peer_report('teller', health_by_id, ['far'])
+    def report(self, **health_by_id: PeerHealth) -> list[str]:
+        return self.table.apply_peer_report('reporter', health_by_id, ['far'])
 
     def test_health_is_applied_from_reports_of_peers(self):
         silent, ready = PeerHealth.SILENT, PeerHealth.READY
-        self.assertEqual(self.hear(near=silent, own=silent, far=ready), ['near'])
+        self.assertEqual(self.report(near=silent, own=silent, far=ready), ['near'])
         self.assertEqual(self.usable('zone-a'), ['far'])
-        self.assertEqual(self.hear(near=ready, far=ready), ['near'])
+        self.assertEqual(self.report(near=ready, far=ready), ['near'])
         self.assertEqual(self.usable('zone-a'), ['near'])
         self.assertEqual(self.table.lost_store_ids(), ['far'])
 
     def test_health_that_is_no_longer_reported_becomes_unknown(self):
-        self.table.add_instance(instance_entry('teller', 'zone-c'))
-        self.table.record_answer('teller', is_ready=True)
-        self.assertEqual(self.hear(near=PeerHealth.READY), ['far'])
-        self.assertEqual(self.usable('zone-b'), ['near', 'teller'])
+        self.table.add_instance(instance_entry('reporter', 'zone-c'))
+        self.table.record_answer('reporter', is_ready=True)
+        self.assertEqual(self.report(near=PeerHealth.READY), ['far'])
+        self.assertEqual(self.usable('zone-b'), ['near', 'reporter'])
         self.table.forget_health('near')
-        self.assertEqual(self.usable('zone-a'), ['teller'])
+        self.assertEqual(self.usable('zone-a'), ['reporter'])
 
     def test_digest_depends_only_on_the_known_instances(self):
         twin = InstanceTable(instance_entry('far', 'zone-b'))
--- a/tests/test_discovery_restored.py
+++ b/tests/test_discovery_restored.py
@@ -107,7 +107,7 @@
 class ServersTest(unittest.TestCase):
     """Servers that the backup shows in an earlier state."""
 
-    def play(self, before: list, copy: list) -> tuple[Assembler, dict, dict]:
+    def play(self, before: list, backup: list) -> tuple[Assembler, dict, dict]:
         """Return the servers at the restore, after the expiry and after the grace."""
         assembler = started()
         known = []
@@ -118,7 +118,7 @@
                 assembler.offer_rules(rule_set(1))
                 for number, entries in enumerate(before, 1):
                     assembler.backends.offer(listing(at(1, number), *entries), 'x')
-                assembler.backends.offer(listing(at(2, 1), *copy), 'x')
+                assembler.backends.offer(listing(at(2, 1), *backup), 'x')
                 known.append(dict(assembler.current_backends))
                 await trio.sleep(EXPIRY_GRACE_SECONDS + 0.1)
                 known.append(dict(assembler.current_backends))
@@ -223,7 +223,7 @@
 
 
 @define
-class LivingStore:
+class RestorableStore:
     """A store that can be restored from a backup, with a new era each time."""
 
     entry_by_id: dict[str, BackendEntry] = Factory(dict)
@@ -246,7 +246,7 @@
         self.log = [each for each in self.log if each[0] <= number]
         self.number, self.era = number, self.era + 1
 
-    def tell(self, follower: Follower) -> None:
+    def send_to(self, follower: Follower) -> None:
         """Send the missing values or changes to a follower."""
         now = at(self.era, self.number)
         if era_of(follower.revision) < self.era:
@@ -257,15 +257,17 @@
         follower.apply_peer_changes(Changes(changes, now), follower.revision)
 
 
-def poll(asker: Follower, asked: Follower) -> None:
+def poll(follower: Follower, peer: Follower) -> None:
     """Fetch newer values from another follower, as a poll of a peer does."""
-    if asked.changed_at <= asker.revision:
+    if peer.changed_at <= follower.revision:
         return
-    changes = asked.changes_after(asker.revision)
+    changes = peer.changes_after(follower.revision)
     if changes is None:
-        asker.offer(Listing(dict(asked.value_by_name), asked.changed_at), 'peer')
+        follower.offer(Listing(dict(peer.value_by_name), peer.changed_at), 'peer')
     else:
-        asker.apply_peer_changes(Changes(changes, asked.changed_at), asker.revision)
+        follower.apply_peer_changes(
+            Changes(changes, peer.changed_at), follower.revision
+        )
 
 
 class FleetTest(unittest.TestCase):
@@ -273,35 +275,35 @@
 
     def play(self, size: int, seed: int, losses: int) -> None:
         random = Random(seed)
-        store = LivingStore()
+        store = RestorableStore()
         followers = [Follower('backends', None, Random(n)) for n in range(size)]
         for _ in range(losses):
             for number in range(10):
                 store.put(f'i-{number}', backend_entry(f'i-{number}', port=80 + number))
-            copy, copied_at = dict(store.entry_by_id), store.number
+            backup, backup_number = dict(store.entry_by_id), store.number
             for number in range(10, 20):
                 store.put(f'i-{number}', backend_entry(f'i-{number}', port=80 + number))
                 store.put(f'i-{number - 10}', None)
                 # Some instances have all of the changes that will be lost, some a part,
                 # some none.
-                self.spread(store, random.sample(followers, size // 3), random)
-            store.restore(copy, copied_at)
+                self.exchange(store, random.sample(followers, size // 3), random)
+            store.restore(backup, backup_number)
             if random.random() < 0.5:
                 # The numbers exceed the old ones before any instance reads.
                 for number in range(30, 60):
                     entry = backend_entry(f'i-{number}', port=80 + number)
                     store.put(f'i-{number}', entry)
-            self.spread(store, followers[: size // 2], random)
+            self.exchange(store, followers[: size // 2], random)
         store.put('i-99', backend_entry('i-99', port=99))
         for _ in range(ROUNDS):
-            self.spread(store, followers, random)
+            self.exchange(store, followers, random)
         for follower in followers:
             self.assertEqual(follower.value_by_name, store.entry_by_id)
 
-    def spread(self, store: LivingStore, reached: list, random: Random) -> None:
+    def exchange(self, store: RestorableStore, reached: list, random: Random) -> None:
         """Make the first instances read the store, and each poll another one."""
         for follower in reached[:READERS]:
-            store.tell(follower)
+            store.send_to(follower)
         for follower in reached:
             poll(follower, random.choice(reached))
 
