--- a/catkinslip/platform/__init__.py
+++ b/catkinslip/platform/__init__.py
@@ -1,4 +1,5 @@
 """The adapter to the users' platform: its settings, store, wire names and pages.
 
-Only this package knows the platform's names; it translates and decides nothing.
+Only this package contains the platform's names; it translates them and makes no
+decisions of its own.
 """
--- a/catkinslip/platform/__main__.py
+++ b/catkinslip/platform/__main__.py
@@ -1,9 +1,9 @@
-"""Start one process of a role on the users' platform."""
+"""Entry point of a catkinslip process on the users' platform."""
 
 import signal
 import sys
 
-# Settings may change while the rest is imported; the default would end the process.
+# SIGHUP may arrive during the imports below; its default action ends the process.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 from catkinslip.platform.program import main  # noqa: E402
--- a/catkinslip/platform/client.py
+++ b/catkinslip/platform/client.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store; no call is sent again from here."""
+"""The client of the platform's store; it retries no call."""
 
 import json
 import logging
@@ -49,10 +49,10 @@
     Unavailable,
 )
 
-#: The store answers in 4 ms; its slow days take some tens of times as long.
+#: The usual time is 4 ms; a slow store takes some tens of times as long.
 ANSWER_SECONDS = 1.5
 RETRY_AFTER_SECONDS = 0.5
-RESTORED = HistoryGone('the store came back from a copy')
+RESTORED = HistoryGone('the store was restored from a backup')
 ERA_FORM = re.compile(rb'[0-9]{1,6}\Z')
 OPERATION_BY_METHOD = {
     'GET': 'read',
@@ -66,30 +66,31 @@
 
 @frozen
 class StoreAnswer:
-    """Status and decoded body of an answer of the store."""
+    """Status and decoded body of an answer from the store."""
 
     status: int
     body: Any
-    #: The life of the store that told it; 0 where it tells none.
+    #: The era of the store that answered; 0 if the answer names none.
     era: int = 0
 
 
 @define
 class StoreClient(MetricSource):
-    """Call the store and report each outcome as a value; count the calls."""
+    """Client of the store that returns each outcome as a value and counts the calls."""
 
     address: Address
-    #: A watch on a connection that went silent would hide changes for its whole wait.
+    #: Uses TCP keep-alive: a watch on a dead connection would otherwise hide changes
+    #: until its wait ends.
     pages: PageClient = Factory(lambda: PageClient(BackendPool(uses_keepalive=True)))
-    #: The life of the store that it told last; it rises as it comes back from a copy.
+    #: The highest era in an answer; the store raises it when restored from a backup.
     era: int = 0
-    #: Waits that end as the store tells another life.
+    #: Scopes of calls that are cancelled when the store reports a later era.
     waits: set[trio.CancelScope] = Factory(set)
     count_by_call: Counter[tuple[str, str]] = Factory(Counter)
     unreadable_by_kind: Counter[str] = Factory(Counter)
 
     def families(self) -> Iterable[Family]:
-        """Return the measured values of now."""
+        """Return the current values of the client's metrics."""
         yield calls_family(self.count_by_call)
         unreadable = counter(
             'catkinslip_unreadable_objects_total',
@@ -109,7 +110,11 @@
     async def call(
         self, method: str, path: str, body: Any = None, wait: float = 0.0
     ) -> Result[StoreAnswer, PlatformError]:
-        """Send one call; `wait` seconds are added to the time for its answer."""
+        """Send one call to the store and return its answer or an error.
+
+        `wait` is the time in seconds that a watch may take; the timeout of the answer
+        is longer by as much.
+        """
         reply = await self.pages.ask(
             self.address,
             f'{OBJECTS_PATH}/{path}',
@@ -129,29 +134,29 @@
         return result
 
     def _judge(self, reply: Reply) -> Result[StoreAnswer, PlatformError]:
-        """Tell an answer of the store as it is now from a refusal, and from others."""
+        """Return the answer, or an error for a refusal or an answer of an older era."""
         era, result = read_era(reply), judge(reply)
         self._note_era(era or 0)
         if isinstance(result, Failure):
             return result
         if era is None and self.era:
-            return Failure(Unavailable('an answer does not tell its era'))
+            return Failure(Unavailable('an answer names no era'))
         if (era or 0) < self.era:
-            return Failure(AnswerLost('an answer of before the store came back'))
+            return Failure(AnswerLost('an answer from before the store was restored'))
         return result.map(lambda answer: evolve(answer, era=self.era))
 
     def _note_era(self, era: int) -> None:
         if era <= self.era:
             return
         if self.era:
-            log.warning('store: it came back from a copy. era=%d was=%d', era, self.era)
+            log.warning('store: restored from a backup. era=%d was=%d', era, self.era)
         self.era = era
         for scope in self.waits:
             scope.cancel()
 
     @contextmanager
     def until_restored(self) -> Iterator[None]:
-        """End what waits for an answer as soon as another answer tells a later life."""
+        """Cancel the body of the context when another answer reports a later era."""
         with trio.CancelScope() as scope:
             self.waits.add(scope)
             try:
@@ -161,7 +166,7 @@
 
 
 def read_era(reply: Reply) -> int | None:
-    """Return the life of the store that an answer tells; None if it tells none."""
+    """Return the era that an answer of the store names; None if it names none."""
     value = find(reply.headers, STORE_ERA)
     if value is None or ERA_FORM.match(value) is None:
         return None
@@ -169,7 +174,7 @@
 
 
 def judge(reply: Reply) -> Result[StoreAnswer, PlatformError]:
-    """Tell an answer from a refusal."""
+    """Return the decoded answer of the store, or an error for a refusal."""
     if reply.status == 429:
         return Failure(OverBudget(RETRY_AFTER_SECONDS))
     if reply.status == 409:
@@ -177,26 +182,29 @@
     if reply.status >= 500:
         return Failure(Unavailable(f'the store answered {reply.status}'))
     if reply.status >= 400:
-        # What such a status says needs no body.
+        # Such a status is understood without its body.
         return Success(StoreAnswer(reply.status, None))
     try:
         return Success(StoreAnswer(reply.status, load_json(reply.body or b'null')))
     except (ValueError, RecursionError) as error:
-        return Failure(Unavailable(f'the store answered nonsense, {error}'))
+        return Failure(Unavailable(f'the answer of the store is not JSON, {error}'))
 
 
 def load_json(body: bytes) -> Any:
-    """Decode JSON; what another writer made unreadable spoils only its own object."""
+    """Decode JSON, also with bytes that are not UTF-8 and numbers such as NaN.
+
+    An unreadable value from another writer then affects only its own object.
+    """
     try:
         return orjson.loads(body)
     except orjson.JSONDecodeError:
-        # Bytes that are no text, and numbers that are none, are read as such.
+        # Decodes invalid bytes to U+FFFD, and NaN and infinity to floats.
         return json.loads(body.decode(errors='replace'))
 
 
 @define
 class KindSource(Source[Value]):
-    """Read the objects of one kind, decoded; `name` keeps all but one out."""
+    """Decoded objects of one kind; only the one with `name` if that is set."""
 
     client: StoreClient
     kind: str
@@ -206,10 +214,14 @@
     async def read_all(
         self, *, may_be_stale: bool = False
     ) -> Result[Listing[Value], PlatformError]:
-        """Read every value; a stale answer is cheaper and seconds old."""
+        """Return every value of the kind and the revision of the listing.
+
+        With `may_be_stale`, the answer costs the store less and may be seconds old.
+        """
         value_by_name: dict[str, Value] = {}
         after = ''
-        # Changes between two pages are news after the first of them.
+        # The revision of the first page is kept: later changes may be missing from
+        # the pages, and are then returned by the next wait.
         revision = None
         while True:
             query = f'?after={quote(after)}' if after else ''
@@ -224,7 +236,7 @@
                 if revision is None:
                     revision = ordered(reply.era, reply.body['as_of'])
                 if reply.era != era_of(revision):
-                    return Failure(Unavailable('the store came back meanwhile'))
+                    return Failure(Unavailable('restored during a listing'))
                 if not reply.body.get('more'):
                     return Success(Listing(value_by_name, revision))
                 if last <= after:
@@ -236,7 +248,7 @@
     async def wait_for_news(
         self, revision: int, wait: float
     ) -> Result[News[Value], PlatformError | HistoryGone]:
-        """Return the changes after a revision, at the latest after `wait` seconds."""
+        """Return the changes after a revision, or none after `wait` seconds."""
         if era_of(revision) < self.client.era:
             return Failure(RESTORED)
         path = f'{self.kind}?watch={number_of(revision)}&wait_ms={int(wait * 1000)}'
@@ -247,19 +259,20 @@
             return result
         reply = result.unwrap()
         if reply.era > era_of(revision):
-            # Its numbers are given out again: what they say is of another history.
+            # A restored store reuses revision numbers, so these changes belong to
+            # another history.
             return Failure(RESTORED)
         if reply.era < era_of(revision):
-            return Failure(Unavailable('a peer knows a later life of the store'))
+            return Failure(Unavailable('a peer reported a later era of the store'))
         if reply.status == 410:
-            return Failure(HistoryGone('the store dropped its history'))
+            return Failure(HistoryGone('the store no longer holds the history'))
         try:
             changes = [self._read_event(it, reply.era) for it in reply.body['events']]
             kept = tuple(each for each in changes if each is not None)
             return Success(News(kept, ordered(reply.era, reply.body['as_of'])))
         except DECODE_ERRORS as error:
-            # Reading all again tells what this answer would have told.
-            return Failure(HistoryGone(f'news cannot be read, {error!r}'))
+            # A full listing includes the changes of this answer.
+            return Failure(HistoryGone(f'changes cannot be read, {error!r}'))
 
     def _read_event(
         self, event: Mapping[str, Any], era: int
@@ -268,12 +281,12 @@
         name = name_of(item)
         if not self._is_wanted(name):
             return None
-        # What cannot be read names no value, also where it replaces one.
+        # An unreadable object counts as removed, also if it replaces a readable one.
         value = None if event['tombstone'] else self._decode(name, item, era)
         return name, value
 
     def _read_page(self, value_by_name: dict[str, Value], page: StoreAnswer) -> str:
-        """Take the objects of a page; return the last name on it."""
+        """Add the objects of a page to the values; return the last name on the page."""
         last = ''
         for item in page.body['items']:
             name = name_of(item)
@@ -290,7 +303,7 @@
         except DECODE_ERRORS as error:
             self.client.unreadable_by_kind[self.kind] += 1
             log.warning(
-                'store: an object cannot be read, it is left out. '
+                'store: unreadable object ignored. '
                 'kind=%s name=%s error=%r',
                 self.kind,
                 name,
@@ -303,7 +316,7 @@
 
 
 def with_era(item: Mapping[str, Any], era: int) -> Mapping[str, Any]:
-    """Return an object whose revision tells the life of the store, too."""
+    """Return an object whose revision includes the era of the store."""
     metadata = item['metadata']
     if not era or 'revision' not in metadata:
         return item
@@ -312,23 +325,23 @@
 
 
 def name_of(item: Any) -> str:
-    """Return the name of an object; an empty one if it tells none."""
+    """Return the name of an object; an empty text if it has none."""
     try:
         name = item['metadata']['name']
     except DECODE_ERRORS as error:
-        log.warning('store: an object without a name is left out. error=%r', error)
+        log.warning('store: object without a name ignored. error=%r', error)
         return ''
     return name if isinstance(name, str) else ''
 
 
 @define
 class StoredInstances(InstanceBook):
-    """Keep the entries of our instances in objects of a kind of our own."""
+    """Registry of instances in the store, with one object for each instance."""
 
     client: StoreClient
 
     async def announce(self, entry: InstanceEntry) -> Result[None, PlatformError]:
-        """Put this instance there, or replace its earlier entry."""
+        """Create the entry of this instance, or replace the earlier one."""
         name = entry.instance_id
         body = {'metadata': {'name': name}, 'spec': asdict(entry)}
         result = await self.client.call('POST', INSTANCES_KIND, body)
@@ -338,7 +351,7 @@
         return result.map(lambda _: None)
 
     async def withdraw(self, instance_id: str) -> Result[None, PlatformError]:
-        """Take an instance away."""
+        """Delete the entry of an instance."""
         path = f'{INSTANCES_KIND}/{instance_id}'
         result = await self.client.call('DELETE', path)
         return result.map(lambda _: None)
@@ -346,12 +359,12 @@
 
 @define
 class StoredCrashes(CrashStore):
-    """Keep the records of requests that end servers in objects of a kind of our own."""
+    """Crash records in the store, with one object for each request."""
 
     client: StoreClient
 
     async def read(self, key: RequestKey) -> Result[CrashRecord | None, PlatformError]:
-        """Read a record; None when there is none, or none that can be read."""
+        """Return the crash record of a request; None if missing or unreadable."""
         result = await self.client.call('GET', crash_path(key))
         if isinstance(result, Failure):
             return result
@@ -361,11 +374,15 @@
         try:
             return Success(decode_crash(str(key), with_era(answer.body, answer.era)))
         except DECODE_ERRORS as error:
-            log.warning('store: a record cannot be read. name=%s error=%r', key, error)
+            log.warning('store: unreadable crash record ignored. name=%s error=%r', key, error)
             return Success(None)
 
     async def write(self, record: CrashRecord) -> Result[CrashRecord, PlatformError]:
-        """Write a record if the store holds the revision that it names."""
+        """Write a crash record if its revision is still the stored one.
+
+        Returns the record with its new revision, or a Conflict if another one is
+        stored. A record with revision 0 is created.
+        """
         name = str(record.key)
         metadata: dict[str, Any] = {'name': name}
         method, path = 'POST', CRASHES_KIND
@@ -380,7 +397,7 @@
             return result
         answer = result.unwrap()
         if answer.status >= 400:
-            # It is gone; the next look at the store tells.
+            # Treated as removed; the next read returns the current state.
             return Failure(Conflict(0))
         try:
             metadata = with_era(answer.body, answer.era)['metadata']
@@ -389,7 +406,7 @@
             return Failure(Unavailable(f'an answer cannot be read, {error!r}'))
 
     async def delete(self, record: CrashRecord) -> Result[None, PlatformError]:
-        """Delete a record if the store holds the revision that it names, or none."""
+        """Delete a crash record if no other revision of the record is stored."""
         if era_of(record.revision) != self.client.era:
             return Failure(Conflict(0))
         revision = number_of(record.revision)
@@ -399,5 +416,5 @@
 
 
 def crash_path(key: RequestKey) -> str:
-    """Return where the record of a request lies."""
+    """Return the path of a request's crash record in the store."""
     return f'{CRASHES_KIND}/{quote(str(key), safe="")}'
--- a/catkinslip/platform/decoding.py
+++ b/catkinslip/platform/decoding.py
@@ -1,7 +1,7 @@
-"""Decode the platform's objects into the product's own values.
+"""Decoders from the platform's objects to the product's own values.
 
-Any writer may put an object there, so each field is checked: a server with a port of 0
-or a time that is not a number would end up in the choice.
+Any writer may put objects into the store, so each field is checked: a server with port
+0 or with a time that is not a number could otherwise be chosen for requests.
 """
 
 import socket
@@ -20,34 +20,34 @@
 )
 from catkinslip.models import Address
 
-#: What a decoder raises for an object that it cannot read.
+#: Exceptions that a decoder raises for an unreadable object.
 DECODE_ERRORS = (AttributeError, IndexError, KeyError, TypeError, ValueError)
 READY = 'ready'
 DRAINING = 'draining'
 IDEMPOTENT = 'idempotent'
 MOST_SLOTS = 10_000
 MOST_PORTS = 65_535
-#: Milliseconds since 1970 stay below this for some 280,000 years.
+#: Milliseconds since 1970 stay below this limit for some 280,000 years.
 MOST_MILLISECONDS = 2**53
-#: A cold start that lasts a day is none.
+#: A longer time, over a day, cannot be that of a cold start.
 MOST_COLD_SECONDS = 86_400.0
 MOST_CORES = 10_000.0
 MOST_COLD_REQUESTS = 1_000_000.0
 
 
 def decode_backend(name: str, item: Mapping[str, Any]) -> BackendEntry:
-    """Decode one registered server; raise one of DECODE_ERRORS for any other object."""
+    """Decode a registered server; raise one of DECODE_ERRORS for another object."""
     spec = item['spec']
     info = spec['info']
-    # A server writes its status in a second call, so at first there is none.
+    # A server writes its status in a second call, so the status may be missing.
     status = spec.get('status') or item.get('status') or {}
     incarnation = max(map(read_incarnation, (spec, status, item)))
     if read_incarnation(status) not in (0, incarnation):
-        # An earlier start of the server wrote it.
+        # The status is that of an earlier start of the server.
         status = {}
     state = status.get('state', READY)
     if state not in (READY, DRAINING):
-        raise ValueError(f'{state!r} is no state')
+        raise ValueError(f'the state {state!r} is neither {READY!r} nor {DRAINING!r}')
     address = read_address(spec['addr'])
     return BackendEntry(
         backend_id=read_text(name),
@@ -63,60 +63,69 @@
 
 
 def read_incarnation(place: Mapping[str, Any]) -> int:
-    """Return when the server started, in milliseconds since 1970; 0 if it tells not."""
+    """Return the start time of a server in milliseconds since 1970; 0 if missing."""
     return read_whole(place['born'], 0, MOST_MILLISECONDS) if 'born' in place else 0
 
 
 def read_cold(value: Any) -> float | None:
-    """Return the time that a server stays cold; None where it has not told it."""
+    """Return the seconds that a server stays cold; None if it has not sent them."""
     return None if value is None else read_number(value, 0.0, MOST_COLD_SECONDS)
 
 
 def read_text(value: Any) -> str:
-    """Return a text that is not empty."""
+    """Return a value that is a non-empty text; raise TypeError for any other."""
     if not isinstance(value, str) or not value:
-        raise TypeError(f'{value!r} is no text')
+        raise TypeError(f'{value!r} is not a non-empty text')
     return value
 
 
 def read_whole(value: Any, least: int, most: int) -> int:
-    """Return a whole number of a range; true and false are none."""
+    """Return a whole number within a range; raise ValueError for any other value.
+
+    True and false are not numbers here.
+    """
     if type(value) is not int or not least <= value <= most:
-        raise ValueError(f'{value!r} is no whole number of {least} to {most}')
+        raise ValueError(f'{value!r} is not a whole number from {least} to {most}')
     return value
 
 
 def read_number(value: Any, least: float, most: float) -> float:
-    """Return a finite number of a range; true and false are none."""
+    """Return a finite number within a range; raise ValueError for any other value.
+
+    True and false are not numbers here.
+    """
     if type(value) not in (int, float) or not isfinite(value):
-        raise ValueError(f'{value!r} is no number')
+        raise ValueError(f'{value!r} is not a finite number')
     if not least <= value <= most:
-        raise ValueError(f'{value!r} is not of {least} to {most}')
+        raise ValueError(f'{value!r} is not from {least} to {most}')
     return float(value)
 
 
 def read_address(value: Any) -> Address:
-    """Return an IPv4 address and a port that can be connected to."""
+    """Parse an IPv4 address with a port that can be connected to.
+
+    Raises TypeError or ValueError for any other value.
+    """
     address = Address.parse(read_text(value))
     try:
         socket.inet_pton(socket.AF_INET, address.host)
     except OSError:
-        raise ValueError(f'{address.host!r} is no IP number') from None
+        raise ValueError(f'{address.host!r} is not an IPv4 address') from None
     read_whole(address.port, 1, MOST_PORTS)
     return address
 
 
 def decode_rules(name: str, item: Mapping[str, Any]) -> RuleSet:
-    """Decode the operators' configuration."""
+    """Decode the operators' configuration of services and routes."""
     spec = item['spec']
     services = {row['name']: decode_service(row) for row in rows_of(spec['services'])}
     routes = {row['name']: decode_route(row) for row in rows_of(spec['routes'])}
-    # Eight hexadecimal digits; versions grow in uneven steps.
+    # The version is eight hexadecimal digits and grows in uneven steps.
     return RuleSet(int(spec['version'], 16), services, routes)
 
 
 def decode_service(row: Mapping[str, Any]) -> Service:
-    """Decode one service."""
+    """Decode one service of the configuration."""
     return Service(
         max_connections=int(row['max_conns']),
         health_path=row['health_path'],
@@ -128,7 +137,7 @@
 
 
 def decode_route(row: Mapping[str, Any]) -> Route:
-    """Decode one route; it names one service, or several with weights."""
+    """Decode one route, which names one service or several with weights."""
     split = row.get('split') or [{'service': row['service'], 'weight': 1}]
     return Route(
         host=row['host'],
@@ -144,7 +153,7 @@
 
 
 def rows_of(table: Mapping[str, Any]) -> list[dict[str, Any]]:
-    """Return a table's rows by column name; null means that a field is left out."""
+    """Return the rows of a table as dictionaries by column name, without nulls."""
     columns: Sequence[str] = table['columns']
     return [
         {
@@ -157,7 +166,7 @@
 
 
 def decode_instance(name: str, item: Mapping[str, Any]) -> InstanceEntry:
-    """Decode the entry of one of our own instances."""
+    """Decode the entry of one catkinslip instance."""
     spec = item['spec']
     return InstanceEntry(
         instance_id=read_text(spec['instance_id']),
@@ -171,10 +180,10 @@
 
 
 def decode_evacuation(name: str, item: Mapping[str, Any]) -> ZoneEvacuation:
-    """Decode an operator's order; the name of the object says all of it."""
+    """Decode an operator's evacuation order, whose object name is the zone."""
     return ZoneEvacuation(read_text(name))
 
 
 def decode_crash(name: str, item: Mapping[str, Any]) -> CrashRecord:
-    """Decode the record of a request under which servers ended."""
+    """Decode the crash record of a request."""
     return record_from_plain(item['spec'], item['metadata']['revision'])
--- a/catkinslip/platform/dialect.py
+++ b/catkinslip/platform/dialect.py
@@ -1,4 +1,4 @@
-"""The platform's headers on requests and answers."""
+"""The dialect of the platform: its headers on requests and answers."""
 
 import math
 import re
@@ -36,15 +36,15 @@
 MOST_PERCENT = 1_000_000.0
 MISDIRECTED_STATUS = 421
 SAYS_LEAVING = b'1'
-#: To callers: when to come back; from a server: how long it wants nothing from here.
+#: Seconds: to callers, the time until they may retry; from a server, its rest period.
 RETRY_AFTER = b'retry-after'
-#: A cold start that lasts a day is none.
+#: A longer time, over a day, cannot be that of a cold start.
 MOST_COLD_SECONDS = 86_400.0
-#: A server that is to get nothing for longer leaves.
+#: A server that refuses requests for longer is expected to leave.
 MOST_REST_SECONDS = 86_400.0
-#: Statuses with which a server turns away; others say with the header what callers do.
+#: Statuses of refusals. With any other status, Retry-After is meant for callers.
 RESTING_STATUSES = frozenset({429, 503})
-#: Set anew on each request, so what the caller sent does not pass.
+#: Headers of the caller that are not forwarded, since each attempt sets its own.
 REPLACED_IN_REQUESTS = names.HOP_BY_HOP | {
     b'content-length',
     b'expect',
@@ -52,17 +52,18 @@
     wire.TARGET,
 }
 REPLACED_IN_ANSWERS = names.HOP_BY_HOP | {wire.REQUEST_ID}
-#: Callers come back at most this late; more of them would never.
+#: The shortest time before a retry that callers are sent; after a longer one, more of
+#: them would not retry at all.
 MIN_RETRY_AFTER_SECONDS = 0.05
 
 
 class PlatformDialect(Dialect):
-    """Spell the platform's headers."""
+    """Codec of the platform's headers."""
 
     def read_parameters(
         self, request: RequestHead, wall: float
     ) -> CallParameters | NotRun:
-        """Read a caller's headers, or refuse one that is malformed."""
+        """Return the call parameters of a request, or a refusal if one is malformed."""
         headers = request.headers
         request_id = names.find(headers, wire.REQUEST_ID)
         if request_id is not None and names.REQUEST_ID_FORM.match(request_id) is None:
@@ -95,10 +96,10 @@
     def find_fault(
         self, call: Call, status: int, headers: list[Header]
     ) -> Unknown | None:
-        """Return why an answer must not reach the caller; None when it may."""
+        """Return why an answer must not be forwarded; None if it may."""
         echo = names.find(headers, wire.REQUEST_ID)
         is_own = echo == call.request_id.encode()
-        # A success proves itself; a refusal may come without any of its headers.
+        # A success must have its ID and signature; a refusal may have no such header.
         if echo is not None and not is_own:
             return Unknown(Reason.CROSSED)
         if 200 <= status < 300:
@@ -113,16 +114,16 @@
         return answers.find_framing_fault(headers)
 
     def find_refusal(self, status: int, headers: list[Header]) -> Reason | None:
-        """Return why the backend server did not run a request; None if it may have."""
+        """Return why a server did not run a request; None if it may have run it."""
         return find_refusal(status, headers)
 
     def read_report(self, headers: Sequence[Header]) -> LoadReport | None:
-        """Return the load report of an answer."""
+        """Return the load report in an answer's headers; None if there is none."""
         value = names.find(headers, wire.SERVER_LOAD)
         return None if value is None else parse_load(value)
 
     def read_signals(self, status: int, headers: Sequence[Header]) -> ServerSignals:
-        """Return what an answer asks for in the name of its server."""
+        """Return the signals that a server sends in the headers of an answer."""
         leaving = names.find(headers, wire.LEAVING)
         return ServerSignals(
             read_rate(headers),
@@ -131,7 +132,7 @@
         )
 
     def answer_headers(self, call: Call, headers: list[Header]) -> list[Header]:
-        """Return an answer's headers for the caller."""
+        """Return the headers of an answer as forwarded to the caller."""
         passed = names.end_to_end(headers, REPLACED_IN_ANSWERS)
         passed.append((wire.REQUEST_ID, call.request_id.encode()))
         return passed
@@ -144,10 +145,10 @@
         *,
         close: bool = False,
     ) -> list[h11.Event]:
-        """Return the answer that tells a caller how a request ended."""
+        """Return the error answer to a request that no backend server answered."""
         status = outcome.reason.status
         if isinstance(outcome, NotRun) and status >= 500:
-            # The only 5xx status that promises that the request has not run.
+            # 503 is the only 5xx status that guarantees that the request has not run.
             status = 503
         headers = [(wire.REQUEST_ID, request_id.encode())]
         if status == 503:
@@ -162,13 +163,13 @@
         return [response, *([h11.Data(data=body)] if body else []), h11.EndOfMessage()]
 
     def probe_request(self, service: str, path: str) -> h11.Request:
-        """Return the head of a probe."""
+        """Return the request head of a probe."""
         return h11.Request(
             method='GET', target=path, headers=[(b'host', service.encode())]
         )
 
     def read_probe(self, status: int, headers: list[Header]) -> ProbeAnswer | None:
-        """Read the answer to a probe; None when it answers something else."""
+        """Return the content of a probe answer; None if it answers another request."""
         server_id = names.find(headers, wire.SERVER_ID)
         if names.find(headers, wire.REQUEST_ID) is not None or server_id is None:
             return None
@@ -184,9 +185,9 @@
 
 
 def read_cold(headers: Sequence[Header]) -> float | None:
-    """Return the seconds that a server says it stays cold; None where malformed.
+    """Return the seconds that a server stays cold; None if the header is malformed.
 
-    A server that says nothing is warm.
+    A server that does not send the header is warm.
     """
     value = names.find(headers, wire.COLD)
     if value is None:
@@ -197,9 +198,9 @@
 
 
 def read_rate(headers: Sequence[Header]) -> RateSignal:
-    """Return what an answer says of the rate that its server takes.
+    """Return the request rate that a server advertises in an answer.
 
-    Of several rates the lowest counts; one that cannot be read spoils all.
+    The lowest of several rates applies; one malformed rate makes all malformed.
     """
     values = [value for name, value in headers if name == wire.RATE]
     if not values:
@@ -210,9 +211,9 @@
 
 
 def read_rest(status: int, headers: Sequence[Header]) -> RestSignal:
-    """Return what an answer says of the rest that its server wants.
+    """Return the rest period that a server requests in an answer.
 
-    Of several times the longest counts; one that cannot be read spoils all.
+    The longest of several periods applies; one malformed period makes all malformed.
     """
     if status not in RESTING_STATUSES:
         return NO_REST
@@ -225,7 +226,7 @@
 
 
 def find_refusal(status: int, headers: list[Header]) -> Reason | None:
-    """Return why the backend server did not run a request; None if it may have."""
+    """Return why a server did not run a request; None if it may have run it."""
     if status == MISDIRECTED_STATUS:
         return Reason.MISDIRECTED
     refused = names.find(headers, wire.NOT_EXECUTED) is not None
@@ -233,7 +234,11 @@
 
 
 def parse_load(value: bytes) -> LoadReport | None:
-    """Parse running, waiting, slots and the time that work takes; None if malformed."""
+    """Parse a load report; return None if it is malformed.
+
+    Its fields are the running and waiting requests, the slots and, optionally, the time
+    that work takes, in percent of the normal time.
+    """
     figures = [each.strip() for each in value.split(b',')]
     if len(figures) < 3 or any(LOAD_FIGURE.match(each) is None for each in figures):
         return None
@@ -246,7 +251,11 @@
 
 
 def retry_after_seconds(outcome: NotRun | Unknown) -> float:
-    """Return when to come back; a time that no caller has left is of no use."""
+    """Return the time in seconds after which a caller may retry a request.
+
+    MIN_RETRY_AFTER_SECONDS replaces a time that is missing, shorter or infinite: no
+    caller has an infinite time left.
+    """
     seconds = outcome.retry_after if isinstance(outcome, NotRun) else None
     if seconds is None or not math.isfinite(seconds):
         return MIN_RETRY_AFTER_SECONDS
--- a/catkinslip/platform/names.py
+++ b/catkinslip/platform/names.py
@@ -1,4 +1,4 @@
-"""The platform's names on the wire, each written once."""
+"""The platform's wire names: paths, kinds of objects and headers."""
 
 from typing import Final
 
@@ -7,36 +7,36 @@
 RESOLVE_PATH: Final = f'{PATH_PREFIX}/resolve'
 OBJECTS_PATH: Final = f'{PATH_PREFIX}/objects'
 
-#: Backend servers register themselves in objects of this kind.
+#: The kind of the objects in which backend servers register themselves.
 SERVERS_KIND: Final = 'servers'
-#: The operators' configuration is the object MAIN_NAME of this kind.
+#: The kind of the operators' configuration, which is its object MAIN_NAME.
 CONFIG_KIND: Final = 'config'
 MAIN_NAME: Final = 'main'
-#: An operator's order that a zone's servers get nothing, by the name of the zone.
+#: The kind of operators' orders to send a zone no requests, named after the zone.
 EVACUATIONS_KIND: Final = 'evacuations'
-#: Our own kind: one object an instance.
+#: The product's own kind: one object for each instance.
 INSTANCES_KIND: Final = 'instances'
-#: Our own kind: one object for each request under which servers ended.
+#: The product's own kind: one crash record for each request that crashed servers.
 CRASHES_KIND: Final = 'crashes'
 
-#: On each answer of the store: a number that rises when it came back from a copy.
+#: On each answer of the store: a number that rises with each restore from a backup.
 STORE_ERA: Final = b'store-era'
 
 REQUEST_ID: Final = b'request-id'
-#: Milliseconds that the caller waits; on the way to a server, those that are left.
+#: Milliseconds that the caller waits; on requests to servers, those that remain.
 DEADLINE: Final = b'deadline-ms'
 #: The ID of the one server that may run the request.
 TARGET: Final = b'target-instance'
 #: On an answer: the request did not run.
 NOT_EXECUTED: Final = b'not-executed'
 SIGNATURE: Final = b'response-signature'
-#: Running, waiting, slots and, if told, the time that work takes in percent.
+#: Running, waiting, slots and optionally the time that work takes, in percent.
 SERVER_LOAD: Final = b'server-load'
-#: The requests a second that the server takes from all instances together.
+#: The requests per second that the server accepts from all instances together.
 RATE: Final = b'server-limit'
-#: The server leaves, and its entry says so now or soon.
+#: On an answer: the server is leaving, as its entry states now or soon.
 LEAVING: Final = b'server-leaving'
-#: On answers to probes, and of a server that is not the named one.
+#: On answers to probes, and on answers of a server other than the target.
 SERVER_ID: Final = b'instance-id'
-#: On answers to probes: milliseconds that the server stays cold.
+#: On answers to probes: milliseconds for which the server stays cold.
 COLD: Final = b'cold-ms'
--- a/catkinslip/platform/pages.py
+++ b/catkinslip/platform/pages.py
@@ -1,4 +1,4 @@
-"""The pages that the platform and its callers ask for."""
+"""The pages for the platform and for callers: readiness and addresses."""
 
 from urllib.parse import parse_qs
 
@@ -13,21 +13,21 @@
 
 @define
 class PlatformPages:
-    """Answer whether this instance is ready, and which addresses to use."""
+    """Handlers of the readiness page and of the address page."""
 
     instances: InstanceTable
     addresses: ZoneAddresses
 
     def makers(self) -> dict[str, PageMaker]:
-        """Return the makers of the pages by path."""
+        """Return the page handlers by path."""
         return {READY_PATH: self.ready, RESOLVE_PATH: self.resolve}
 
     async def ready(self, query: str) -> Page:
-        """Tell whether this instance takes new callers."""
+        """Return status 200 if this instance accepts new callers, 503 if not."""
         return Page(200 if self.instances.is_own_ready else 503)
 
     async def resolve(self, query: str) -> Page:
-        """Tell a caller which addresses to use, and for how long."""
+        """Return the addresses that a caller should use, and for how many seconds."""
         asked = parse_qs(query)
         own = self.instances.own
         caller = CallerLocation(
--- a/catkinslip/platform/program.py
+++ b/catkinslip/platform/program.py
@@ -1,4 +1,4 @@
-"""Run one process of a role on the users' platform."""
+"""The program of an instance on the users' platform."""
 
 import logging
 from functools import partial
@@ -42,17 +42,18 @@
     wire_entry,
 )
 
-#: Written in deploy/system.toml too.
+#: The port of the metrics page; deploy/system.toml has the same number.
 METRICS_PORT = 9464
 METRICS_PORT_VARIABLE = 'CATKINSLIP_METRICS_PORT'
-#: Callers stop using an instance that left within three times as long.
+#: The lifetime of address answers. Callers may keep using an instance that has left
+#: for three times as long.
 ADDRESS_SECONDS = 3.0
 
 log = logging.getLogger('lifecycle')
 
 
 def main() -> int:
-    """Read the settings and serve until told to stop."""
+    """Read the settings, serve until a signal stops the process, return its status."""
     environment = Environment()
     match read_settings_file(environment.variables):
         case Failure(mistakes):
@@ -68,9 +69,9 @@
 async def run(
     settings: PlatformSettings, environment: Environment, buffer: LogBuffer
 ) -> None:
-    """Serve, and write log lines until the last one."""
+    """Serve and write the log until a signal stops the process."""
     flusher = LogFlusher(buffer, open_writer(environment.stdout))
-    log.info('lifecycle: starts. instance=%s', settings.instance_id)
+    log.info('lifecycle: starting. instance=%s', settings.instance_id)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(flusher.run)
         client = StoreClient(settings.store_address)
@@ -91,7 +92,7 @@
 
 
 def metrics_port(environment: Environment) -> int:
-    """Return the port of the metrics page, which a variable may replace."""
+    """Return the port of the metrics page from its variable, or the default."""
     text = environment.variables.get(METRICS_PORT_VARIABLE, '')
     return int(text) if text.isdecimal() else METRICS_PORT
 
@@ -102,7 +103,7 @@
     client: StoreClient,
     buffer: LogBuffer,
 ) -> Entry:
-    """Return the parts of this instance, which read the platform's store."""
+    """Return the components of this instance, connected to the platform's store."""
     outside = Outside(
         environment=environment,
         dialect=PlatformDialect(),
@@ -123,7 +124,7 @@
 
 
 def entry_settings(settings: PlatformSettings) -> EntrySettings:
-    """Return what the product takes from the platform's settings."""
+    """Return the settings of the product that the platform's settings result in."""
     return EntrySettings(
         own=InstanceEntry(
             instance_id=settings.instance_id,
@@ -147,10 +148,10 @@
 
 
 def reload(entry: Entry, environment: Environment) -> None:
-    """Read the settings file again; a wrong one changes nothing."""
+    """Read and apply the settings file again, or keep the settings if it is invalid."""
     match read_settings_file(environment.variables):
         case Failure(mistakes):
             for mistake in mistakes:
-                log.error('lifecycle: settings kept as they were. %s', mistake)
+                log.error('lifecycle: settings not reloaded. %s', mistake)
         case Success(settings):
             apply_settings(entry, entry_settings(settings))
--- a/catkinslip/platform/settings.py
+++ b/catkinslip/platform/settings.py
@@ -1,4 +1,4 @@
-"""Read the settings file that the platform writes for a process."""
+"""The settings file that the platform writes for a process."""
 
 import tomllib
 from collections.abc import Callable, Mapping
@@ -15,18 +15,18 @@
 
 @frozen
 class PlatformSettings:
-    """What the platform tells one process; durations are in seconds."""
+    """Settings of one process from the platform; durations are in seconds."""
 
     instance_id: str
     zone: str
     region: str
     caller_address: Address
-    #: Where the platform asks whether this instance is ready.
+    #: The address of the readiness page, which the platform requests.
     ready_address: Address
-    #: Where callers ask which addresses to use.
+    #: The address of the page with the addresses that callers should use.
     directory_address: Address
     peer_address: Address
-    #: Where instances send each other datagrams.
+    #: The address for datagrams with load reports from other instances.
     report_address: Address
     seeds: tuple[Address, ...]
     region_by_zone: dict[str, str]
@@ -35,29 +35,32 @@
     cores: float
     #: Time between SIGTERM and SIGKILL.
     stop_seconds: float
-    #: The longest time that callers may be told to keep an address answer.
+    #: The longest allowed lifetime of an address answer.
     max_address_seconds: float
-    #: Probes of one backend server per second, from all instances.
+    #: Probes of one backend server per second, from all instances together.
     probes_per_second: float
-    #: Second sends of all instances: this share of a service's requests ...
+    #: Repeated sends of all instances: this share of a service's requests ...
     resend_share: float
-    #: ... and so many more in a window.
+    #: ... plus this number in a window.
     resend_slack: float
-    #: Requests to a cold server in a second: so many times what it bears, ...
+    #: Requests per second to a cold server: this multiple of what it handles ...
     cold_excess: float | None
-    #: ... and so many more.
+    #: ... plus this number.
     cold_slack: float
 
 
 @define
 class SettingsReader:
-    """Take fields out of the file and note every mistake with its place."""
+    """Reader of the file's fields that records every mistake with its location."""
 
     plain: Mapping[str, Any]
     mistakes: list[str] = Factory(list)
 
     def take(self, place: str, convert: Callable[[Any], Any], default: Any) -> Any:
-        """Return a converted field; note a mistake where it is missing or wrong."""
+        """Return a converted field, or the default and record a mistake.
+
+        A missing field and one that cannot be converted are mistakes.
+        """
         value = self._find(place)
         if value is None:
             self.mistakes.append(f'{place}: is missing.')
@@ -69,7 +72,7 @@
             return default
 
     def take_number(self, place: str, default: float) -> float:
-        """Return a number that may be left out."""
+        """Return an optional number, or the default if the field is missing."""
         if self._find(place) is None:
             return default
         return self.take(place, float, default)
@@ -83,27 +86,27 @@
         return value
 
     def bounds(self) -> dict[str, float]:
-        """Return the figures of the rules by name."""
+        """Return the numbers of the `bounds` field by name."""
         figure_by_name: dict[str, float] = {}
         for text in self.take('bounds', list, []):
             name, separator, figure = str(text).partition('=')
             try:
                 figure_by_name[name.strip()] = float(figure)
             except ValueError:
-                # Some are true or false, and none of those is read here.
+                # Some bounds are true or false; none of those is used here.
                 if not separator or figure.strip() not in ('true', 'false'):
                     self.mistakes.append(f'bounds: {text!r} is not name=value.')
         return figure_by_name
 
     def bound(self, figure_by_name: dict[str, float], name: str) -> float:
-        """Return one figure of the rules."""
+        """Return one of the bounds, or 1 and record a mistake if it is missing."""
         if name not in figure_by_name:
             self.mistakes.append(f'bounds: {name} is missing.')
         return figure_by_name.get(name, 1.0)
 
 
 def read_settings(text: str) -> Result[PlatformSettings, tuple[str, ...]]:
-    """Read the settings; every mistake is told with its place."""
+    """Parse the settings, or return every mistake with its location."""
     try:
         plain = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -126,7 +129,7 @@
         seeds=reader.take('seeds', parse_addresses, ()),
         region_by_zone=reader.take('zones', dict, {}),
         store_address=reader.take('platform.addr', Address.parse, nowhere),
-        # A share of one core that is so many times as fast.
+        # The process gets a share of one core, which is as fast as `cpus` cores.
         cores=reader.take_number('limits.cpu_share', 1.0)
         * reader.take_number('limits.cpus', 1.0),
         stop_seconds=reader.bound(figures, 'grace_s'),
@@ -134,7 +137,7 @@
         probes_per_second=reader.bound(figures, 'probes_per_s'),
         resend_share=reader.bound(figures, 'retry_budget_ratio'),
         resend_slack=reader.bound(figures, 'retry_budget_slack'),
-        # Platforms that bind nothing there leave them out.
+        # Platforms without limits for cold servers omit these bounds.
         cold_excess=figures.get('cold_excess'),
         cold_slack=figures.get('cold_slack', 0.0),
     )
@@ -144,7 +147,7 @@
 def read_settings_file(
     variables: Mapping[str, str],
 ) -> Result[PlatformSettings, tuple[str, ...]]:
-    """Read the settings file that the environment names."""
+    """Read the settings file whose path is in the environment variable."""
     path = variables.get(FILE_VARIABLE)
     if not path:
         return Failure((f'the variable {FILE_VARIABLE} names no settings file.',))
@@ -156,5 +159,5 @@
 
 
 def parse_addresses(texts: list[str]) -> tuple[Address, ...]:
-    """Return the addresses of a list of texts."""
+    """Parse a list of addresses, each host:port."""
     return tuple(Address.parse(each) for each in texts)
--- a/tests/test_platform_restore.py
+++ b/tests/test_platform_restore.py
@@ -153,7 +153,7 @@
             with self.assertLogs('store', 'WARNING') as logs:
                 platform.store.restore(copy)
                 await trio.sleep(0.5)
-            self.assertIn('it came back from a copy. era=2 was=1', logs.output[0])
+            self.assertIn('restored from a backup. era=2 was=1', logs.output[0])
             entry = platform.entries[0]
             page = (await metrics_page(entry, '')).body.decode()
             self.assertIn('catkinslip_store_era 2', page)
