--- a/catkinslip/__init__.py
+++ b/catkinslip/__init__.py
@@ -1,3 +1,3 @@
-"""A load balancer for servers whose load shifts in milliseconds."""
+"""A load balancer for servers whose load changes within milliseconds."""
 
 __version__ = '0.1.0'
--- a/catkinslip/__main__.py
+++ b/catkinslip/__main__.py
@@ -1,4 +1,4 @@
-"""Run the operators' tool."""
+"""Entry point of the operators' command-line tool."""
 
 import sys
 
@@ -6,7 +6,7 @@
 
 
 def main() -> None:
-    """Run the tool and exit with its status."""
+    """Run the operators' tool and exit with its status."""
     sys.exit(run(sys.argv[1:]))
 
 
--- a/catkinslip/clock.py
+++ b/catkinslip/clock.py
@@ -1,4 +1,4 @@
-"""Clocks."""
+"""Clocks that include the time for which the machine was suspended."""
 
 import time
 from abc import ABC, abstractmethod
@@ -6,26 +6,27 @@
 import trio
 from attrs import frozen
 
-#: The loop looks at its timers that often at least: while it waits for the system it
-#: does not learn that the machine was suspended. The lag is measured as often.
+#: The longest time for which the event loop sleeps before it checks its timers. While
+#: asleep it cannot detect that the machine was suspended. The loop lag is measured at
+#: the same interval.
 LONGEST_LOOP_SLEEP_SECONDS = 0.5
-#: Goes on while the machine is suspended, which CLOCK_MONOTONIC does not.
+#: CLOCK_BOOTTIME advances while the machine is suspended, CLOCK_MONOTONIC does not.
 STEADY_CLOCK = getattr(time, 'CLOCK_BOOTTIME', time.CLOCK_MONOTONIC)
 
 
 def steady_seconds() -> float:
-    """Return seconds that never go back, those of a suspension among them."""
+    """Return a monotonic time in seconds that includes suspensions of the machine."""
     return time.clock_gettime(STEADY_CLOCK)
 
 
 class Clock(ABC):
-    """Tell the time."""
+    """Source of monotonic and wall-clock time."""
 
     @abstractmethod
     def monotonic(self) -> float:
-        """Return seconds that never go back within one process.
+        """Return seconds that never decrease within one process.
 
-        Those in which the machine was suspended count.
+        The time for which the machine was suspended is included.
         """
 
     @abstractmethod
@@ -34,13 +35,13 @@
 
 
 class SystemClock(Clock):
-    """Tell the operating system's time."""
+    """Clock of the operating system."""
 
     def monotonic(self) -> float:
-        """Return seconds that never go back within one process.
+        """Return seconds that never decrease within one process.
 
-        After a suspension of 10 s a report, a kept connection and a deadline looked
-        10 s younger on the clock that stands still meanwhile.
+        On a clock that stops during a suspension, a suspension of 10 s makes a report,
+        a reused connection and a deadline appear 10 s younger than they are.
         """
         return steady_seconds()
 
@@ -51,17 +52,17 @@
 
 @frozen
 class LoopClock(trio.abc.Clock):
-    """Run the loop's timers on the time that counts suspensions."""
+    """Clock of the event loop whose time includes suspensions of the machine."""
 
     def start_clock(self) -> None:
-        """Begin; the system's clock runs already."""
+        """Do nothing, since the system's clock always runs."""
 
     def current_time(self) -> float:
-        """Return the same seconds as `SystemClock.monotonic`."""
+        """Return the same time in seconds as `SystemClock.monotonic`."""
         return steady_seconds()
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
-        """Return how long the loop may sleep, in the system's seconds."""
+        """Return the seconds for which the event loop may sleep before a deadline."""
         return min(deadline - self.current_time(), LONGEST_LOOP_SLEEP_SECONDS)
 
 
--- a/catkinslip/core.py
+++ b/catkinslip/core.py
@@ -1,4 +1,4 @@
-"""The daemon: open what it listens on, run its parts, serve until told to stop."""
+"""Running of the daemon: its listeners, its tasks and its shutdown."""
 
 import gc
 from functools import partial
@@ -19,7 +19,7 @@
 async def serve(
     settings: DaemonSettings, environment: Environment, log_buffer: LogBuffer
 ) -> None:
-    """Serve callers, peers and operators until told to stop."""
+    """Serve callers, peers and operators until a signal stops the daemon."""
     listeners = await open_listeners(settings)
     own = own_member(settings, environment, listeners)
     async with open_clients(settings) as clients:
@@ -29,7 +29,7 @@
 
 
 async def run(daemon: Daemon, listeners: Listeners, environment: Environment) -> None:
-    """Run the parts until the lifecycle has ended."""
+    """Run the daemon's tasks until its graceful shutdown has ended."""
     async with trio.open_nursery() as nursery:
         stop = StopRequest()
         await nursery.start(stop.listen)
@@ -47,7 +47,7 @@
 def own_member(
     settings: DaemonSettings, environment: Environment, listeners: Listeners
 ) -> Member:
-    """Return this instance as its peers see it."""
+    """Return the member record of this instance that its peers receive."""
     return Member(
         settings.instance_id,
         new_incarnation(environment),
@@ -59,7 +59,7 @@
 
 
 def new_incarnation(environment: Environment) -> int:
-    """Return a number above those of earlier processes of this instance."""
+    """Return an incarnation number above those of earlier runs of this instance."""
     microseconds = int(environment.clock.wall() * 1_000_000)
     return microseconds << 10 | environment.random.getrandbits(10)
 
@@ -77,20 +77,20 @@
 
 
 async def leave(daemon: Daemon) -> None:
-    """Tell peers and the platform's list that this instance is leaving."""
+    """Notify peers and the platform's list that this instance is leaving."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(daemon.peers.leave)
         nursery.start_soon(daemon.instances.announce)
 
 
 def freeze_start_objects() -> None:
-    """Keep what was built at start out of later garbage collections."""
+    """Exclude the objects created at start from later garbage collections."""
     gc.collect()
     gc.freeze()
 
 
 def announce_ready(own: Member, environment: Environment) -> None:
-    """Print the addresses that this daemon listens on, as one line of JSON."""
+    """Print a line of JSON with the addresses that this daemon listens on."""
     line = {
         'event': 'ready',
         'instance': own.member_id,
--- a/catkinslip/daemon.py
+++ b/catkinslip/daemon.py
@@ -1,4 +1,4 @@
-"""Run the daemon, one process per entry instance."""
+"""Entry point of the daemon, which runs as one process per instance."""
 
 import logging
 import sys
@@ -38,7 +38,7 @@
 
 
 def run(arguments: Sequence[str], environment: Environment | None = None) -> ExitStatus:
-    """Run the daemon until it is told to stop."""
+    """Run the daemon with its command-line arguments and return its exit status."""
     environment = environment or Environment()
     flags = parse_daemon_flags(arguments)
     if 'help' in flags.switches:
@@ -65,7 +65,7 @@
 
 
 def start(settings: DaemonSettings, environment: Environment) -> ExitStatus:
-    """Serve until told to stop."""
+    """Set up logging, serve until a signal stops the daemon, return its status."""
     buffer = configure_buffered(settings.log_level)
     warn(settings, environment)
     return trio.run(serve_and_log, settings, environment, buffer, clock=LoopClock())
@@ -74,7 +74,7 @@
 async def serve_and_log(
     settings: DaemonSettings, environment: Environment, buffer: LogBuffer
 ) -> ExitStatus:
-    """Serve, and write log lines until the last one."""
+    """Serve and write the log until a signal stops the daemon."""
     flusher = LogFlusher(buffer, open_writer(environment.stderr))
     async with trio.open_nursery() as nursery:
         nursery.start_soon(flusher.run)
@@ -89,7 +89,7 @@
 
 
 def warn(settings: DaemonSettings, environment: Environment) -> None:
-    """Log what is allowed but dangerous."""
+    """Log warnings about settings that are valid but risky."""
     if not settings.shared_secret:
         log.warning(
             'daemon: the control surface asks for no secret; anyone who reaches %s '
@@ -101,7 +101,7 @@
 
 
 def stray_variables(environment: Environment) -> list[str]:
-    """Return the names of variables with our prefix that neither program reads."""
+    """Return names of variables with the product's prefix that no program reads."""
     known = with_secret_files((*OPTIONS, *all_settings()))
     return unknown_variables(environment.variables, known)
 
--- a/catkinslip/entry.py
+++ b/catkinslip/entry.py
@@ -1,4 +1,4 @@
-"""Run an instance: open its listeners, follow the store, serve until told to stop."""
+"""Running of an instance on the platform: its listeners, tasks and shutdown."""
 
 import errno
 import gc
@@ -15,19 +15,20 @@
 from catkinslip.wiring.entry import Entry
 
 LISTEN_BACKLOG = 1024
-#: Callers keep an address answer up to three times as long as they were told.
+#: Callers keep an address answer for up to three times its lifetime.
 KEPT_ANSWERS = 3
-#: The end must come before the process is killed; what still runs in the last sixth of
-#: the time counts as unfinished for good reason.
+#: The share of the time until SIGKILL in which the shutdown must end. Requests that
+#: still run in the last sixth are cut.
 STOP_SHARE = 5 / 6
-#: Requests that came in last are given this long before connections are closed.
+#: The time for the last requests that arrive before idle connections are closed.
 LAST_REQUEST_SECONDS = 1.5
 READY_CHECK_SECONDS = 0.02
-#: A connection that goes out may hold an address while the instance was down; most of
-#: them are gone within seconds.
+#: The time to wait for an address in use. While the instance was down, an outgoing
+#: connection may have taken its port; most such connections end within seconds.
 ADDRESS_WAIT_SECONDS = 10.0
 ADDRESS_LOOK_SECONDS = 0.05
-#: The store may be away; peers learn of the stop from the next poll all the same.
+#: The time limit for removing this instance's entry from the store, which may be
+#: unreachable. Peers receive the stop with their next poll in any case.
 WITHDRAW_SECONDS = 1.0
 PLAIN_TEXT = b'text/plain; version=0.0.4; charset=utf-8'
 
@@ -38,7 +39,7 @@
 
 @frozen
 class ListenAddresses:
-    """Where an instance listens; several may serve the same pages."""
+    """The addresses on which an instance listens for callers, peers and metrics."""
 
     callers: Address
     peers: Address
@@ -51,7 +52,7 @@
     page_servers: dict[Address, PageServer],
     reload: Callable[[], None],
 ) -> None:
-    """Serve callers, peers and the platform until told to stop."""
+    """Serve callers, peers and the platform until a signal stops the instance."""
     stop = StopRequest()
     async with trio.open_nursery() as nursery:
         await nursery.start(stop.listen)
@@ -69,7 +70,7 @@
     addresses: ListenAddresses,
     page_servers: dict[Address, PageServer],
 ) -> None:
-    """Listen, and start the parts that run until the end."""
+    """Start the listeners and the tasks of an instance."""
     pages = {
         **page_servers,
         addresses.peers: entry.peer_pages,
@@ -80,7 +81,7 @@
     try:
         await nursery.start(listen, metrics.serve, addresses.metrics, 0.0)
     except OSError as error:
-        # Callers are served all the same.
+        # Callers are served without metrics, too.
         log.error('lifecycle: no metrics at %s. error=%s', addresses.metrics, error)
     for task in entry.tasks():
         nursery.start_soon(task)
@@ -94,7 +95,10 @@
     wait_seconds: float = ADDRESS_WAIT_SECONDS,
     task_status=trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Accept connections at an address until cancelled."""
+    """Accept connections at an address until cancelled.
+
+    `wait_seconds` is how long an address in use is waited for.
+    """
     listeners = await open_listeners(address, wait_seconds)
     task_status.started()
     await trio.serve_listeners(handler, listeners)
@@ -103,7 +107,10 @@
 async def open_listeners(
     address: Address, wait_seconds: float
 ) -> list[trio.SocketListener]:
-    """Open an address, once it is free; OSError if it is not in some seconds."""
+    """Open listeners at an address, waiting for the address if it is in use.
+
+    Raises OSError if it is still in use after `wait_seconds`, or cannot be opened.
+    """
     end = trio.current_time() + wait_seconds
     is_told = False
     while True:
@@ -115,13 +122,13 @@
             if error.errno != errno.EADDRINUSE or trio.current_time() >= end:
                 raise
         if not is_told:
-            log.warning('lifecycle: waits for an address in use. address=%s', address)
+            log.warning('lifecycle: waiting for an address in use. address=%s', address)
             is_told = True
         await trio.sleep(ADDRESS_LOOK_SECONDS)
 
 
 async def become_ready(entry: Entry) -> None:
-    """Take callers as soon as rules, servers and evacuated zones are known."""
+    """Mark this instance ready once it has rules, servers and evacuated zones."""
     while not entry.knows_enough:
         await trio.sleep(READY_CHECK_SECONDS)
     if entry.callers.drain.is_closing:
@@ -135,12 +142,12 @@
 
 
 async def drain(entry: Entry) -> None:
-    """Leave the address answers, let connections end, and wait for the last ones."""
+    """Withdraw this instance and wait for its callers' connections to end."""
     began = trio.current_time()
     end = began + entry.settings.stop_seconds * STOP_SHARE
     entry.instances.leave()
     callers = entry.callers.drain
-    log.info('lifecycle: stops. connections=%d', len(callers.open_wires))
+    log.info('lifecycle: stopping. connections=%d', len(callers.open_wires))
     callers.start_closing()
     kept = KEPT_ANSWERS * entry.settings.address_lifetime
     with trio.move_on_after(WITHDRAW_SECONDS):
@@ -149,12 +156,12 @@
     callers.close_idle()
     with trio.move_on_at(end):
         await callers.wait_until_closed()
-    log.info('lifecycle: ends. connections=%d', len(callers.open_wires))
+    log.info('lifecycle: stopped. connections=%d', len(callers.open_wires))
 
 
 async def metrics_page(entry: Entry, query: str) -> Page:
-    """Return all measured values in the Prometheus text format."""
-    # Only scraped instances pay for the library's memory.
+    """Return the page of all metrics in the Prometheus text format."""
+    # Imported here, so that only scraped instances load the library into memory.
     from catkinslip.metrics.exposition import expose
 
     families = [each for source in entry.sources for each in source.families()]
--- a/catkinslip/environment.py
+++ b/catkinslip/environment.py
@@ -1,4 +1,4 @@
-"""What a program takes from its surroundings, so that tests can swap it."""
+"""The process environment of a program, which tests can replace."""
 
 import os
 import secrets
@@ -13,13 +13,13 @@
 
 
 def seeded_random() -> Random:
-    """Return a generator seeded by the operating system."""
+    """Return a random generator with a seed from the operating system."""
     return Random(secrets.randbits(64))
 
 
 @define
 class Environment:
-    """Streams, variables, clock and randomness of one program."""
+    """Streams, variables, clock and random generator of one program."""
 
     variables: Mapping[str, str] = Factory(lambda: dict(os.environ))
     stdout: TextIO = Factory(lambda: sys.stdout)
--- a/catkinslip/lifecycle.py
+++ b/catkinslip/lifecycle.py
@@ -1,7 +1,8 @@
-"""Serve callers, and stop as a graceful shutdown.
+"""Signals of the operating system and the graceful shutdown of the daemon.
 
-The order is: leave address answers, serve for as long as callers may keep one,
-end connections with their next answer, close idle ones, wait for the rest.
+The steps of the shutdown are: remove this instance from address answers, serve for as
+long as callers may keep an old one, close each connection after its next answer, close
+idle connections, wait for the remaining requests.
 """
 
 import logging
@@ -14,11 +15,12 @@
 
 from catkinslip.proxy.draining import CallerDrain
 
-#: Answers travel and callers' clocks differ, so an answer is kept a little longer.
+#: Added to the lifetime of address answers, since answers take time to arrive and
+#: callers' clocks differ.
 ANSWER_MARGIN_SECONDS = 0.5
-#: Rounds of the peer exchange after which every peer leaves this instance out.
+#: Rounds of peer gossip after which no peer lists this instance in its answers.
 SPREAD_ROUNDS = 5
-#: A connection without a request for so long counts as idle.
+#: The time without a request after which a connection counts as idle.
 IDLE_GRACE_SECONDS = 1.0
 LEAVE_SECONDS = 3.0
 
@@ -27,36 +29,40 @@
 
 @define
 class StopRequest:
-    """What the operating system asked for; a second signal asks to hurry."""
+    """Stop requests from the operating system; a second signal skips the waits."""
 
     asked: trio.Event = Factory(trio.Event)
     hurried: trio.Event = Factory(trio.Event)
 
     async def listen(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Listen for signals: SIGTERM stops, SIGINT or a second SIGTERM hurries."""
+        """Receive stop signals and set the events of this request.
+
+        SIGTERM requests a stop; SIGINT or a second SIGTERM requests one without the
+        wait for address answers to expire.
+        """
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             task_status.started()
             async for number in signals:
                 if number == signal.SIGINT or self.asked.is_set():
                     self.hurried.set()
                 self.asked.set()
-                log.info('lifecycle: got %s.', signal.Signals(number).name)
+                log.info('lifecycle: received %s.', signal.Signals(number).name)
 
 
 async def listen_for_reload(
     reload: Callable[[], None], task_status=trio.TASK_STATUS_IGNORED
 ) -> None:
-    """Call back on SIGHUP, whose default would end the process."""
+    """Call `reload` on each SIGHUP, whose default action ends the process."""
     with trio.open_signal_receiver(signal.SIGHUP) as signals:
         task_status.started()
         async for _ in signals:
-            log.info('lifecycle: reloads the settings.')
+            log.info('lifecycle: reloading the settings.')
             reload()
 
 
 @define
 class Lifecycle:
-    """Serve callers until asked to stop, then drain; durations are in seconds."""
+    """The daemon's service of callers and its shutdown; durations are in seconds."""
 
     stop: StopRequest
     drain: CallerDrain
@@ -70,7 +76,7 @@
         handler: Callable[[trio.SocketStream], Awaitable[None]],
         listeners: list[trio.SocketListener],
     ) -> None:
-        """Serve callers and return when the last request has ended."""
+        """Serve callers until a stop request, then return when all requests ended."""
         async with trio.open_nursery() as connections:
             async with trio.open_nursery() as listening:
                 serve = partial(
@@ -89,17 +95,17 @@
         log.info('lifecycle: drained.')
 
     async def _leave_answers(self) -> None:
-        """Leave address answers and serve while callers may keep an old one."""
+        """Announce that this instance leaves, and serve until old answers expire."""
         spread = SPREAD_ROUNDS * self.peer_interval
         seconds = self.address_lifetime + spread + ANSWER_MARGIN_SECONDS
-        log.info('lifecycle: leaving, serves %g s more.', seconds)
+        log.info('lifecycle: leaving, serving for %g s more.', seconds)
         with trio.move_on_after(LEAVE_SECONDS):
             await self.leave()
         with trio.move_on_after(seconds):
             await self.stop.hurried.wait()
 
     async def _end_connections(self) -> None:
-        log.info('lifecycle: ends %d connections.', len(self.drain.open_wires))
+        log.info('lifecycle: ending %d connections.', len(self.drain.open_wires))
         self.drain.start_closing()
         with trio.move_on_after(IDLE_GRACE_SECONDS):
             await self.drain.wait_until_closed()
--- a/catkinslip/listeners.py
+++ b/catkinslip/listeners.py
@@ -1,4 +1,4 @@
-"""Open what callers, peers and operators connect to."""
+"""The daemon's listeners for callers, peers and operators."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -16,29 +16,29 @@
 
 
 class ListenError(Exception):
-    """A listener could not be opened; the text names the settings at fault."""
+    """Failure to open a listener; the text names the settings of its address."""
 
 
 @frozen
 class Listeners:
-    """What callers connect to, and what peers and operators connect to."""
+    """Open listeners for callers, and the socket for peers and operators."""
 
     callers: list[trio.SocketListener]
     control: trio.socket.SocketType
 
     @property
     def caller_address(self) -> str:
-        """Return host:port for callers."""
+        """Return the address for callers as host:port."""
         return bound_address(self.callers[0].socket)
 
     @property
     def control_address(self) -> str:
-        """Return host:port for peers and operators."""
+        """Return the address for peers and operators as host:port."""
         return bound_address(self.control)
 
 
 async def open_listeners(settings: DaemonSettings) -> Listeners:
-    """Listen on the addresses of the settings; raise ListenError if one is taken."""
+    """Open the listeners of the settings; raise ListenError if one cannot be opened."""
     with binding('--listen-host and --listen-port'):
         callers = await trio.open_tcp_listeners(
             settings.listen_port, host=settings.listen_host, backlog=LISTEN_BACKLOG
@@ -50,7 +50,7 @@
 
 @contextmanager
 def binding(flags: str) -> Iterator[None]:
-    """Raise ListenError for an address that cannot be listened on."""
+    """Raise ListenError for an OSError in the body; `flags` name the settings."""
     try:
         yield
     except OSError as error:
@@ -58,13 +58,13 @@
 
 
 def bound_address(sock: trio.socket.SocketType) -> str:
-    """Return host:port that a socket is bound to."""
+    """Return the address that a socket is bound to, as host:port."""
     host, port = sock.getsockname()[:2]
     return str(Address(host, port))
 
 
 async def bind_control(settings: DaemonSettings) -> trio.socket.SocketType:
-    """Bind the socket of the control surface."""
+    """Open the listening socket of the control surface."""
     sock = trio.socket.socket()
     sock.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_REUSEADDR, 1)
     await sock.bind((settings.control_host, settings.control_port))
@@ -73,7 +73,7 @@
 
 
 async def serve_control(surface: ControlSurface, sock: trio.socket.SocketType) -> None:
-    """Serve the control surface on a bound socket."""
+    """Serve the control surface on a listening socket until cancelled."""
     config = HypercornConfig()
     config.bind = [f'fd://{sock.fileno()}']
     config.loglevel = 'WARNING'
--- a/catkinslip/models.py
+++ b/catkinslip/models.py
@@ -1,18 +1,18 @@
-"""Data shared by several slices."""
+"""Data types that several packages share."""
 
 from attrs import frozen
 
 
 @frozen
 class Address:
-    """A TCP address by IP number."""
+    """A TCP address: an IP address and a port."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: str) -> 'Address':
-        """Parse `host:port`; raise ValueError for any other form."""
+        """Parse an address of the form host:port; raise ValueError for any other."""
         host, separator, port = text.rpartition(':')
         if not separator or not host:
             raise ValueError(f'{text!r} is not host:port')
@@ -24,7 +24,10 @@
 
 @frozen(cache_hash=True)
 class BackendKey:
-    """One start of a backend server at an address; any other is another server."""
+    """Identity of one start of a backend server at an address.
+
+    Another start, or another address, counts as another server.
+    """
 
     backend_id: str
     address: str
--- a/catkinslip/page_client.py
+++ b/catkinslip/page_client.py
@@ -1,7 +1,8 @@
-"""Ask small questions over HTTP: of the store, and of other instances' pages.
+"""HTTP client for small requests to the store and to other instances' pages.
 
-The codec and the pool of the request path carry them: without httpcore, on which httpx
-stands, the program's import takes 9 ms of 258 and 1 MB of 33 less (medians of four).
+It uses the codec and the connection pool of the request path: without httpcore, which
+httpx depends on, the import of the program takes 9 ms of 258 ms and 1 MB of 33 MB less
+(medians of four).
 """
 
 import h11
@@ -19,7 +20,7 @@
 
 @frozen
 class Reply:
-    """Status and body of an answer."""
+    """Status, body and headers of an answer."""
 
     status: int
     body: bytes
@@ -28,7 +29,7 @@
 
 @define
 class PageClient:
-    """Ask on kept connections; nothing is asked twice from here."""
+    """HTTP client that reuses connections and retries no request."""
 
     pool: BackendPool = Factory(BackendPool)
 
@@ -40,7 +41,11 @@
         method: str = 'GET',
         body: bytes = b'',
     ) -> Reply | NotRun | Unknown:
-        """Send one question and return its answer, or why there is none in time."""
+        """Send a request and return its answer, or the reason why none came in time.
+
+        The answer must be complete within `seconds`. NotRun means that the request was
+        not sent, Unknown that it was sent and its answer is missing or invalid.
+        """
         is_connected = False
         with trio.move_on_after(seconds):
             wire = await self.pool.acquire(address)
@@ -72,7 +77,7 @@
 def question(
     address: Address, method: str, target: str, body: bytes
 ) -> list[h11.Event]:
-    """Return a question as the codec sends it."""
+    """Return the events of a request for the codec."""
     headers = [('host', str(address))]
     if body:
         headers.append(('content-type', 'application/json'))
@@ -82,7 +87,10 @@
 
 
 async def receive_reply(wire: Wire) -> Reply:
-    """Read a whole answer; raise h11.RemoteProtocolError for one that is none."""
+    """Receive a complete answer; raise h11.RemoteProtocolError if it is invalid.
+
+    An answer above MAX_ANSWER_BYTES, or cut off by the connection's end, is invalid.
+    """
     status, headers = 0, ()
     parts: list[bytes] = []
     size = 0
--- a/catkinslip/pages.py
+++ b/catkinslip/pages.py
@@ -1,7 +1,7 @@
-"""Serve small pages over HTTP: readiness, addresses, metrics, peers' questions.
+"""HTTP server for small pages: readiness, addresses, metrics and peers' requests.
 
-The codec of the request path serves them, since quart and hypercorn add 18 MB to a
-process (resident size after import, 42 against 24 MB).
+It uses the codec of the request path, since quart and hypercorn add 18 MB to a process
+(resident size after import, 42 against 24 MB).
 """
 
 import logging
@@ -24,7 +24,7 @@
 
 @frozen
 class Page:
-    """One answer."""
+    """Status, body and content type of a page."""
 
     status: int
     body: bytes = b''
@@ -37,7 +37,7 @@
 
 @define
 class PageServer:
-    """Answer GET requests by path; the maker of a page gets the query string."""
+    """HTTP server of pages by path; a page's handler receives the query string."""
 
     maker_by_path: dict[str, PageMaker]
     heads: HeadReader = HeadReader(IDLE_SECONDS, HEAD_SECONDS)
@@ -58,10 +58,10 @@
                     return
                 wire.start_next_cycle()
         except (*ConnectionErrors, h11.ProtocolError) as error:
-            log.debug('pages: a connection ended. error=%r', error)
+            log.debug('pages: connection ended. error=%r', error)
         except Exception:
-            # One question must not stop the process.
-            log.exception('pages: a question failed.')
+            # A failure of one request must not stop the process.
+            log.exception('pages: request failed.')
         finally:
             with trio.CancelScope(shield=True):
                 await wire.close()
@@ -74,7 +74,7 @@
 
 
 def page_events(page: Page) -> list[h11.Event]:
-    """Return a page as the codec sends it."""
+    """Return the events of a page for the codec."""
     headers = [
         (b'content-type', page.content_type),
         (b'content-length', b'%d' % len(page.body)),
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -118,7 +118,7 @@
         output, _ = process.communicate(timeout=END_SECONDS)
         self.assertEqual(process.returncode, 0)
         self.assertLess(time.monotonic() - began, 6.0)
-        self.assertIn('lifecycle: ends.', output)
+        self.assertIn('lifecycle: stopped.', output)
 
     def test_wrong_settings_are_told_and_refused(self):
         self.path.write_text('node = "edge-1"\n')
