--- a/catkinslip/platform/client.py
+++ b/catkinslip/platform/client.py
@@ -303,8 +303,7 @@
         except DECODE_ERRORS as error:
             self.client.unreadable_by_kind[self.kind] += 1
             log.warning(
-                'store: unreadable object ignored. '
-                'kind=%s name=%s error=%r',
+                'store: unreadable object ignored. kind=%s name=%s error=%r',
                 self.kind,
                 name,
                 error,
@@ -374,7 +373,9 @@
         try:
             return Success(decode_crash(str(key), with_era(answer.body, answer.era)))
         except DECODE_ERRORS as error:
-            log.warning('store: unreadable crash record ignored. name=%s error=%r', key, error)
+            log.warning(
+                'store: unreadable crash record ignored. name=%s error=%r', key, error
+            )
             return Success(None)
 
     async def write(self, record: CrashRecord) -> Result[CrashRecord, PlatformError]:
