--- a/catkinslip/discovery/peers.py
+++ b/catkinslip/discovery/peers.py
@@ -338,7 +338,7 @@
         self, address: Address, path: str, seconds: float = ANSWER_SECONDS
     ) -> Any | None:
         """Return what a peer answers; None if it does not in time."""
-        reply = await self.client.ask(address, path, seconds)
+        reply = await self.client.send(address, path, seconds)
         if not isinstance(reply, Reply):
             log.debug('peers: no answer. address=%s reason=%s', address, reply)
             return None
--- a/catkinslip/page_client.py
+++ b/catkinslip/page_client.py
@@ -33,7 +33,7 @@
 
     pool: BackendPool = Factory(BackendPool)
 
-    async def ask(
+    async def send(
         self,
         address: Address,
         target: str,
@@ -62,7 +62,7 @@
     ) -> Reply | Unknown:
         is_done = False
         try:
-            await wire.send(*question(address, method, target, body))
+            await wire.send(*request_events(address, method, target, body))
             reply = await receive_reply(wire)
             is_done = True
             return reply
@@ -74,7 +74,7 @@
                 await self.pool.release(address, wire)
 
 
-def question(
+def request_events(
     address: Address, method: str, target: str, body: bytes
 ) -> list[h11.Event]:
     """Return the events of a request for the codec."""
--- a/catkinslip/platform/client.py
+++ b/catkinslip/platform/client.py
@@ -115,7 +115,7 @@
         `wait` is the time in seconds that a watch may take; the timeout of the answer
         is longer by as much.
         """
-        reply = await self.pages.ask(
+        reply = await self.pages.send(
             self.address,
             f'{OBJECTS_PATH}/{path}',
             wait + ANSWER_SECONDS,
--- a/tests/small_platform.py
+++ b/tests/small_platform.py
@@ -143,9 +143,9 @@
 
     async def get(self, path: str = '/q/a', entry: int = 0, **fields) -> httpx.Response:
         """Send one request on a connection of its own."""
-        return await self.ask('GET', path, entry, **fields)
+        return await self.send('GET', path, entry, **fields)
 
-    async def ask(
+    async def send(
         self,
         method: str,
         path: str,
@@ -156,14 +156,16 @@
         **fields,
     ) -> httpx.Response:
         """Send one request on a connection of its own."""
-        way = httpx.AsyncHTTPTransport(local_address=from_address, verify=False)
+        transport = httpx.AsyncHTTPTransport(local_address=from_address, verify=False)
         address = self.entries[entry].settings.own.caller_address
         headers = {
             'Host': 'a.example',
             'Request-Id': request_id,
             'Deadline-Ms': str(deadline_ms or self.deadline_ms),
         }
-        async with httpx.AsyncClient(timeout=GENEROUS_SECONDS, transport=way) as client:
+        async with httpx.AsyncClient(
+            timeout=GENEROUS_SECONDS, transport=transport
+        ) as client:
             return await client.request(
                 method, f'http://{address}{path}', headers=headers, **fields
             )
--- a/tests/test_clock_suspension.py
+++ b/tests/test_clock_suspension.py
@@ -93,7 +93,7 @@
                 backend = RawBackend([ok()])
                 listeners = await nursery.start(trio.serve_tcp, backend.serve, 0)
                 address = Address('127.0.0.1', listeners[0].socket.getsockname()[1])
-                await PageClient(pool).ask(address, '/', GENEROUS_SECONDS)
+                await PageClient(pool).send(address, '/', GENEROUS_SECONDS)
                 self.assertTrue(pool.connections_by_address[address].idle)
                 machine.suspend()
                 wire = await pool.acquire(address, RECENT_SECONDS)
--- a/tests/test_crashes_identity.py
+++ b/tests/test_crashes_identity.py
@@ -59,7 +59,7 @@
             await platform.add_worker('i-1', fault=Fault.RESET)
             entry = await platform.add_entry()
             with self.assertLogs('routing', 'INFO') as logs:
-                await platform.ask('POST', '/p/x')
+                await platform.send('POST', '/p/x')
             line = next(each for each in logs.output if ' broke. ' in each)
             for part in (
                 'r1 ',
--- a/tests/test_crashes_incident.py
+++ b/tests/test_crashes_incident.py
@@ -141,7 +141,7 @@
             await wait_for(lambda: len(platform.entries[0].assembler.current_backends))
             # On the other route a tenth goes to a service without servers.
             answers = [
-                await platform.ask(
+                await platform.send(
                     'POST', '/p/b', number % INSTANCES, request_id=f'g{number}'
                 )
                 for number in range(10)
--- a/tests/test_discovery_following.py
+++ b/tests/test_discovery_following.py
@@ -112,7 +112,7 @@
         self.fleet = fleet
         self.own = own
 
-    async def ask(
+    async def send(
         self, address: Address, target: str, seconds: float, *_: object
     ) -> Reply | NotRun:
         """Return the page, or nothing in time."""
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -169,7 +169,7 @@
 async def ask_all(platform: SmallPlatform, entry: int = 0, count: int = 6) -> set[int]:
     """Send some requests one after another; return the statuses."""
     answers = [
-        await platform.ask('POST', '/p/x', entry, request_id=f'r{number}')
+        await platform.send('POST', '/p/x', entry, request_id=f'r{number}')
         for number in range(count)
     ]
     return {answer.status_code for answer in answers}
@@ -209,7 +209,7 @@
             for zone in ('zone-a', 'zone-b'):
                 platform.store.put('evacuations', zone, {})
             await wait_for(lambda: knows(platform, {'zone-a', 'zone-b'}))
-            answer = await platform.ask('POST', '/p/x')
+            answer = await platform.send('POST', '/p/x')
             self.assertEqual(answer.status_code, 503)
             self.assertIn('evacuated', answer.text)
             self.assertGreater(float(answer.headers['retry-after']), 0.5)
@@ -228,7 +228,7 @@
             answers = []
 
             async def ask():
-                answers.append(await platform.ask('POST', '/p/x'))
+                answers.append(await platform.send('POST', '/p/x'))
 
             async with trio.open_nursery() as nursery:
                 while not near.heads:
--- a/tests/test_leaving_path.py
+++ b/tests/test_leaving_path.py
@@ -18,7 +18,7 @@
     statuses: list[int] = []
 
     async def call(number: int) -> None:
-        answer = await platform.ask('POST', '/p/x', request_id=f'{name}-{number}')
+        answer = await platform.send('POST', '/p/x', request_id=f'{name}-{number}')
         statuses.append(answer.status_code)
 
     async with trio.open_nursery() as nursery:
@@ -93,7 +93,7 @@
             entry = await platform.add_entry()
             await wait_for(lambda: entry.assembler.current_backends)
             with self.assertLogs('health', 'INFO') as logs:
-                await platform.ask('POST', '/p/x')
+                await platform.send('POST', '/p/x')
                 await wait_for(lambda: entry.sampler.health.leaving_ids())
             self.assertIn('i-1 is leaving, signs: own.', '\n'.join(logs.output))
 
@@ -126,10 +126,10 @@
             entry = await platform.add_entry()
             await wait_for(lambda: entry.assembler.current_backends)
             worker = platform.worker_by_id['i-1']
-            await platform.ask('POST', '/p/x', request_id='kept')
+            await platform.send('POST', '/p/x', request_id='kept')
             worker.is_unframed = True
             for number in range(CALLS):
-                answer = await platform.ask('POST', '/p/x', request_id=f'r{number}')
+                answer = await platform.send('POST', '/p/x', request_id=f'r{number}')
                 self.assertEqual(answer.status_code, 200, number)
             self.assertEqual(entry.sampler.health.leaving_ids(), [])
 
@@ -142,7 +142,7 @@
             entry = await platform.add_entry()
             await wait_for(lambda: len(entry.assembler.current_backends) == 2)
             with self.assertLogs('routing', 'INFO') as logs:
-                answer = await platform.ask('POST', '/p/x')
+                answer = await platform.send('POST', '/p/x')
             self.assertEqual(answer.status_code, 503)
             self.assertIn('goes to i-1', '\n'.join(logs.output))
             self.assertNotIn('i-1', entry.sampler.health.leaving_ids())
--- a/tests/test_metrics_discovery.py
+++ b/tests/test_metrics_discovery.py
@@ -15,7 +15,7 @@
             await platform.add_entry()
             entry = await platform.add_entry()
             await wait_for(lambda: entry.instances.peer_by_id)
-            await platform.ask('POST', '/p/x', entry=1)
+            await platform.send('POST', '/p/x', entry=1)
             body = (await metrics_page(entry, '')).body.decode()
             read = '{operation="read",outcome="answered"}'
             self.assertIn(f'catkinslip_platform_calls_total{read}', body)
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -28,7 +28,7 @@
     def test_request_is_answered_unchanged(self):
         async def check(platform):
             await two_workers(platform)
-            answer = await platform.ask('POST', '/p/x?y=1', content=b'body')
+            answer = await platform.send('POST', '/p/x?y=1', content=b'body')
             self.assertEqual(answer.status_code, 200)
             self.assertEqual(answer.content, b'answer to r1')
             self.assertEqual(answer.headers['response-signature'], 'signed-r1')
@@ -45,7 +45,7 @@
         async def check(platform):
             await platform.add_entry()
             self.assertEqual((await platform.get('/none/')).status_code, 404)
-            answer = await platform.ask('POST', '/p/x')
+            answer = await platform.send('POST', '/p/x')
             self.assertEqual(answer.status_code, 503)
             self.assertIn('retry-after', answer.headers)
 
@@ -56,7 +56,7 @@
             first, second = await two_workers(platform)
             first.fault = Fault.SHED
             for number in range(6):
-                answer = await platform.ask('POST', '/p/x', request_id=f'r{number}')
+                answer = await platform.send('POST', '/p/x', request_id=f'r{number}')
                 self.assertEqual(answer.status_code, 200)
             self.assertEqual(len(second.heads), 6)
 
@@ -66,7 +66,7 @@
         async def check(platform):
             for worker in await two_workers(platform):
                 worker.fault = Fault.RESET
-            answer = await platform.ask('POST', '/p/x')
+            answer = await platform.send('POST', '/p/x')
             self.assertEqual(answer.status_code, 502)
             self.assertEqual(platform.runs(), 1)
 
@@ -76,7 +76,7 @@
         async def check(platform):
             for worker in await two_workers(platform):
                 worker.fault = Fault.CROSSED
-            answer = await platform.ask('POST', '/p/x')
+            answer = await platform.send('POST', '/p/x')
             self.assertEqual(answer.status_code, 502)
             self.assertNotIn('response-signature', answer.headers)
 
@@ -97,7 +97,7 @@
             for worker in await two_workers(platform):
                 worker.fault = Fault.CUT
             with self.assertRaises(httpx.HTTPError):
-                await platform.ask('POST', '/p/x')
+                await platform.send('POST', '/p/x')
 
         on_platform(check)
 
@@ -116,7 +116,7 @@
             platform.register('i-gone', 'one', port)
             platform.store.remove('servers', 'i-1')
             await platform.add_entry()
-            answer = await platform.ask('POST', '/p/x')
+            answer = await platform.send('POST', '/p/x')
             self.assertEqual(answer.status_code, 503)
             self.assertEqual(platform.runs(), 0)
 
@@ -137,7 +137,7 @@
             first, second = await two_workers(platform)
             first.is_deaf = True
             for number in range(4):
-                answer = await platform.ask('POST', '/p/x', request_id=f'r{number}')
+                answer = await platform.send('POST', '/p/x', request_id=f'r{number}')
                 self.assertEqual(answer.status_code, 200)
             self.assertEqual(len(second.heads), 4)
 
@@ -148,17 +148,17 @@
             workers = await two_workers(platform)
             # Each answer earns a share of a second send.
             for number in range(10):
-                await platform.ask('POST', '/p/x', request_id=f'before-{number}')
+                await platform.send('POST', '/p/x', request_id=f'before-{number}')
             for worker in workers:
                 worker.fault = Fault.SILENT
                 worker.heads.clear()
             answers = []
 
-            async def ask():
+            async def send():
                 answers.append(await platform.get(deadline_ms=1400))
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask)
+                nursery.start_soon(send)
                 await wait_for(lambda: any(worker.heads for worker in workers))
                 first, other = sorted(workers, key=lambda worker: not worker.heads)
                 first.is_deaf = True
@@ -173,7 +173,7 @@
             await two_workers(platform, probe_seconds=0.1)
             platform.entries[0].sampler.answer_seconds = 0.02
             for number in range(4):
-                answer = await platform.ask('POST', '/p/x', request_id=f'r{number}')
+                answer = await platform.send('POST', '/p/x', request_id=f'r{number}')
                 self.assertEqual(answer.status_code, 200)
 
         on_platform(check)
@@ -203,7 +203,7 @@
             first, second = await two_workers(platform)
             first.percent = 400
             for number in range(6):
-                await platform.ask('POST', '/p/x', request_id=f'r{number}')
+                await platform.send('POST', '/p/x', request_id=f'r{number}')
             self.assertEqual(len(second.heads), 6)
 
         on_platform(check)
--- a/tests/test_platform_restore.py
+++ b/tests/test_platform_restore.py
@@ -111,7 +111,7 @@
                 await wait_for(lambda it=follower: era_of(it.revision) == 2)
             before = arrivals(platform)
             for number in range(10):
-                await platform.ask('POST', '/p/x', number % 2, request_id=f'r{number}')
+                await platform.send('POST', '/p/x', number % 2, request_id=f'r{number}')
             came = arrivals(platform)
             for server_id in ('i-1', 'i-3'):
                 self.assertEqual(came[server_id], before[server_id], server_id)
--- a/tests/test_proxy_pool.py
+++ b/tests/test_proxy_pool.py
@@ -37,7 +37,7 @@
     client = PageClient(pool)
     async with trio.open_nursery() as requests:
         for _ in range(2):
-            requests.start_soon(client.ask, address, '/', GENEROUS_SECONDS)
+            requests.start_soon(client.send, address, '/', GENEROUS_SECONDS)
     return pool, address, server
 
 
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -122,7 +122,7 @@
         async def check(platform):
             near, home = await two_regions(platform)
             for number in range(8):
-                answer = await platform.ask('POST', '/p/x', request_id=f'r{number}')
+                answer = await platform.send('POST', '/p/x', request_id=f'r{number}')
                 self.assertEqual(answer.status_code, 200)
             self.assertEqual((len(near.heads), len(home.heads)), (0, 8))
 
@@ -146,7 +146,7 @@
             platform.store.remove('servers', 'i-2')
             entry = platform.entries[0]
             await wait_for(lambda: len(entry.assembler.current_backends) == 1)
-            answer = await platform.ask('POST', '/p/x')
+            answer = await platform.send('POST', '/p/x')
             self.assertEqual(answer.status_code, 503)
             self.assertEqual((near.heads, home.heads), ([], []))
 
@@ -160,7 +160,7 @@
             await wait_for(lambda: len(entry.assembler.current_backends) == 3)
             home.fault = Fault.SHED
             for number in range(6):
-                await platform.ask('POST', '/p/x', request_id=f'r{number}')
+                await platform.send('POST', '/p/x', request_id=f'r{number}')
             self.assertEqual(near.heads, [])
             self.assertTrue(platform.worker_by_id['i-3'].heads)
 
--- a/tests/test_resting_incident.py
+++ b/tests/test_resting_incident.py
@@ -24,7 +24,7 @@
     count = 0
     while True:
         count += 1
-        answer = await platform.ask('POST', '/p/a', request_id=f'{name}-{count}')
+        answer = await platform.send('POST', '/p/a', request_id=f'{name}-{count}')
         statuses[answer.status_code] += 1
 
 
--- a/tests/test_resting_path.py
+++ b/tests/test_resting_path.py
@@ -80,7 +80,7 @@
     while len(router.rest.registry.resting(entry.sampler.clock.monotonic())) < len(
         server_ids
     ):
-        await platform.ask('POST', '/p/x', request_id='first')
+        await platform.send('POST', '/p/x', request_id='first')
 
 
 def arrived(platform: SmallPlatform, server_id: str) -> tuple[int, int]:
@@ -98,7 +98,7 @@
             entry = await platform.add_entry()
             await wait_for(lambda: entry.assembler.current_backends)
             with self.assertLogs(level='INFO') as logs:
-                answer = await platform.ask('POST', '/p/x')
+                answer = await platform.send('POST', '/p/x')
             self.assertEqual(answer.status_code, 503)
             text = '\n'.join(record.getMessage() for record in logs.records)
             self.assertIn(
@@ -124,7 +124,7 @@
             await wait_for(lambda: len(backends.current_backends) == 2)
             before = arrived(platform, 'i-1')
             for number in range(5):
-                answer = await platform.ask('POST', '/p/x', request_id=f'r{number}')
+                answer = await platform.send('POST', '/p/x', request_id=f'r{number}')
                 self.assertEqual(answer.status_code, 503)
             self.assertGreater(platform.worker_by_id['i-2'].sheds, 0)
             self.assertEqual(arrived(platform, 'i-1'), before)
@@ -162,7 +162,7 @@
             await resting(platform, 'i-1', 'i-2')
             before = arrived(platform, 'i-1'), arrived(platform, 'i-2')
             began = trio.current_time()
-            answer = await platform.ask('POST', '/p/x', request_id='r9')
+            answer = await platform.send('POST', '/p/x', request_id='r9')
             self.assertEqual(answer.status_code, 503)
             self.assertIn('resting', answer.text)
             self.assertLess(trio.current_time() - began, 1.0)
--- a/tests/test_routing_restart.py
+++ b/tests/test_routing_restart.py
@@ -153,7 +153,7 @@
             answers = []
 
             async def ask():
-                answers.append(await platform.ask('POST', '/p/x'))
+                answers.append(await platform.send('POST', '/p/x'))
 
             platform.nursery.start_soon(ask)
             await wait_for(lambda: platform.runs())
--- a/tests/test_throttling_path.py
+++ b/tests/test_throttling_path.py
@@ -79,7 +79,7 @@
         await wait_for(lambda e=entry: len(e.instances.serving()) == instances - 1)
     first = platform.entries[0]
     while len(throttle_of(first).registry.active_rates()) < len(server_ids):
-        await platform.ask('POST', '/p/x', request_id='first')
+        await platform.send('POST', '/p/x', request_id='first')
 
 
 def choose(router: ServiceRouter, *, is_suspect: bool) -> Choice | NotRun | None:
@@ -116,7 +116,7 @@
             await wait_for(lambda: entry.assembler.current_backends)
             with self.assertLogs(level='INFO') as logs:
                 answers = [
-                    await platform.ask('POST', '/p/x', request_id=f'r{number}')
+                    await platform.send('POST', '/p/x', request_id=f'r{number}')
                     for number in range(2)
                 ]
             text = '\n'.join(record.getMessage() for record in logs.records)
@@ -134,10 +134,10 @@
     def test_choice_is_logged_with_the_known_rate(self):
         async def check(platform):
             await start_sender(platform)
-            await platform.ask('POST', '/p/x')
+            await platform.send('POST', '/p/x')
             await trio.sleep(0.1)
             with self.assertLogs('routing', 'INFO') as logs:
-                answer = await platform.ask('POST', '/p/x', request_id='r2')
+                answer = await platform.send('POST', '/p/x', request_id='r2')
             self.assertEqual(answer.status_code, 200)
             text = '\n'.join(record.getMessage() for record in logs.records)
             self.assertRegex(text, r'r2 one goes to i-1, .* rate=50\.')
@@ -156,7 +156,7 @@
             await wait_for(lambda: len(backends.current_backends) == 2)
             before = len(platform.worker_by_id['i-1'].arrived_at)
             for number in range(5):
-                answer = await platform.ask('POST', '/p/x', request_id=f'r{number}')
+                answer = await platform.send('POST', '/p/x', request_id=f'r{number}')
                 self.assertEqual(answer.status_code, 503)
             self.assertGreater(platform.worker_by_id['i-2'].sheds, 0)
             self.assertEqual(len(platform.worker_by_id['i-1'].arrived_at), before)
@@ -182,7 +182,7 @@
         async def check(platform):
             await start_throttled_servers(platform, ('i-1', 'i-2'))
             began = trio.current_time()
-            answer = await platform.ask('POST', '/p/x', request_id='r9')
+            answer = await platform.send('POST', '/p/x', request_id='r9')
             self.assertEqual(answer.status_code, 503)
             self.assertLess(trio.current_time() - began, 1.0)
             # Another instance may have a turn, now or after the throttling.
@@ -271,7 +271,7 @@
             # it.
             await trio.sleep(0.8)
             before = len(platform.worker_by_id['i-1'].arrived_at)
-            answer = await platform.ask('POST', '/p/x', entry=2, request_id='r2')
+            answer = await platform.send('POST', '/p/x', entry=2, request_id='r2')
             self.assertEqual(answer.status_code, 503)
             await wait_for(
                 lambda: not any(registry.active_rates() for registry in registries)
@@ -290,7 +290,7 @@
             await trio.sleep(0.6)
             before = worker.probes
             for number in range(5):
-                await platform.ask('POST', '/p/x', request_id=f'r{number}')
+                await platform.send('POST', '/p/x', request_id=f'r{number}')
                 await trio.sleep(0.1)
             self.assertEqual(worker.probes, before + 1)
             self.assertTrue(registry.active_rates())
@@ -300,10 +300,10 @@
     def test_error_without_a_rate_does_not_end_throttling(self):
         async def check(platform):
             entry = await start_sender(platform)
-            await platform.ask('POST', '/p/x')
+            await platform.send('POST', '/p/x')
             platform.worker_by_id['i-1'].is_failing = True
             await trio.sleep(0.1)
-            answer = await platform.ask('POST', '/p/x', request_id='r2')
+            answer = await platform.send('POST', '/p/x', request_id='r2')
             self.assertEqual(answer.status_code, 500)
             self.assertTrue(throttle_of(entry).registry.active_rates())
 
--- a/tests/test_warmup_path.py
+++ b/tests/test_warmup_path.py
@@ -159,7 +159,7 @@
                 worker.turn_cold(COLD_SECONDS)
             router = entry.sampler.health.directory.router_by_service['one']
             router.cold.mark_possibly_restarted(router.loads, CLOCK.monotonic(), 'test')
-            answer = await platform.ask('POST', '/p/x')
+            answer = await platform.send('POST', '/p/x')
             self.assertEqual(answer.status_code, 503)
             self.assertIn('cold', answer.text)
             self.assertEqual([worker.cold_arrivals for worker in workers], [[], []])
@@ -182,7 +182,7 @@
             router.cold.mark_possibly_restarted(router.loads, CLOCK.monotonic(), 'test')
             ended = []
             for number in range(4):
-                await platform.ask('POST', '/p/x', request_id=f'r{number}')
+                await platform.send('POST', '/p/x', request_id=f'r{number}')
                 ended.append(
                     sum(
                         worker.process.cancel_called
