--- a/catkinslip/pages.py
+++ b/catkinslip/pages.py
@@ -16,8 +16,8 @@
 from catkinslip.proxy.headers import RequestHead
 from catkinslip.proxy.wire import ConnectionErrors, server_wire
 
-IDLE_SECONDS = 15.0
-HEAD_SECONDS = 3.0
+IDLE_TIMEOUT_SECONDS = 15.0
+HEAD_TIMEOUT_SECONDS = 3.0
 
 log = logging.getLogger('pages')
 
@@ -32,27 +32,27 @@
 
 
 NOT_FOUND = Page(404)
-PageMaker = Callable[[str], Awaitable[Page]]
+PageHandler = Callable[[str], Awaitable[Page]]
 
 
 @define
 class PageServer:
     """HTTP server of pages by path; a page's handler receives the query string."""
 
-    maker_by_path: dict[str, PageMaker]
-    heads: HeadReader = HeadReader(IDLE_SECONDS, HEAD_SECONDS)
+    handler_by_path: dict[str, PageHandler]
+    head_reader: HeadReader = HeadReader(IDLE_TIMEOUT_SECONDS, HEAD_TIMEOUT_SECONDS)
 
     async def serve(self, stream: trio.abc.Stream) -> None:
         """Serve one connection until either side closes it."""
         wire = server_wire(stream)
         try:
             while True:
-                request = await self.heads.read(wire)
+                request = await self.head_reader.read(wire)
                 if not isinstance(request, RequestHead):
                     return
                 while type(await wire.receive()) is not h11.EndOfMessage:
                     pass
-                page = await self._make(request)
+                page = await self._handle(request)
                 await wire.send(*page_events(page))
                 if wire.codec.our_state is not h11.DONE:
                     return
@@ -66,11 +66,11 @@
             with trio.CancelScope(shield=True):
                 await wire.close()
 
-    async def _make(self, request: RequestHead) -> Page:
+    async def _handle(self, request: RequestHead) -> Page:
         target = origin_form(request.target).decode('latin-1')
         path, _, query = target.partition('?')
-        maker = self.maker_by_path.get(path)
-        return NOT_FOUND if maker is None else await maker(query)
+        handler = self.handler_by_path.get(path)
+        return NOT_FOUND if handler is None else await handler(query)
 
 
 def page_events(page: Page) -> list[h11.Event]:
--- a/catkinslip/platform/pages.py
+++ b/catkinslip/platform/pages.py
@@ -7,7 +7,7 @@
 
 from catkinslip.addresses.zonal import CallerLocation, ZoneAddresses
 from catkinslip.discovery.instances import InstanceTable
-from catkinslip.pages import Page, PageMaker
+from catkinslip.pages import Page, PageHandler
 from catkinslip.platform.names import READY_PATH, RESOLVE_PATH
 
 
@@ -18,7 +18,7 @@
     instances: InstanceTable
     addresses: ZoneAddresses
 
-    def makers(self) -> dict[str, PageMaker]:
+    def handlers(self) -> dict[str, PageHandler]:
         """Return the page handlers by path."""
         return {READY_PATH: self.ready, RESOLVE_PATH: self.resolve}
 
@@ -28,12 +28,12 @@
 
     async def resolve(self, query: str) -> Page:
         """Return the addresses that a caller should use, and for how many seconds."""
-        asked = parse_qs(query)
+        parameters = parse_qs(query)
         own = self.instances.own
         caller = CallerLocation(
-            zone=asked.get('zone', [own.zone])[0],
-            region=asked.get('region', [own.region])[0],
-            host=asked.get('name', [''])[0],
+            zone=parameters.get('zone', [own.zone])[0],
+            region=parameters.get('region', [own.region])[0],
+            host=parameters.get('name', [''])[0],
         )
         answer = self.addresses.answer(caller)
         body = {'addrs': answer.addresses, 'ttl_s': answer.lifetime}
--- a/catkinslip/platform/program.py
+++ b/catkinslip/platform/program.py
@@ -76,7 +76,7 @@
         nursery.start_soon(flusher.run)
         client = StoreClient(settings.store_address)
         entry = make_entry(settings, environment, client, buffer)
-        pages = PageServer(PlatformPages(entry.instances, entry.addresses).makers())
+        pages = PageServer(PlatformPages(entry.instances, entry.addresses).handlers())
         addresses = ListenAddresses(
             callers=settings.caller_address,
             peers=settings.peer_address,
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -47,7 +47,7 @@
 from catkinslip.metrics.traces import TraceRing
 from catkinslip.models import Address
 from catkinslip.page_client import PageClient
-from catkinslip.pages import PageMaker, PageServer
+from catkinslip.pages import PageHandler, PageServer
 from catkinslip.proxy.callers import CallerLimits, CallerServer
 from catkinslip.proxy.dialect import Dialect
 from catkinslip.proxy.forwarder import Forwarder
@@ -304,7 +304,7 @@
         SharedKind(CrashRecord, crashes), SharedKind(ZoneEvacuation, evacuations)
     )
     answers = PeerAnswers(instances, assembler, kinds)
-    makers: dict[str, PageMaker] = {
+    makers: dict[str, PageHandler] = {
         STATE_PATH: answers.state,
         KNOWLEDGE_PATH: answers.knowledge,
         KIND_PATH: answers.kind,
--- a/tests/small_platform.py
+++ b/tests/small_platform.py
@@ -125,7 +125,7 @@
         client = StoreClient(settings.store_address)
         environment = Environment(random=Random(len(self.entries)))
         entry = make_entry(settings, environment, client, LogBuffer())
-        pages = PageServer(PlatformPages(entry.instances, entry.addresses).makers())
+        pages = PageServer(PlatformPages(entry.instances, entry.addresses).handlers())
         addresses = ListenAddresses(
             settings.caller_address,
             settings.peer_address,
