--- a/catkinslip/clock.py
+++ b/catkinslip/clock.py
@@ -9,7 +9,7 @@
 #: The longest time for which the event loop sleeps before it checks its timers. While
 #: asleep it cannot detect that the machine was suspended. The loop lag is measured at
 #: the same interval.
-LONGEST_LOOP_SLEEP_SECONDS = 0.5
+MAX_LOOP_SLEEP_SECONDS = 0.5
 #: CLOCK_BOOTTIME advances while the machine is suspended, CLOCK_MONOTONIC does not.
 STEADY_CLOCK = getattr(time, 'CLOCK_BOOTTIME', time.CLOCK_MONOTONIC)
 
@@ -63,7 +63,7 @@
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
         """Return the seconds for which the event loop may sleep before a deadline."""
-        return min(deadline - self.current_time(), LONGEST_LOOP_SLEEP_SECONDS)
+        return min(deadline - self.current_time(), MAX_LOOP_SLEEP_SECONDS)
 
 
 def utc_text(wall: float) -> str:
--- a/catkinslip/core.py
+++ b/catkinslip/core.py
@@ -36,7 +36,7 @@
         nursery.start_soon(serve_control, daemon.control, listeners.control)
         for task in daemon.tasks():
             nursery.start_soon(task)
-        freeze_start_objects()
+        freeze_startup_objects()
         announce_ready(daemon.members.own, environment)
         lifecycle = make_lifecycle(daemon, stop)
         await lifecycle.run(daemon.callers.serve, listeners.callers)
@@ -83,7 +83,7 @@
         nursery.start_soon(daemon.instances.announce)
 
 
-def freeze_start_objects() -> None:
+def freeze_startup_objects() -> None:
     """Exclude the objects created at start from later garbage collections."""
     gc.collect()
     gc.freeze()
--- a/catkinslip/daemon.py
+++ b/catkinslip/daemon.py
@@ -54,7 +54,7 @@
             return ExitStatus.USAGE
         case Success(settings):
             if 'check' in flags.switches:
-                for name in stray_variables(environment):
+                for name in unread_variables(environment):
                     print(
                         f'No setting reads the variable {name}.',
                         file=environment.stderr,
@@ -67,7 +67,7 @@
 def start(settings: DaemonSettings, environment: Environment) -> ExitStatus:
     """Set up logging, serve until a signal stops the daemon, return its status."""
     buffer = configure_buffered(settings.log_level)
-    warn(settings, environment)
+    log_warnings(settings, environment)
     return trio.run(serve_and_log, settings, environment, buffer, clock=LoopClock())
 
 
@@ -88,7 +88,7 @@
     return ExitStatus.SUCCESS
 
 
-def warn(settings: DaemonSettings, environment: Environment) -> None:
+def log_warnings(settings: DaemonSettings, environment: Environment) -> None:
     """Log warnings about settings that are valid but risky."""
     if not settings.shared_secret:
         log.warning(
@@ -96,11 +96,11 @@
             'can act as a peer. Set CATKINSLIP_SHARED_SECRET.',
             settings.control_host,
         )
-    for name in stray_variables(environment):
+    for name in unread_variables(environment):
         log.warning('daemon: no setting reads the variable %s.', name)
 
 
-def stray_variables(environment: Environment) -> list[str]:
+def unread_variables(environment: Environment) -> list[str]:
     """Return names of variables with the product's prefix that no program reads."""
     known = with_secret_files((*OPTIONS, *all_settings()))
     return unknown_variables(environment.variables, known)
--- a/catkinslip/entry.py
+++ b/catkinslip/entry.py
@@ -16,7 +16,7 @@
 
 LISTEN_BACKLOG = 1024
 #: Callers keep an address answer for up to three times its lifetime.
-KEPT_ANSWERS = 3
+ADDRESS_REUSE_FACTOR = 3
 #: The share of the time until SIGKILL in which the shutdown must end. Requests that
 #: still run in the last sixth are cut.
 STOP_SHARE = 5 / 6
@@ -26,10 +26,10 @@
 #: The time to wait for an address in use. While the instance was down, an outgoing
 #: connection may have taken its port; most such connections end within seconds.
 ADDRESS_WAIT_SECONDS = 10.0
-ADDRESS_LOOK_SECONDS = 0.05
+ADDRESS_RETRY_SECONDS = 0.05
 #: The time limit for removing this instance's entry from the store, which may be
 #: unreachable. Peers receive the stop with their next poll in any case.
-WITHDRAW_SECONDS = 1.0
+WITHDRAW_TIMEOUT_SECONDS = 1.0
 PLAIN_TEXT = b'text/plain; version=0.0.4; charset=utf-8'
 
 log = logging.getLogger('lifecycle')
@@ -59,7 +59,7 @@
         await nursery.start(listen_for_reload, reload)
         await start(nursery, entry, addresses, page_servers)
         gc.freeze()
-        await stop.asked.wait()
+        await stop.requested.wait()
         await drain(entry)
         nursery.cancel_scope.cancel()
 
@@ -112,7 +112,7 @@
     Raises OSError if it is still in use after `wait_seconds`, or cannot be opened.
     """
     end = trio.current_time() + wait_seconds
-    is_told = False
+    is_logged = False
     while True:
         try:
             return await trio.open_tcp_listeners(
@@ -121,10 +121,10 @@
         except OSError as error:
             if error.errno != errno.EADDRINUSE or trio.current_time() >= end:
                 raise
-        if not is_told:
+        if not is_logged:
             log.warning('lifecycle: waiting for an address in use. address=%s', address)
-            is_told = True
-        await trio.sleep(ADDRESS_LOOK_SECONDS)
+            is_logged = True
+        await trio.sleep(ADDRESS_RETRY_SECONDS)
 
 
 async def become_ready(entry: Entry) -> None:
@@ -149,10 +149,10 @@
     callers = entry.callers.drain
     log.info('lifecycle: stopping. connections=%d', len(callers.open_wires))
     callers.start_closing()
-    kept = KEPT_ANSWERS * entry.settings.address_lifetime
-    with trio.move_on_after(WITHDRAW_SECONDS):
+    reuse_seconds = ADDRESS_REUSE_FACTOR * entry.settings.address_lifetime
+    with trio.move_on_after(WITHDRAW_TIMEOUT_SECONDS):
         await entry.poller.registration.withdraw()
-    await trio.sleep_until(min(began + kept, end - LAST_REQUEST_SECONDS))
+    await trio.sleep_until(min(began + reuse_seconds, end - LAST_REQUEST_SECONDS))
     callers.close_idle()
     with trio.move_on_at(end):
         await callers.wait_until_closed()
--- a/catkinslip/lifecycle.py
+++ b/catkinslip/lifecycle.py
@@ -19,10 +19,10 @@
 #: callers' clocks differ.
 ANSWER_MARGIN_SECONDS = 0.5
 #: Rounds of peer gossip after which no peer lists this instance in its answers.
-SPREAD_ROUNDS = 5
+GOSSIP_ROUNDS = 5
 #: The time without a request after which a connection counts as idle.
 IDLE_GRACE_SECONDS = 1.0
-LEAVE_SECONDS = 3.0
+LEAVE_TIMEOUT_SECONDS = 3.0
 
 log = logging.getLogger('lifecycle')
 
@@ -31,8 +31,8 @@
 class StopRequest:
     """Stop requests from the operating system; a second signal skips the waits."""
 
-    asked: trio.Event = Factory(trio.Event)
-    hurried: trio.Event = Factory(trio.Event)
+    requested: trio.Event = Factory(trio.Event)
+    expedited: trio.Event = Factory(trio.Event)
 
     async def listen(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
         """Receive stop signals and set the events of this request.
@@ -43,9 +43,9 @@
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             task_status.started()
             async for number in signals:
-                if number == signal.SIGINT or self.asked.is_set():
-                    self.hurried.set()
-                self.asked.set()
+                if number == signal.SIGINT or self.requested.is_set():
+                    self.expedited.set()
+                self.requested.set()
                 log.info('lifecycle: received %s.', signal.Signals(number).name)
 
 
@@ -86,23 +86,23 @@
                     handler_nursery=connections,
                 )
                 listening.start_soon(serve)
-                await self.stop.asked.wait()
-                await self._leave_answers()
+                await self.stop.requested.wait()
+                await self._withdraw_addresses()
                 await self._end_connections()
                 listening.cancel_scope.cancel()
             await self._wait_for_requests()
             connections.cancel_scope.cancel()
         log.info('lifecycle: drained.')
 
-    async def _leave_answers(self) -> None:
+    async def _withdraw_addresses(self) -> None:
         """Announce that this instance leaves, and serve until old answers expire."""
-        spread = SPREAD_ROUNDS * self.peer_interval
-        seconds = self.address_lifetime + spread + ANSWER_MARGIN_SECONDS
+        gossip_seconds = GOSSIP_ROUNDS * self.peer_interval
+        seconds = self.address_lifetime + gossip_seconds + ANSWER_MARGIN_SECONDS
         log.info('lifecycle: leaving, serving for %g s more.', seconds)
-        with trio.move_on_after(LEAVE_SECONDS):
+        with trio.move_on_after(LEAVE_TIMEOUT_SECONDS):
             await self.leave()
         with trio.move_on_after(seconds):
-            await self.stop.hurried.wait()
+            await self.stop.expedited.wait()
 
     async def _end_connections(self) -> None:
         log.info('lifecycle: ending %d connections.', len(self.drain.open_wires))
--- a/catkinslip/listeners.py
+++ b/catkinslip/listeners.py
@@ -39,17 +39,17 @@
 
 async def open_listeners(settings: DaemonSettings) -> Listeners:
     """Open the listeners of the settings; raise ListenError if one cannot be opened."""
-    with binding('--listen-host and --listen-port'):
+    with listen_errors('--listen-host and --listen-port'):
         callers = await trio.open_tcp_listeners(
             settings.listen_port, host=settings.listen_host, backlog=LISTEN_BACKLOG
         )
-    with binding('--control-host and --control-port'):
+    with listen_errors('--control-host and --control-port'):
         control = await bind_control(settings)
     return Listeners(callers, control)
 
 
 @contextmanager
-def binding(flags: str) -> Iterator[None]:
+def listen_errors(flags: str) -> Iterator[None]:
     """Raise ListenError for an OSError in the body; `flags` name the settings."""
     try:
         yield
--- a/tests/test_clock_suspension.py
+++ b/tests/test_clock_suspension.py
@@ -11,7 +11,7 @@
 import trio
 import trio.testing
 
-from catkinslip.clock import LONGEST_LOOP_SLEEP_SECONDS, LoopClock, SystemClock
+from catkinslip.clock import MAX_LOOP_SLEEP_SECONDS, LoopClock, SystemClock
 from catkinslip.crashes.suspect import TRIAL_SECONDS, Verdict
 from catkinslip.models import Address
 from catkinslip.page_client import PageClient
@@ -82,7 +82,7 @@
                 await trio.testing.wait_all_tasks_blocked()
                 machine.suspend()
             passed = woken_at[0] - began
-            self.assertLess(passed, 4 * LONGEST_LOOP_SLEEP_SECONDS)
+            self.assertLess(passed, 4 * MAX_LOOP_SLEEP_SECONDS)
 
         on_machine(check)
 
