--- a/catkinslip/platform/decoding.py
+++ b/catkinslip/platform/decoding.py
@@ -25,14 +25,14 @@
 READY = 'ready'
 DRAINING = 'draining'
 IDEMPOTENT = 'idempotent'
-MOST_SLOTS = 10_000
-MOST_PORTS = 65_535
+MAX_SLOTS = 10_000
+MAX_PORT = 65_535
 #: Milliseconds since 1970 stay below this limit for some 280,000 years.
-MOST_MILLISECONDS = 2**53
+MAX_MILLISECONDS = 2**53
 #: A longer time, over a day, cannot be that of a cold start.
-MOST_COLD_SECONDS = 86_400.0
-MOST_CORES = 10_000.0
-MOST_COLD_REQUESTS = 1_000_000.0
+MAX_COLD_SECONDS = 86_400.0
+MAX_CORES = 10_000.0
+MAX_COLD_REQUESTS_PER_SECOND = 1_000_000.0
 
 
 def decode_backend(name: str, item: Mapping[str, Any]) -> BackendEntry:
@@ -55,21 +55,21 @@
         zone=read_text(info['zone']),
         host=address.host,
         port=address.port,
-        slots=read_whole(info['slots'], 1, MOST_SLOTS),
+        slots=read_integer(info['slots'], 1, MAX_SLOTS),
         is_draining=state == DRAINING,
-        cold_seconds=read_cold(status.get('cold_left_s')),
+        cold_seconds=read_cold_seconds(status.get('cold_left_s')),
         incarnation=incarnation,
     )
 
 
-def read_incarnation(place: Mapping[str, Any]) -> int:
+def read_incarnation(fields: Mapping[str, Any]) -> int:
     """Return the start time of a server in milliseconds since 1970; 0 if missing."""
-    return read_whole(place['born'], 0, MOST_MILLISECONDS) if 'born' in place else 0
+    return read_integer(fields['born'], 0, MAX_MILLISECONDS) if 'born' in fields else 0
 
 
-def read_cold(value: Any) -> float | None:
+def read_cold_seconds(value: Any) -> float | None:
     """Return the seconds that a server stays cold; None if it has not sent them."""
-    return None if value is None else read_number(value, 0.0, MOST_COLD_SECONDS)
+    return None if value is None else read_number(value, 0.0, MAX_COLD_SECONDS)
 
 
 def read_text(value: Any) -> str:
@@ -79,25 +79,25 @@
     return value
 
 
-def read_whole(value: Any, least: int, most: int) -> int:
+def read_integer(value: Any, minimum: int, maximum: int) -> int:
     """Return a whole number within a range; raise ValueError for any other value.
 
     True and false are not numbers here.
     """
-    if type(value) is not int or not least <= value <= most:
-        raise ValueError(f'{value!r} is not a whole number from {least} to {most}')
+    if type(value) is not int or not minimum <= value <= maximum:
+        raise ValueError(f'{value!r} is not a whole number from {minimum} to {maximum}')
     return value
 
 
-def read_number(value: Any, least: float, most: float) -> float:
+def read_number(value: Any, minimum: float, maximum: float) -> float:
     """Return a finite number within a range; raise ValueError for any other value.
 
     True and false are not numbers here.
     """
     if type(value) not in (int, float) or not isfinite(value):
         raise ValueError(f'{value!r} is not a finite number')
-    if not least <= value <= most:
-        raise ValueError(f'{value!r} is not from {least} to {most}')
+    if not minimum <= value <= maximum:
+        raise ValueError(f'{value!r} is not from {minimum} to {maximum}')
     return float(value)
 
 
@@ -111,7 +111,7 @@
         socket.inet_pton(socket.AF_INET, address.host)
     except OSError:
         raise ValueError(f'{address.host!r} is not an IPv4 address') from None
-    read_whole(address.port, 1, MOST_PORTS)
+    read_integer(address.port, 1, MAX_PORT)
     return address
 
 
@@ -129,9 +129,9 @@
     return Service(
         max_connections=int(row['max_conns']),
         health_path=row['health_path'],
-        cold_seconds=read_number(row.get('cold_s', 0), 0.0, MOST_COLD_SECONDS),
+        cold_seconds=read_number(row.get('cold_s', 0), 0.0, MAX_COLD_SECONDS),
         cold_requests_per_second=read_number(
-            row.get('cold_per_s', 0), 0.0, MOST_COLD_REQUESTS
+            row.get('cold_per_s', 0), 0.0, MAX_COLD_REQUESTS_PER_SECOND
         ),
     )
 
@@ -175,7 +175,7 @@
         caller_address=str(read_address(spec['caller_address'])),
         peer_address=str(read_address(spec['peer_address'])),
         report_address=str(read_address(spec['report_address'])),
-        cores=read_number(spec['cores'], 0.0, MOST_CORES),
+        cores=read_number(spec['cores'], 0.0, MAX_CORES),
     )
 
 
--- a/catkinslip/platform/dialect.py
+++ b/catkinslip/platform/dialect.py
@@ -27,21 +27,21 @@
     RateSignal,
 )
 
-MILLISECONDS = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?\Z')
+MILLISECONDS_FORM = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?\Z')
 #: Decimal requests a second.
 RATE_FORM = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?\Z')
 REST_FORM = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?\Z')
-LOAD_FIGURE = re.compile(rb'[0-9]{1,9}\Z')
-USUAL_PERCENT = 100.0
-MOST_PERCENT = 1_000_000.0
+LOAD_FIELD_FORM = re.compile(rb'[0-9]{1,9}\Z')
+NORMAL_PERCENT = 100.0
+MAX_PERCENT = 1_000_000.0
 MISDIRECTED_STATUS = 421
-SAYS_LEAVING = b'1'
+LEAVING_VALUE = b'1'
 #: Seconds: to callers, the time until they may retry; from a server, its rest period.
 RETRY_AFTER = b'retry-after'
 #: A longer time, over a day, cannot be that of a cold start.
-MOST_COLD_SECONDS = 86_400.0
+MAX_COLD_SECONDS = 86_400.0
 #: A server that refuses requests for longer is expected to leave.
-MOST_REST_SECONDS = 86_400.0
+MAX_REST_SECONDS = 86_400.0
 #: Statuses of refusals. With any other status, Retry-After is meant for callers.
 RESTING_STATUSES = frozenset({429, 503})
 #: Headers of the caller that are not forwarded, since each attempt sets its own.
@@ -69,11 +69,11 @@
         if request_id is not None and names.REQUEST_ID_FORM.match(request_id) is None:
             return malformed('the request ID is not 1 to 128 visible characters')
         timeout = None
-        given = names.find(headers, wire.DEADLINE)
-        if given is not None:
-            if MILLISECONDS.match(given) is None:
+        deadline = names.find(headers, wire.DEADLINE)
+        if deadline is not None:
+            if MILLISECONDS_FORM.match(deadline) is None:
                 return malformed('the deadline is no number of milliseconds')
-            timeout = float(given) / 1000
+            timeout = float(deadline) / 1000
         host = (names.find(headers, b'host') or b'').decode('latin-1')
         return CallParameters(
             service='',
@@ -97,19 +97,19 @@
         self, call: Call, status: int, headers: list[Header]
     ) -> Unknown | None:
         """Return why an answer must not be forwarded; None if it may."""
-        echo = names.find(headers, wire.REQUEST_ID)
-        is_own = echo == call.request_id.encode()
+        echoed_id = names.find(headers, wire.REQUEST_ID)
+        is_same_id = echoed_id == call.request_id.encode()
         # A success must have its ID and signature; a refusal may have no such header.
-        if echo is not None and not is_own:
+        if echoed_id is not None and not is_same_id:
             return Unknown(Reason.CROSSED)
         if 200 <= status < 300:
-            if not is_own or names.find(headers, wire.SIGNATURE) is None:
+            if not is_same_id or names.find(headers, wire.SIGNATURE) is None:
                 return Unknown(Reason.BROKEN, 'a success without its signature')
             if names.find(headers, b'content-encoding') is not None:
                 return Unknown(Reason.BROKEN, "the body is not the server's own")
         elif status < 400:
             return Unknown(Reason.BROKEN, f'status {status} is no answer')
-        elif find_refusal(status, headers) is None and not is_own:
+        elif find_refusal(status, headers) is None and not is_same_id:
             return Unknown(Reason.BROKEN, 'an answer without its request ID')
         return answers.find_framing_fault(headers)
 
@@ -120,7 +120,7 @@
     def read_report(self, headers: Sequence[Header]) -> LoadReport | None:
         """Return the load report in an answer's headers; None if there is none."""
         value = names.find(headers, wire.SERVER_LOAD)
-        return None if value is None else parse_load(value)
+        return None if value is None else parse_load_report(value)
 
     def read_signals(self, status: int, headers: Sequence[Header]) -> ServerSignals:
         """Return the signals that a server sends in the headers of an answer."""
@@ -128,14 +128,14 @@
         return ServerSignals(
             read_rate(headers),
             read_rest(status, headers),
-            is_leaving=leaving is not None and leaving.strip() == SAYS_LEAVING,
+            is_leaving=leaving is not None and leaving.strip() == LEAVING_VALUE,
         )
 
     def answer_headers(self, call: Call, headers: list[Header]) -> list[Header]:
         """Return the headers of an answer as forwarded to the caller."""
-        passed = names.end_to_end(headers, REPLACED_IN_ANSWERS)
-        passed.append((wire.REQUEST_ID, call.request_id.encode()))
-        return passed
+        forwarded = names.end_to_end(headers, REPLACED_IN_ANSWERS)
+        forwarded.append((wire.REQUEST_ID, call.request_id.encode()))
+        return forwarded
 
     def problem_events(
         self,
@@ -174,7 +174,7 @@
         if names.find(headers, wire.REQUEST_ID) is not None or server_id is None:
             return None
         report = self.read_report(headers)
-        cold = read_cold(headers)
+        cold = read_cold_seconds(headers)
         return ProbeAnswer(
             status == 200,
             report,
@@ -184,7 +184,7 @@
         )
 
 
-def read_cold(headers: Sequence[Header]) -> float | None:
+def read_cold_seconds(headers: Sequence[Header]) -> float | None:
     """Return the seconds that a server stays cold; None if the header is malformed.
 
     A server that does not send the header is warm.
@@ -192,9 +192,9 @@
     value = names.find(headers, wire.COLD)
     if value is None:
         return 0.0
-    if MILLISECONDS.match(value) is None:
+    if MILLISECONDS_FORM.match(value) is None:
         return None
-    return min(float(value) / 1000, MOST_COLD_SECONDS)
+    return min(float(value) / 1000, MAX_COLD_SECONDS)
 
 
 def read_rate(headers: Sequence[Header]) -> RateSignal:
@@ -222,7 +222,7 @@
         return NO_REST
     if any(REST_FORM.match(value) is None for value in values):
         return MALFORMED_REST
-    return RestSignal(min(max(map(float, values)), MOST_REST_SECONDS))
+    return RestSignal(min(max(map(float, values)), MAX_REST_SECONDS))
 
 
 def find_refusal(status: int, headers: list[Header]) -> Reason | None:
@@ -233,20 +233,20 @@
     return Reason.SHED if refused and status >= 400 else None
 
 
-def parse_load(value: bytes) -> LoadReport | None:
+def parse_load_report(value: bytes) -> LoadReport | None:
     """Parse a load report; return None if it is malformed.
 
     Its fields are the running and waiting requests, the slots and, optionally, the time
     that work takes, in percent of the normal time.
     """
-    figures = [each.strip() for each in value.split(b',')]
-    if len(figures) < 3 or any(LOAD_FIGURE.match(each) is None for each in figures):
+    fields = [each.strip() for each in value.split(b',')]
+    if len(fields) < 3 or any(LOAD_FIELD_FORM.match(each) is None for each in fields):
         return None
-    running, waiting = int(figures[0]), int(figures[1])
+    running, waiting = int(fields[0]), int(fields[1])
     speed = None
-    if len(figures) > 3:
-        percent = min(max(float(figures[3]), 1.0), MOST_PERCENT)
-        speed = USUAL_PERCENT / percent
+    if len(fields) > 3:
+        percent = min(max(float(fields[3]), 1.0), MAX_PERCENT)
+        speed = NORMAL_PERCENT / percent
     return LoadReport(running + waiting, speed)
 
 
--- a/tests/test_platform_dialect.py
+++ b/tests/test_platform_dialect.py
@@ -4,7 +4,7 @@
 
 import h11
 
-from catkinslip.platform.dialect import PlatformDialect, parse_load
+from catkinslip.platform.dialect import PlatformDialect, parse_load_report
 from catkinslip.proxy.headers import RequestHead, find
 from catkinslip.proxy.outcomes import NotRun, Reason, Unknown
 from catkinslip.routing.base import LoadReport
@@ -71,10 +71,10 @@
         self.assertIsNone(refusal(500, [OWN_ID]))
 
     def test_load_report(self):
-        self.assertEqual(parse_load(b'3,1,8'), LoadReport(4, None))
-        self.assertEqual(parse_load(b'3, 0, 8, 400'), LoadReport(3, 0.25))
+        self.assertEqual(parse_load_report(b'3,1,8'), LoadReport(4, None))
+        self.assertEqual(parse_load_report(b'3, 0, 8, 400'), LoadReport(3, 0.25))
         for malformed in (b'', b'1,2', b'a,b,c', b'-1,0,2', b'1,0,2,x'):
-            self.assertIsNone(parse_load(malformed))
+            self.assertIsNone(parse_load_report(malformed))
 
     def test_not_run_is_the_promise_and_tells_when_to_come_back(self):
         told = self.problem(NotRun(Reason.OVERLOADED, retry_after=0.2))
