--- a/catkinslip/platform/client.py
+++ b/catkinslip/platform/client.py
@@ -50,7 +50,7 @@
 )
 
 #: The usual time is 4 ms; a slow store takes some tens of times as long.
-ANSWER_SECONDS = 1.5
+ANSWER_TIMEOUT_SECONDS = 1.5
 RETRY_AFTER_SECONDS = 0.5
 RESTORED = HistoryGone('the store was restored from a backup')
 ERA_FORM = re.compile(rb'[0-9]{1,6}\Z')
@@ -85,7 +85,7 @@
     #: The highest era in an answer; the store raises it when restored from a backup.
     era: int = 0
     #: Scopes of calls that are cancelled when the store reports a later era.
-    waits: set[trio.CancelScope] = Factory(set)
+    watch_scopes: set[trio.CancelScope] = Factory(set)
     count_by_call: Counter[tuple[str, str]] = Factory(Counter)
     unreadable_by_kind: Counter[str] = Factory(Counter)
 
@@ -118,7 +118,7 @@
         reply = await self.pages.send(
             self.address,
             f'{OBJECTS_PATH}/{path}',
-            wait + ANSWER_SECONDS,
+            wait + ANSWER_TIMEOUT_SECONDS,
             method,
             b'' if body is None else orjson.dumps(body),
         )
@@ -128,14 +128,14 @@
             case Unknown():
                 result = Failure(AnswerLost(str(reply)))
             case _:
-                result = self._judge(reply)
+                result = self._check_answer(reply)
         operation = 'watch' if wait else OPERATION_BY_METHOD[method]
         self.count_by_call[operation, outcome_of(result)] += 1
         return result
 
-    def _judge(self, reply: Reply) -> Result[StoreAnswer, PlatformError]:
+    def _check_answer(self, reply: Reply) -> Result[StoreAnswer, PlatformError]:
         """Return the answer, or an error for a refusal or an answer of an older era."""
-        era, result = read_era(reply), judge(reply)
+        era, result = read_era(reply), parse_answer(reply)
         self._note_era(era or 0)
         if isinstance(result, Failure):
             return result
@@ -151,18 +151,18 @@
         if self.era:
             log.warning('store: restored from a backup. era=%d was=%d', era, self.era)
         self.era = era
-        for scope in self.waits:
+        for scope in self.watch_scopes:
             scope.cancel()
 
     @contextmanager
-    def until_restored(self) -> Iterator[None]:
+    def cancelled_on_restore(self) -> Iterator[None]:
         """Cancel the body of the context when another answer reports a later era."""
         with trio.CancelScope() as scope:
-            self.waits.add(scope)
+            self.watch_scopes.add(scope)
             try:
                 yield
             finally:
-                self.waits.discard(scope)
+                self.watch_scopes.discard(scope)
 
 
 def read_era(reply: Reply) -> int | None:
@@ -173,7 +173,7 @@
     return int(value)
 
 
-def judge(reply: Reply) -> Result[StoreAnswer, PlatformError]:
+def parse_answer(reply: Reply) -> Result[StoreAnswer, PlatformError]:
     """Return the decoded answer of the store, or an error for a refusal."""
     if reply.status == 429:
         return Failure(OverBudget(RETRY_AFTER_SECONDS))
@@ -253,7 +253,7 @@
             return Failure(RESTORED)
         path = f'{self.kind}?watch={number_of(revision)}&wait_ms={int(wait * 1000)}'
         result = Failure(RESTORED)
-        with self.client.until_restored():
+        with self.client.cancelled_on_restore():
             result = await self.client.call('GET', path, wait=wait)
         if isinstance(result, Failure):
             return result
--- a/catkinslip/platform/program.py
+++ b/catkinslip/platform/program.py
@@ -47,7 +47,7 @@
 METRICS_PORT_VARIABLE = 'CATKINSLIP_METRICS_PORT'
 #: The lifetime of address answers. Callers may keep using an instance that has left
 #: for three times as long.
-ADDRESS_SECONDS = 3.0
+ADDRESS_LIFETIME_SECONDS = 3.0
 
 log = logging.getLogger('lifecycle')
 
@@ -136,7 +136,7 @@
             cores=settings.cores,
         ),
         seeds=settings.seeds,
-        address_lifetime=min(ADDRESS_SECONDS, settings.max_address_seconds),
+        address_lifetime=min(ADDRESS_LIFETIME_SECONDS, settings.max_address_seconds),
         stop_seconds=settings.stop_seconds,
         probes_per_second=settings.probes_per_second,
         resend_share=settings.resend_share,
--- a/catkinslip/platform/settings.py
+++ b/catkinslip/platform/settings.py
@@ -53,93 +53,93 @@
 class SettingsReader:
     """Reader of the file's fields that records every mistake with its location."""
 
-    plain: Mapping[str, Any]
+    document: Mapping[str, Any]
     mistakes: list[str] = Factory(list)
 
-    def take(self, place: str, convert: Callable[[Any], Any], default: Any) -> Any:
+    def read(self, location: str, convert: Callable[[Any], Any], default: Any) -> Any:
         """Return a converted field, or the default and record a mistake.
 
         A missing field and one that cannot be converted are mistakes.
         """
-        value = self._find(place)
+        value = self._find(location)
         if value is None:
-            self.mistakes.append(f'{place}: is missing.')
+            self.mistakes.append(f'{location}: is missing.')
             return default
         try:
             return convert(value)
         except (TypeError, ValueError, AttributeError) as error:
-            self.mistakes.append(f'{place}: {value!r} is wrong, {error}.')
+            self.mistakes.append(f'{location}: {value!r} is wrong, {error}.')
             return default
 
-    def take_number(self, place: str, default: float) -> float:
+    def read_number(self, location: str, default: float) -> float:
         """Return an optional number, or the default if the field is missing."""
-        if self._find(place) is None:
+        if self._find(location) is None:
             return default
-        return self.take(place, float, default)
+        return self.read(location, float, default)
 
-    def _find(self, place: str) -> Any | None:
-        value: Any = self.plain
-        for name in place.split('.'):
+    def _find(self, location: str) -> Any | None:
+        value: Any = self.document
+        for name in location.split('.'):
             if not isinstance(value, Mapping) or name not in value:
                 return None
             value = value[name]
         return value
 
-    def bounds(self) -> dict[str, float]:
+    def read_bounds(self) -> dict[str, float]:
         """Return the numbers of the `bounds` field by name."""
-        figure_by_name: dict[str, float] = {}
-        for text in self.take('bounds', list, []):
-            name, separator, figure = str(text).partition('=')
+        bound_by_name: dict[str, float] = {}
+        for text in self.read('bounds', list, []):
+            name, separator, number = str(text).partition('=')
             try:
-                figure_by_name[name.strip()] = float(figure)
+                bound_by_name[name.strip()] = float(number)
             except ValueError:
                 # Some bounds are true or false; none of those is used here.
-                if not separator or figure.strip() not in ('true', 'false'):
+                if not separator or number.strip() not in ('true', 'false'):
                     self.mistakes.append(f'bounds: {text!r} is not name=value.')
-        return figure_by_name
+        return bound_by_name
 
-    def bound(self, figure_by_name: dict[str, float], name: str) -> float:
+    def read_bound(self, bound_by_name: dict[str, float], name: str) -> float:
         """Return one of the bounds, or 1 and record a mistake if it is missing."""
-        if name not in figure_by_name:
+        if name not in bound_by_name:
             self.mistakes.append(f'bounds: {name} is missing.')
-        return figure_by_name.get(name, 1.0)
+        return bound_by_name.get(name, 1.0)
 
 
 def read_settings(text: str) -> Result[PlatformSettings, tuple[str, ...]]:
     """Parse the settings, or return every mistake with its location."""
     try:
-        plain = tomllib.loads(text)
+        document = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         return Failure((f'the settings file is not TOML, {error}.',))
-    reader = SettingsReader(plain)
-    nowhere = Address('0.0.0.0', 0)
-    figures = reader.bounds()
+    reader = SettingsReader(document)
+    unset_address = Address('0.0.0.0', 0)
+    bound_by_name = reader.read_bounds()
     settings = PlatformSettings(
-        instance_id=reader.take('node', str, ''),
-        zone=reader.take('zone', str, ''),
-        region=reader.take('region', str, ''),
-        caller_address=reader.take('listen.front', Address.parse, nowhere),
-        ready_address=reader.take('listen.ready', Address.parse, nowhere),
-        directory_address=reader.take('listen.directory', Address.parse, nowhere),
-        peer_address=reader.take('listen.control', Address.parse, nowhere),
+        instance_id=reader.read('node', str, ''),
+        zone=reader.read('zone', str, ''),
+        region=reader.read('region', str, ''),
+        caller_address=reader.read('listen.front', Address.parse, unset_address),
+        ready_address=reader.read('listen.ready', Address.parse, unset_address),
+        directory_address=reader.read('listen.directory', Address.parse, unset_address),
+        peer_address=reader.read('listen.control', Address.parse, unset_address),
         report_address=Address(
-            reader.take('ip', str, ''),
-            reader.take('internal_port_range', lambda ports: int(ports[0]), 0),
+            reader.read('ip', str, ''),
+            reader.read('internal_port_range', lambda ports: int(ports[0]), 0),
         ),
-        seeds=reader.take('seeds', parse_addresses, ()),
-        region_by_zone=reader.take('zones', dict, {}),
-        store_address=reader.take('platform.addr', Address.parse, nowhere),
+        seeds=reader.read('seeds', parse_addresses, ()),
+        region_by_zone=reader.read('zones', dict, {}),
+        store_address=reader.read('platform.addr', Address.parse, unset_address),
         # The process gets a share of one core, which is as fast as `cpus` cores.
-        cores=reader.take_number('limits.cpu_share', 1.0)
-        * reader.take_number('limits.cpus', 1.0),
-        stop_seconds=reader.bound(figures, 'grace_s'),
-        max_address_seconds=reader.bound(figures, 'ttl_max_s'),
-        probes_per_second=reader.bound(figures, 'probes_per_s'),
-        resend_share=reader.bound(figures, 'retry_budget_ratio'),
-        resend_slack=reader.bound(figures, 'retry_budget_slack'),
+        cores=reader.read_number('limits.cpu_share', 1.0)
+        * reader.read_number('limits.cpus', 1.0),
+        stop_seconds=reader.read_bound(bound_by_name, 'grace_s'),
+        max_address_seconds=reader.read_bound(bound_by_name, 'ttl_max_s'),
+        probes_per_second=reader.read_bound(bound_by_name, 'probes_per_s'),
+        resend_share=reader.read_bound(bound_by_name, 'retry_budget_ratio'),
+        resend_slack=reader.read_bound(bound_by_name, 'retry_budget_slack'),
         # Platforms without limits for cold servers omit these bounds.
-        cold_excess=figures.get('cold_excess'),
-        cold_slack=figures.get('cold_slack', 0.0),
+        cold_excess=bound_by_name.get('cold_excess'),
+        cold_slack=bound_by_name.get('cold_slack', 0.0),
     )
     return Failure(tuple(reader.mistakes)) if reader.mistakes else Success(settings)
 
