--- a/tests/small_platform.py
+++ b/tests/small_platform.py
@@ -41,7 +41,7 @@
     store_port: int = 0
     #: The callers' deadline in milliseconds.
     deadline_ms: int = 2000
-    #: Seconds until another server replaces a crashed one; None for no replacement.
+    #: Seconds until another server replaces a crashed one; None for never.
     restart_seconds: float | None = None
     #: Seconds for which a server's socket outlives its process and cuts every connection
     #: before another server replaces it. None if the socket closes with the process.
--- a/tests/test_resting_registry.py
+++ b/tests/test_resting_registry.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from catkinslip.platform.dialect import MOST_REST_SECONDS, read_rest
+from catkinslip.platform.dialect import MAX_REST_SECONDS, read_rest
 from catkinslip.resting.registry import RestRegistry
 from catkinslip.resting.signals import MALFORMED_REST, NO_REST, RestSignal
 from catkinslip.routing.base import BackendLoad
@@ -39,7 +39,7 @@
         self.assertEqual(signal_of(b'1', b'soon'), MALFORMED_REST)
 
     def test_absurdly_long_rest_is_cut(self):
-        self.assertEqual(signal_of(b'999999999'), RestSignal(MOST_REST_SECONDS))
+        self.assertEqual(signal_of(b'999999999'), RestSignal(MAX_REST_SECONDS))
 
 
 class RegistryTest(unittest.TestCase):
