--- a/catkinslip/core.py
+++ b/catkinslip/core.py
@@ -65,7 +65,7 @@
 
 
 def make_lifecycle(daemon: Daemon, stop: StopRequest) -> Lifecycle:
-    """Return the lifecycle of a daemon."""
+    """Return the lifecycle that serves a daemon's callers until a stop request."""
     return Lifecycle(
         stop=stop,
         drain=daemon.callers.drain,
--- a/catkinslip/entry.py
+++ b/catkinslip/entry.py
@@ -17,8 +17,8 @@
 LISTEN_BACKLOG = 1024
 #: Callers keep an address answer for up to three times its lifetime.
 ADDRESS_REUSE_FACTOR = 3
-#: The share of the time until SIGKILL in which the shutdown must end. Requests that
-#: still run in the last sixth are cut.
+#: The shutdown must end before SIGKILL, so it cuts the requests that still run after
+#: this share of the time. In the last sixth, a request may be left unfinished.
 STOP_SHARE = 5 / 6
 #: The time for the last requests that arrive before idle connections are closed.
 LAST_REQUEST_SECONDS = 1.5
--- a/catkinslip/lifecycle.py
+++ b/catkinslip/lifecycle.py
@@ -62,7 +62,7 @@
 
 @define
 class Lifecycle:
-    """The daemon's service of callers and its shutdown; durations are in seconds."""
+    """Serving of callers and graceful shutdown; durations are in seconds."""
 
     stop: StopRequest
     drain: CallerDrain
@@ -95,7 +95,7 @@
         log.info('lifecycle: drained.')
 
     async def _withdraw_addresses(self) -> None:
-        """Announce that this instance leaves, and serve until old answers expire."""
+        """Announce that this instance is leaving and serve until old answers expire."""
         gossip_seconds = GOSSIP_ROUNDS * self.peer_interval
         seconds = self.address_lifetime + gossip_seconds + ANSWER_MARGIN_SECONDS
         log.info('lifecycle: leaving, serving for %g s more.', seconds)
--- a/catkinslip/platform/dialect.py
+++ b/catkinslip/platform/dialect.py
@@ -28,7 +28,7 @@
 )
 
 MILLISECONDS_FORM = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?\Z')
-#: Decimal requests a second.
+#: The form of a rate, which is a decimal number of requests per second.
 RATE_FORM = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?\Z')
 REST_FORM = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?\Z')
 LOAD_FIELD_FORM = re.compile(rb'[0-9]{1,9}\Z')
--- a/catkinslip/platform/program.py
+++ b/catkinslip/platform/program.py
@@ -124,7 +124,7 @@
 
 
 def entry_settings(settings: PlatformSettings) -> EntrySettings:
-    """Return the settings of the product that the platform's settings result in."""
+    """Convert the platform's settings to the settings of an instance."""
     return EntrySettings(
         own=InstanceEntry(
             instance_id=settings.instance_id,
--- a/tests/small_platform.py
+++ b/tests/small_platform.py
@@ -43,8 +43,8 @@
     deadline_ms: int = 2000
     #: Seconds until another server replaces a crashed one; None for never.
     restart_seconds: float | None = None
-    #: Seconds for which a server's socket outlives its process and cuts every connection
-    #: before another server replaces it. None if the socket closes with the process.
+    #: Seconds for which a server's socket outlives its process and every connection is
+    #: cut; then another server replaces it. None if the socket closes with the process.
     held_seconds: float | None = None
     #: Additional bounds for the platform's settings file.
     bounds: str = ''
