--- a/catkinslip/discovery/peers.py
+++ b/catkinslip/discovery/peers.py
@@ -354,7 +354,7 @@
         self, address: Address, path: str, seconds: float = ANSWER_SECONDS
     ) -> Any | None:
         """Return a peer's answer as plain data; None if none arrives in time."""
-        reply = await self.client.ask(address, path, seconds)
+        reply = await self.client.send(address, path, seconds)
         if not isinstance(reply, Reply):
             log.debug('peers: no answer. address=%s reason=%s', address, reply)
             return None
--- a/catkinslip/pages.py
+++ b/catkinslip/pages.py
@@ -1,7 +1,7 @@
-"""Serve small pages over HTTP: readiness, addresses, metrics, peers' questions.
+"""HTTP server for small pages: readiness, addresses, metrics and peers' requests.
 
-The codec of the request path serves them, since quart and hypercorn add 18 MB to a
-process (resident size after import, 42 against 24 MB).
+It uses the codec of the request path, since quart and hypercorn add 18 MB to a process
+(resident size after import, 42 against 24 MB).
 """
 
 import logging
@@ -16,15 +16,15 @@
 from catkinslip.proxy.headers import RequestHead
 from catkinslip.proxy.wire import ConnectionErrors, server_wire
 
-IDLE_SECONDS = 15.0
-HEAD_SECONDS = 3.0
+IDLE_TIMEOUT_SECONDS = 15.0
+HEAD_TIMEOUT_SECONDS = 3.0
 
 log = logging.getLogger('pages')
 
 
 @frozen
 class Page:
-    """One answer."""
+    """Status, body and content type of a page."""
 
     status: int
     body: bytes = b''
@@ -32,49 +32,49 @@
 
 
 NOT_FOUND = Page(404)
-PageMaker = Callable[[str], Awaitable[Page]]
+PageHandler = Callable[[str], Awaitable[Page]]
 
 
 @define
 class PageServer:
-    """Answer GET requests by path; the maker of a page gets the query string."""
+    """HTTP server of pages by path; a page's handler receives the query string."""
 
-    maker_by_path: dict[str, PageMaker]
-    heads: HeadReader = HeadReader(IDLE_SECONDS, HEAD_SECONDS)
+    handler_by_path: dict[str, PageHandler]
+    head_reader: HeadReader = HeadReader(IDLE_TIMEOUT_SECONDS, HEAD_TIMEOUT_SECONDS)
 
     async def serve(self, stream: trio.abc.Stream) -> None:
         """Serve one connection until either side closes it."""
         wire = server_wire(stream)
         try:
             while True:
-                request = await self.heads.read(wire)
+                request = await self.head_reader.read(wire)
                 if not isinstance(request, RequestHead):
                     return
                 while type(await wire.receive()) is not h11.EndOfMessage:
                     pass
-                page = await self._make(request)
+                page = await self._handle(request)
                 await wire.send(*page_events(page))
                 if wire.codec.our_state is not h11.DONE:
                     return
                 wire.start_next_cycle()
         except (*ConnectionErrors, h11.ProtocolError) as error:
-            log.debug('pages: a connection ended. error=%r', error)
+            log.debug('pages: connection ended. error=%r', error)
         except Exception:
-            # One question must not stop the process.
-            log.exception('pages: a question failed.')
+            # A failure of one request must not stop the process.
+            log.exception('pages: request failed.')
         finally:
             with trio.CancelScope(shield=True):
                 await wire.close()
 
-    async def _make(self, request: RequestHead) -> Page:
+    async def _handle(self, request: RequestHead) -> Page:
         target = origin_form(request.target).decode('latin-1')
         path, _, query = target.partition('?')
-        maker = self.maker_by_path.get(path)
-        return NOT_FOUND if maker is None else await maker(query)
+        handler = self.handler_by_path.get(path)
+        return NOT_FOUND if handler is None else await handler(query)
 
 
 def page_events(page: Page) -> list[h11.Event]:
-    """Return a page as the codec sends it."""
+    """Return the events of a page for the codec."""
     headers = [
         (b'content-type', page.content_type),
         (b'content-length', b'%d' % len(page.body)),
--- a/catkinslip/platform/dialect.py
+++ b/catkinslip/platform/dialect.py
@@ -1,4 +1,4 @@
-"""The platform's headers on requests and answers."""
+"""The dialect of the platform: its headers on requests and answers."""
 
 import math
 import re
@@ -27,24 +27,24 @@
     RateSignal,
 )
 
-MILLISECONDS = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?\Z')
-#: Decimal requests a second.
+MILLISECONDS_FORM = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?\Z')
+#: The form of a rate, which is a decimal number of requests per second.
 RATE_FORM = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?\Z')
 REST_FORM = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?\Z')
-LOAD_FIGURE = re.compile(rb'[0-9]{1,9}\Z')
-USUAL_PERCENT = 100.0
-MOST_PERCENT = 1_000_000.0
+LOAD_FIELD_FORM = re.compile(rb'[0-9]{1,9}\Z')
+NORMAL_PERCENT = 100.0
+MAX_PERCENT = 1_000_000.0
 MISDIRECTED_STATUS = 421
-SAYS_LEAVING = b'1'
-#: To callers: when to come back; from a server: how long it wants nothing from here.
+LEAVING_VALUE = b'1'
+#: Seconds: to callers, the time until they may retry; from a server, its rest period.
 RETRY_AFTER = b'retry-after'
-#: A cold start that lasts a day is none.
-MOST_COLD_SECONDS = 86_400.0
-#: A server that is to get nothing for longer leaves.
-MOST_REST_SECONDS = 86_400.0
-#: Statuses with which a server turns away; others say with the header what callers do.
+#: A longer time, over a day, cannot be that of a cold start.
+MAX_COLD_SECONDS = 86_400.0
+#: A server that refuses requests for longer is expected to leave.
+MAX_REST_SECONDS = 86_400.0
+#: Statuses of refusals. With any other status, Retry-After is meant for callers.
 RESTING_STATUSES = frozenset({429, 503})
-#: Set anew on each request, so what the caller sent does not pass.
+#: Headers of the caller that are not forwarded, since each attempt sets its own.
 REPLACED_IN_REQUESTS = names.HOP_BY_HOP | {
     b'content-length',
     b'expect',
@@ -52,27 +52,28 @@
     wire.TARGET,
 }
 REPLACED_IN_ANSWERS = names.HOP_BY_HOP | {wire.REQUEST_ID}
-#: Callers come back at most this late; more of them would never.
+#: The shortest time before a retry that callers are sent; after a longer one, more of
+#: them would not retry at all.
 MIN_RETRY_AFTER_SECONDS = 0.05
 
 
 class PlatformDialect(Dialect):
-    """Spell the platform's headers."""
+    """Codec of the platform's headers."""
 
     def read_parameters(
         self, request: RequestHead, wall: float
     ) -> CallParameters | NotRun:
-        """Read a caller's headers, or refuse one that is malformed."""
+        """Return the call parameters of a request, or a refusal if one is malformed."""
         headers = request.headers
         request_id = names.find(headers, wire.REQUEST_ID)
         if request_id is not None and names.REQUEST_ID_FORM.match(request_id) is None:
             return malformed('the request ID is not 1 to 128 visible characters')
         timeout = None
-        given = names.find(headers, wire.DEADLINE)
-        if given is not None:
-            if MILLISECONDS.match(given) is None:
+        deadline = names.find(headers, wire.DEADLINE)
+        if deadline is not None:
+            if MILLISECONDS_FORM.match(deadline) is None:
                 return malformed('the deadline is no number of milliseconds')
-            timeout = float(given) / 1000
+            timeout = float(deadline) / 1000
         host = (names.find(headers, b'host') or b'').decode('latin-1')
         return CallParameters(
             service='',
@@ -95,46 +96,46 @@
     def find_fault(
         self, call: Call, status: int, headers: list[Header]
     ) -> Unknown | None:
-        """Return why an answer must not reach the caller; None when it may."""
-        echo = names.find(headers, wire.REQUEST_ID)
-        is_own = echo == call.request_id.encode()
-        # A success proves itself; a refusal may come without any of its headers.
-        if echo is not None and not is_own:
+        """Return why an answer must not be forwarded; None if it may."""
+        echoed_id = names.find(headers, wire.REQUEST_ID)
+        is_same_id = echoed_id == call.request_id.encode()
+        # A success must have its ID and signature; a refusal may have no such header.
+        if echoed_id is not None and not is_same_id:
             return Unknown(Reason.CROSSED)
         if 200 <= status < 300:
-            if not is_own or names.find(headers, wire.SIGNATURE) is None:
+            if not is_same_id or names.find(headers, wire.SIGNATURE) is None:
                 return Unknown(Reason.BROKEN, 'a success without its signature')
             if names.find(headers, b'content-encoding') is not None:
                 return Unknown(Reason.BROKEN, "the body is not the server's own")
         elif status < 400:
             return Unknown(Reason.BROKEN, f'status {status} is no answer')
-        elif find_refusal(status, headers) is None and not is_own:
+        elif find_refusal(status, headers) is None and not is_same_id:
             return Unknown(Reason.BROKEN, 'an answer without its request ID')
         return answers.find_framing_fault(headers)
 
     def find_refusal(self, status: int, headers: list[Header]) -> Reason | None:
-        """Return why the backend server did not run a request; None if it may have."""
+        """Return why a server did not run a request; None if it may have run it."""
         return find_refusal(status, headers)
 
     def read_report(self, headers: Sequence[Header]) -> LoadReport | None:
-        """Return the load report of an answer."""
+        """Return the load report in an answer's headers; None if there is none."""
         value = names.find(headers, wire.SERVER_LOAD)
-        return None if value is None else parse_load(value)
+        return None if value is None else parse_load_report(value)
 
     def read_signals(self, status: int, headers: Sequence[Header]) -> ServerSignals:
-        """Return what an answer asks for in the name of its server."""
+        """Return the signals that a server sends in the headers of an answer."""
         leaving = names.find(headers, wire.LEAVING)
         return ServerSignals(
             read_rate(headers),
             read_rest(status, headers),
-            is_leaving=leaving is not None and leaving.strip() == SAYS_LEAVING,
+            is_leaving=leaving is not None and leaving.strip() == LEAVING_VALUE,
         )
 
     def answer_headers(self, call: Call, headers: list[Header]) -> list[Header]:
-        """Return an answer's headers for the caller."""
-        passed = names.end_to_end(headers, REPLACED_IN_ANSWERS)
-        passed.append((wire.REQUEST_ID, call.request_id.encode()))
-        return passed
+        """Return the headers of an answer as forwarded to the caller."""
+        forwarded = names.end_to_end(headers, REPLACED_IN_ANSWERS)
+        forwarded.append((wire.REQUEST_ID, call.request_id.encode()))
+        return forwarded
 
     def problem_events(
         self,
@@ -144,10 +145,10 @@
         *,
         close: bool = False,
     ) -> list[h11.Event]:
-        """Return the answer that tells a caller how a request ended."""
+        """Return the error answer to a request that no backend server answered."""
         status = outcome.reason.status
         if isinstance(outcome, NotRun) and status >= 500:
-            # The only 5xx status that promises that the request has not run.
+            # 503 is the only 5xx status that guarantees that the request has not run.
             status = 503
         headers = [(wire.REQUEST_ID, request_id.encode())]
         if status == 503:
@@ -162,18 +163,18 @@
         return [response, *([h11.Data(data=body)] if body else []), h11.EndOfMessage()]
 
     def probe_request(self, service: str, path: str) -> h11.Request:
-        """Return the head of a probe."""
+        """Return the request head of a probe."""
         return h11.Request(
             method='GET', target=path, headers=[(b'host', service.encode())]
         )
 
     def read_probe(self, status: int, headers: list[Header]) -> ProbeAnswer | None:
-        """Read the answer to a probe; None when it answers something else."""
+        """Return the content of a probe answer; None if it answers another request."""
         server_id = names.find(headers, wire.SERVER_ID)
         if names.find(headers, wire.REQUEST_ID) is not None or server_id is None:
             return None
         report = self.read_report(headers)
-        cold = read_cold(headers)
+        cold = read_cold_seconds(headers)
         return ProbeAnswer(
             status == 200,
             report,
@@ -183,23 +184,23 @@
         )
 
 
-def read_cold(headers: Sequence[Header]) -> float | None:
-    """Return the seconds that a server says it stays cold; None where malformed.
+def read_cold_seconds(headers: Sequence[Header]) -> float | None:
+    """Return the seconds that a server stays cold; None if the header is malformed.
 
-    A server that says nothing is warm.
+    A server that does not send the header is warm.
     """
     value = names.find(headers, wire.COLD)
     if value is None:
         return 0.0
-    if MILLISECONDS.match(value) is None:
+    if MILLISECONDS_FORM.match(value) is None:
         return None
-    return min(float(value) / 1000, MOST_COLD_SECONDS)
+    return min(float(value) / 1000, MAX_COLD_SECONDS)
 
 
 def read_rate(headers: Sequence[Header]) -> RateSignal:
-    """Return what an answer says of the rate that its server takes.
+    """Return the request rate that a server advertises in an answer.
 
-    Of several rates the lowest counts; one that cannot be read spoils all.
+    The lowest of several rates applies; one malformed rate makes all malformed.
     """
     values = [value for name, value in headers if name == wire.RATE]
     if not values:
@@ -210,9 +211,9 @@
 
 
 def read_rest(status: int, headers: Sequence[Header]) -> RestSignal:
-    """Return what an answer says of the rest that its server wants.
+    """Return the rest period that a server requests in an answer.
 
-    Of several times the longest counts; one that cannot be read spoils all.
+    The longest of several periods applies; one malformed period makes all malformed.
     """
     if status not in RESTING_STATUSES:
         return NO_REST
@@ -221,32 +222,40 @@
         return NO_REST
     if any(REST_FORM.match(value) is None for value in values):
         return MALFORMED_REST
-    return RestSignal(min(max(map(float, values)), MOST_REST_SECONDS))
+    return RestSignal(min(max(map(float, values)), MAX_REST_SECONDS))
 
 
 def find_refusal(status: int, headers: list[Header]) -> Reason | None:
-    """Return why the backend server did not run a request; None if it may have."""
+    """Return why a server did not run a request; None if it may have run it."""
     if status == MISDIRECTED_STATUS:
         return Reason.MISDIRECTED
     refused = names.find(headers, wire.NOT_EXECUTED) is not None
     return Reason.SHED if refused and status >= 400 else None
 
 
-def parse_load(value: bytes) -> LoadReport | None:
-    """Parse running, waiting, slots and the time that work takes; None if malformed."""
-    figures = [each.strip() for each in value.split(b',')]
-    if len(figures) < 3 or any(LOAD_FIGURE.match(each) is None for each in figures):
+def parse_load_report(value: bytes) -> LoadReport | None:
+    """Parse a load report; return None if it is malformed.
+
+    Its fields are the running and waiting requests, the slots and, optionally, the time
+    that work takes, in percent of the normal time.
+    """
+    fields = [each.strip() for each in value.split(b',')]
+    if len(fields) < 3 or any(LOAD_FIELD_FORM.match(each) is None for each in fields):
         return None
-    running, waiting = int(figures[0]), int(figures[1])
+    running, waiting = int(fields[0]), int(fields[1])
     speed = None
-    if len(figures) > 3:
-        percent = min(max(float(figures[3]), 1.0), MOST_PERCENT)
-        speed = USUAL_PERCENT / percent
+    if len(fields) > 3:
+        percent = min(max(float(fields[3]), 1.0), MAX_PERCENT)
+        speed = NORMAL_PERCENT / percent
     return LoadReport(running + waiting, speed)
 
 
 def retry_after_seconds(outcome: NotRun | Unknown) -> float:
-    """Return when to come back; a time that no caller has left is of no use."""
+    """Return the time in seconds after which a caller may retry a request.
+
+    MIN_RETRY_AFTER_SECONDS replaces a time that is missing, shorter or infinite: no
+    caller has an infinite time left.
+    """
     seconds = outcome.retry_after if isinstance(outcome, NotRun) else None
     if seconds is None or not math.isfinite(seconds):
         return MIN_RETRY_AFTER_SECONDS
--- a/tests/test_clock_suspension.py
+++ b/tests/test_clock_suspension.py
@@ -1,7 +1,8 @@
-"""A machine that was suspended for seconds believes nothing of before to be fresh.
+"""Tests that ages and deadlines include the time of a machine's suspension.
 
-The monotonic clock of the system stands still while a machine is suspended, so a load
-report, a kept connection and a deadline looked ten seconds younger than they were.
+The monotonic clock of the system stops while a machine is suspended. After a suspension
+of ten seconds, a load report, a reused connection and a deadline appeared ten seconds
+younger than they were.
 """
 
 import time
@@ -11,7 +12,7 @@
 import trio
 import trio.testing
 
-from catkinslip.clock import LONGEST_LOOP_SLEEP_SECONDS, LoopClock, SystemClock
+from catkinslip.clock import MAX_LOOP_SLEEP_SECONDS, LoopClock, SystemClock
 from catkinslip.crashes.suspect import TRIAL_SECONDS, Verdict
 from catkinslip.models import Address
 from catkinslip.page_client import PageClient
@@ -30,24 +31,24 @@
 
 
 class Machine:
-    """The system's clocks, of which one stands still while the machine is suspended."""
+    """Fake of the system's clocks, of which one stops during a suspension."""
 
     def __init__(self) -> None:
         self.suspended = 0.0
         self.read = time.clock_gettime
 
     def clock_gettime(self, which: int) -> float:
-        """Return the time of one of the system's clocks."""
+        """Return the time of a clock of the system in seconds."""
         counts = which in (time.CLOCK_BOOTTIME, time.CLOCK_REALTIME)
         return self.read(which) + (self.suspended if counts else 0.0)
 
     def suspend(self) -> None:
-        """Let time pass that the monotonic clock does not count."""
+        """Advance the clocks that include suspensions by SUSPENDED_SECONDS."""
         self.suspended += SUSPENDED_SECONDS
 
 
 def on_machine(check) -> None:
-    """Run an async check on a machine that can be suspended."""
+    """Run an async check with the fake clocks of a machine."""
     machine = Machine()
 
     async def run():
@@ -59,7 +60,7 @@
 
 
 class SuspensionTest(unittest.TestCase):
-    """Ages, deadlines and timers count the time of a suspension."""
+    """Ages, deadlines and timers after a suspension."""
 
     def test_clock_counts_it(self):
         async def check(machine):
@@ -85,18 +86,18 @@
                 await trio.testing.wait_all_tasks_blocked()
                 machine.suspend()
             passed = woken_at[0] - began
-            self.assertLess(passed, 4 * LONGEST_LOOP_SLEEP_SECONDS)
+            self.assertLess(passed, 4 * MAX_LOOP_SLEEP_SECONDS)
 
         on_machine(check)
 
-    def test_kept_connection_is_not_taken_for_a_recent_one(self):
+    def test_reused_connection_does_not_count_as_recent(self):
         async def check(machine):
             pool = BackendPool()
             async with trio.open_nursery() as nursery:
                 backend = RawBackend([ok()])
                 listeners = await nursery.start(trio.serve_tcp, backend.serve, 0)
                 address = Address('127.0.0.1', listeners[0].socket.getsockname()[1])
-                await PageClient(pool).ask(address, '/', GENEROUS_SECONDS)
+                await PageClient(pool).send(address, '/', GENEROUS_SECONDS)
                 self.assertTrue(pool.connections_by_address[address].idle)
                 machine.suspend()
                 wire = await pool.acquire(address, RECENT_SECONDS)
@@ -132,10 +133,10 @@
             book = registry_with(3)
             suspect = book.suspect_by_key[KEY]
             suspect.changed_at = clock.monotonic() - TRIAL_SECONDS[0] / 2
-            judged = book.decide(KEY, 'q', clock.monotonic()).verdict
-            self.assertIs(judged, Verdict.REFUSED)
+            verdict = book.decide(KEY, 'q', clock.monotonic()).verdict
+            self.assertIs(verdict, Verdict.REFUSED)
             machine.suspend()
-            judged = book.decide(KEY, 'q', clock.monotonic()).verdict
-            self.assertIs(judged, Verdict.TRIAL)
+            verdict = book.decide(KEY, 'q', clock.monotonic()).verdict
+            self.assertIs(verdict, Verdict.TRIAL)
 
         on_machine(check)
--- a/tests/test_platform_client.py
+++ b/tests/test_platform_client.py
@@ -1,4 +1,4 @@
-"""What is read from the platform's store."""
+"""Tests of the client of the platform's store."""
 
 import unittest
 
@@ -8,7 +8,9 @@
 
 from catkinslip.crashes.base import CrashRecord
 from catkinslip.crashes.identity import RequestKey
-from catkinslip.discovery.base import HistoryRemoved
+from catkinslip.discovery.base import (
+    HistoryRemoved,
+)
 from catkinslip.discovery.revisions import era_of
 from catkinslip.models import Address
 from catkinslip.platform import names
@@ -26,13 +28,13 @@
 
 
 def backends(platform: SmallPlatform) -> KindSource:
-    """Return the source of the registered servers."""
+    """Return a source of the servers registered in a small platform's store."""
     address = Address('127.0.0.1', platform.store_port)
     return KindSource(StoreClient(address), names.SERVERS_KIND, decode_backend)
 
 
 class ListingTest(unittest.TestCase):
-    """Listings of several pages."""
+    """Listings that consist of several pages."""
 
     def test_change_between_two_pages_is_news_after_the_listing(self):
         async def check(platform):
@@ -59,7 +61,7 @@
 
 
 class ForeignObjectsTest(unittest.TestCase):
-    """Objects of another writer among the registered servers."""
+    """Unreadable objects from another writer among the registered servers."""
 
     def test_listing_gives_all_others(self):
         async def check(platform):
@@ -101,9 +103,9 @@
 
 
 class StatusTest(unittest.TestCase):
-    """What a status says without a body that can be read."""
+    """Statuses that are understood without a readable body."""
 
-    def test_history_that_is_gone_is_told_by_the_status_alone(self):
+    def test_removed_history_is_recognized_by_the_status_alone(self):
         async def check(platform):
             source = backends(platform)
             listing = (await source.read_all()).unwrap()
@@ -116,20 +118,27 @@
 
 
 class EraTest(unittest.TestCase):
-    """Answers of the store's lives."""
+    """Answers of a store that was restored, whose era is then a later one."""
 
-    def test_answer_of_an_earlier_life_or_of_none_is_no_answer(self):
+    def test_answer_of_an_earlier_era_or_of_none_is_refused(self):
         async def check(platform):
             source = backends(platform)
-            for era, is_taken in ((None, 1), (2, 1), (1, 0), (None, 0), (2, 1), (3, 1)):
+            for era, is_accepted in (
+                (None, 1),
+                (2, 1),
+                (1, 0),
+                (None, 0),
+                (2, 1),
+                (3, 1),
+            ):
                 platform.store.era = era
                 result = await source.read_all()
-                self.assertEqual(isinstance(result, Success), bool(is_taken), era)
+                self.assertEqual(isinstance(result, Success), bool(is_accepted), era)
             self.assertEqual(era_of((await source.read_all()).unwrap().revision), 3)
 
         on_platform(check)
 
-    def test_refusal_is_told_as_such_without_an_era(self):
+    def test_refusal_is_recognized_without_an_era(self):
         async def check(platform):
             platform.store.era = 1
             source = backends(platform)
@@ -140,20 +149,20 @@
 
         on_platform(check)
 
-    def test_listing_over_two_lives_is_none(self):
+    def test_listing_over_two_eras_fails(self):
         async def check(platform):
             platform.store.era = 1
             for number in range(3):
                 platform.register(f'i-{number}', 'one', 80 + number)
             platform.store.page_items = 2
-            copy = platform.store.copy()
-            platform.store.on_page = lambda: platform.store.restore(copy)
+            backup = platform.store.copy()
+            platform.store.on_page = lambda: platform.store.restore(backup)
             result = await backends(platform).read_all()
             self.assertIsInstance(result, Failure)
 
         on_platform(check)
 
-    def test_wait_ends_as_another_answer_tells_a_later_life(self):
+    def test_wait_ends_when_another_answer_names_a_later_era(self):
         async def check(platform):
             platform.store.era, platform.store.tells_gone = 1, False
             source = backends(platform)
@@ -172,7 +181,7 @@
 
         on_platform(check)
 
-    def test_nothing_is_written_on_a_revision_of_an_earlier_life(self):
+    def test_nothing_is_written_on_a_revision_of_an_earlier_era(self):
         async def check(platform):
             platform.store.era = 1
             source = backends(platform)
@@ -193,7 +202,7 @@
 
 
 class ConnectionTest(unittest.TestCase):
-    """Connections to the store."""
+    """Connections to the store, which use TCP keep-alive."""
 
     def test_silent_connection_is_ended_by_the_kernel(self):
         async def check(platform):
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -1,4 +1,4 @@
-"""The whole path on the users' platform, in one loop without the bench."""
+"""Tests of the whole request path on the users' platform, in one event loop."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 
 
 async def two_workers(platform: SmallPlatform, **fields) -> list:
-    """Start two servers of a service and an instance; return the servers."""
+    """Start two servers of a service and one instance, and return the servers."""
     for server_id in ('i-1', 'i-2'):
         await platform.add_worker(server_id, **fields)
     await platform.add_entry()
@@ -23,12 +23,12 @@
 
 
 class PathTest(unittest.TestCase):
-    """What callers and servers see of one request."""
+    """Requests through one instance, as callers and servers see them."""
 
     def test_request_is_answered_unchanged(self):
         async def check(platform):
             await two_workers(platform)
-            answer = await platform.ask('POST', '/p/x?y=1', content=b'body')
+            answer = await platform.send('POST', '/p/x?y=1', content=b'body')
             self.assertEqual(answer.status_code, 200)
             self.assertEqual(answer.content, b'answer to r1')
             self.assertEqual(answer.headers['response-signature'], 'signed-r1')
@@ -36,8 +36,8 @@
             worker = next(w for w in platform.worker_by_id.values() if w.heads)
             self.assertEqual(worker.heads[0].target, b'/p/x?y=1')
             self.assertEqual(worker.bodies, [b'body'])
-            left = int(dict(worker.heads[0].headers)[b'deadline-ms'])
-            self.assertLessEqual(left, 1500)
+            remaining_ms = int(dict(worker.heads[0].headers)[b'deadline-ms'])
+            self.assertLessEqual(remaining_ms, 1500)
 
         on_platform(check)
 
@@ -45,7 +45,7 @@
         async def check(platform):
             await platform.add_entry()
             self.assertEqual((await platform.get('/none/')).status_code, 404)
-            answer = await platform.ask('POST', '/p/x')
+            answer = await platform.send('POST', '/p/x')
             self.assertEqual(answer.status_code, 503)
             self.assertIn('retry-after', answer.headers)
 
@@ -56,7 +56,7 @@
             first, second = await two_workers(platform)
             first.fault = Fault.SHED
             for number in range(6):
-                answer = await platform.ask('POST', '/p/x', request_id=f'r{number}')
+                answer = await platform.send('POST', '/p/x', request_id=f'r{number}')
                 self.assertEqual(answer.status_code, 200)
             self.assertEqual(len(second.heads), 6)
 
@@ -66,7 +66,7 @@
         async def check(platform):
             for worker in await two_workers(platform):
                 worker.fault = Fault.RESET
-            answer = await platform.ask('POST', '/p/x')
+            answer = await platform.send('POST', '/p/x')
             self.assertEqual(answer.status_code, 502)
             self.assertEqual(platform.runs(), 1)
 
@@ -76,7 +76,7 @@
         async def check(platform):
             for worker in await two_workers(platform):
                 worker.fault = Fault.CROSSED
-            answer = await platform.ask('POST', '/p/x')
+            answer = await platform.send('POST', '/p/x')
             self.assertEqual(answer.status_code, 502)
             self.assertNotIn('response-signature', answer.headers)
 
@@ -97,7 +97,7 @@
             for worker in await two_workers(platform):
                 worker.fault = Fault.CUT
             with self.assertRaises(httpx.HTTPError):
-                await platform.ask('POST', '/p/x')
+                await platform.send('POST', '/p/x')
 
         on_platform(check)
 
@@ -110,19 +110,19 @@
 
         on_platform(check)
 
-    def test_address_of_another_server_is_not_believed(self):
+    def test_address_of_another_server_is_not_used(self):
         async def check(platform):
             port = await platform.add_worker('i-1')
             platform.register('i-gone', 'one', port)
             platform.store.remove('servers', 'i-1')
             await platform.add_entry()
-            answer = await platform.ask('POST', '/p/x')
+            answer = await platform.send('POST', '/p/x')
             self.assertEqual(answer.status_code, 503)
             self.assertEqual(platform.runs(), 0)
 
         on_platform(check)
 
-    def test_caller_that_leaves_ends_the_run(self):
+    def test_caller_that_disconnects_ends_the_run(self):
         async def check(platform):
             await platform.add_worker('i-1', work_seconds=20)
             await platform.add_entry()
@@ -137,7 +137,7 @@
             first, second = await two_workers(platform)
             first.is_deaf = True
             for number in range(4):
-                answer = await platform.ask('POST', '/p/x', request_id=f'r{number}')
+                answer = await platform.send('POST', '/p/x', request_id=f'r{number}')
                 self.assertEqual(answer.status_code, 200)
             self.assertEqual(len(second.heads), 4)
 
@@ -146,19 +146,19 @@
     def test_request_at_a_server_that_falls_silent_goes_to_another(self):
         async def check(platform):
             workers = await two_workers(platform)
-            # Each answer earns a share of a second send.
+            # Each answer adds a share of a repeated send to the retry budget.
             for number in range(10):
-                await platform.ask('POST', '/p/x', request_id=f'before-{number}')
+                await platform.send('POST', '/p/x', request_id=f'before-{number}')
             for worker in workers:
                 worker.fault = Fault.SILENT
                 worker.heads.clear()
             answers = []
 
-            async def ask():
+            async def send():
                 answers.append(await platform.get(deadline_ms=1400))
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(ask)
+                nursery.start_soon(send)
                 await wait_for(lambda: any(worker.heads for worker in workers))
                 first, other = sorted(workers, key=lambda worker: not worker.heads)
                 first.is_deaf = True
@@ -173,7 +173,7 @@
             await two_workers(platform, probe_seconds=0.1)
             platform.entries[0].sampler.answer_seconds = 0.02
             for number in range(4):
-                answer = await platform.ask('POST', '/p/x', request_id=f'r{number}')
+                answer = await platform.send('POST', '/p/x', request_id=f'r{number}')
                 self.assertEqual(answer.status_code, 200)
 
         on_platform(check)
@@ -203,7 +203,7 @@
             first, second = await two_workers(platform)
             first.percent = 400
             for number in range(6):
-                await platform.ask('POST', '/p/x', request_id=f'r{number}')
+                await platform.send('POST', '/p/x', request_id=f'r{number}')
             self.assertEqual(len(second.heads), 6)
 
         on_platform(check)
