--- a/catkinslip/settings/__init__.py
+++ b/catkinslip/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of both programs, from flags and environment variables."""
+"""Settings of the daemon and the tool, from flags and environment variables."""
--- a/catkinslip/settings/base.py
+++ b/catkinslip/settings/base.py
@@ -1,4 +1,4 @@
-"""Read declared settings and report every mistake at once."""
+"""Declaration and reading of settings; all mistakes are reported together."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable, Mapping, Sequence
@@ -14,7 +14,7 @@
 
 @frozen
 class Option:
-    """One setting: its flag, variable, default, conversion and help."""
+    """Declaration of one setting: flag, default, conversion, help and group."""
 
     flag: str
     default: str
@@ -25,27 +25,27 @@
 
     @property
     def name(self) -> str:
-        """Return the flag without its dashes."""
+        """Return the flag without its leading dashes."""
         return self.flag.removeprefix('--')
 
     @property
     def field(self) -> str:
-        """Return the attribute that holds the value."""
+        """Return the name of the field that holds the value of the setting."""
         return self.name.replace('-', '_')
 
     @property
     def variable(self) -> str:
-        """Return the name of the environment variable."""
+        """Return the name of the environment variable of the setting."""
         return VARIABLE_PREFIX + self.field.upper()
 
     @property
     def range_text(self) -> str:
-        """Return what the value must be, or an empty text."""
+        """Return a phrase for the allowed values, or an empty text for any value."""
         return getattr(self.convert, 'text', '')
 
     @property
     def sentences(self) -> str:
-        """Return the help: meaning, range, default and variable."""
+        """Return the help of the setting with its range, default and variable."""
         parts = [self.help]
         if self.range_text:
             parts.append(f'Must be {self.range_text}.')
@@ -55,7 +55,7 @@
         return ' '.join(parts)
 
     def file_option(self) -> 'Option':
-        """Return the option that names a file which holds a secret."""
+        """Return the option for a file that contains the value of this option."""
         return Option(
             self.flag + FILE_SUFFIX,
             '',
@@ -67,27 +67,27 @@
 
 @frozen
 class SettingsError:
-    """Every mistake found in flags and variables, one sentence each."""
+    """Every mistake found in flags and variables, as one sentence each."""
 
     mistakes: tuple[str, ...]
 
 
 class Conversion(ABC):
-    """Convert the text of a setting and check its range."""
+    """Conversion of the text of a setting, with a check of its range."""
 
     @property
     @abstractmethod
     def text(self) -> str:
-        """Return what the value must be, for help and errors."""
+        """Return a phrase for the allowed values, used in help and errors."""
 
     @abstractmethod
     def __call__(self, text: str) -> Any:
-        """Convert a text; raise ValueError when it is wrong."""
+        """Convert the text of a setting; raise ValueError if it is not allowed."""
 
 
 @frozen
 class NumberConversion(Conversion):
-    """Convert to a number within a range."""
+    """Conversion to a number within a range, both limits included."""
 
     low: float
     high: float
@@ -96,12 +96,12 @@
 
     @property
     def text(self) -> str:
-        """Return what the value must be, for help and errors."""
+        """Return a phrase for the allowed values, used in help and errors."""
         word = 'a whole number ' if self.kind is int else ''
         return f'{word}from {shown(self.low)} to {shown(self.high)} {self.unit}'
 
     def __call__(self, text: str) -> float:
-        """Convert a text; raise ValueError when it is wrong."""
+        """Convert the text of a setting; raise ValueError if it is not allowed."""
         value = self.kind(text)
         if not self.low <= value <= self.high:
             raise ValueError(text)
@@ -110,24 +110,24 @@
 
 @frozen
 class WordConversion(Conversion):
-    """Accept only some words."""
+    """Conversion that accepts one of several choices."""
 
     choices: tuple[str, ...]
 
     @property
     def text(self) -> str:
-        """Return what the value must be, for help and errors."""
+        """Return a phrase for the allowed values, used in help and errors."""
         return 'one of ' + ', '.join(self.choices)
 
     def __call__(self, text: str) -> str:
-        """Convert a text; raise ValueError when it is wrong."""
+        """Convert the text of a setting; raise ValueError if it is not allowed."""
         if text not in self.choices:
             raise ValueError(text)
         return text
 
 
 def shown(value: float) -> str:
-    """Return a number without needless zeros or powers."""
+    """Return a number as text, without a fraction if it is whole."""
     return str(int(value)) if value == int(value) else str(value)
 
 
@@ -142,17 +142,17 @@
 
 
 def one_of(*choices: str) -> WordConversion:
-    """Return a conversion that accepts only the given words."""
+    """Return a conversion that accepts only the given choices."""
     return WordConversion(choices)
 
 
 def words(text: str) -> tuple[str, ...]:
-    """Split a comma-separated list."""
+    """Split a comma-separated list into its items, without empty ones."""
     return tuple(word.strip() for word in text.split(',') if word.strip())
 
 
 def with_secret_files(options: Sequence[Option]) -> tuple[Option, ...]:
-    """Return the options and, after each secret, the one that names its file."""
+    """Return options with, after each secret, the option for its file."""
     found: list[Option] = []
     for option in options:
         found.append(option)
@@ -166,7 +166,10 @@
     flags: Mapping[str, str | None],
     variables: Mapping[str, str],
 ) -> Result[dict[str, Any], SettingsError]:
-    """Convert all values, flags before variables before files before defaults."""
+    """Read and convert settings from flags, variables, files and defaults.
+
+    An earlier source in this order overrides a later one.
+    """
     value_by_field: dict[str, Any] = {}
     mistakes = []
     for option in options:
@@ -183,7 +186,7 @@
 def find_text(
     option: Option, flags: Mapping[str, str | None], variables: Mapping[str, str]
 ) -> str:
-    """Return the text of a setting; raise OSError when its file cannot be read."""
+    """Return the text of a setting; raise OSError if its file cannot be read."""
     text = given_text(option, flags, variables)
     if text is None and option.secret:
         path = given_text(option.file_option(), flags, variables)
@@ -194,7 +197,7 @@
 def given_text(
     option: Option, flags: Mapping[str, str | None], variables: Mapping[str, str]
 ) -> str | None:
-    """Return the text from a flag or else a variable, None when neither is given."""
+    """Return the text of a setting from its flag or variable, None without both."""
     text = flags.get(option.field)
     return variables.get(option.variable) if text is None else text
 
@@ -205,7 +208,7 @@
     variables: Mapping[str, str],
     error: Exception,
 ) -> str:
-    """Return a sentence that says what is wrong and what is right."""
+    """Return a sentence with the setting, its value and the allowed values."""
     place = f'{option.flag} ({option.variable})'
     if isinstance(error, OSError):
         file_option = option.file_option()
--- a/catkinslip/settings/daemon.py
+++ b/catkinslip/settings/daemon.py
@@ -1,4 +1,4 @@
-"""The checked settings of the daemon."""
+"""The checked settings of the daemon and the checks across settings."""
 
 from attrs import field, frozen
 
@@ -56,18 +56,18 @@
         mistakes.append(
             '--listen-port (CATKINSLIP_LISTEN_PORT) and --control-port '
             f'(CATKINSLIP_CONTROL_PORT) are both {port} on {settings.listen_host}; '
-            'callers and operators need a listener each.'
+            'callers and operators need separate listeners.'
         )
     if settings.key_lifetime <= settings.address_lifetime:
         mistakes.append(
             f'--key-lifetime (CATKINSLIP_KEY_LIFETIME) of {settings.key_lifetime:g} '
             'seconds must be above --address-lifetime (CATKINSLIP_ADDRESS_LIFETIME) '
-            f'of {settings.address_lifetime:g}; callers would hold expired keys.'
+            f'of {settings.address_lifetime:g}; callers would use expired keys.'
         )
     if settings.drain_timeout < settings.request_timeout:
         mistakes.append(
             f'--drain-timeout (CATKINSLIP_DRAIN_TIMEOUT) of {settings.drain_timeout:g} '
             'seconds must be at least --request-timeout (CATKINSLIP_REQUEST_TIMEOUT) '
-            f'of {settings.request_timeout:g}; a stop would cut requests.'
+            f'of {settings.request_timeout:g}; a stop would abort requests.'
         )
     return tuple(mistakes)
--- a/catkinslip/settings/daemon_options.py
+++ b/catkinslip/settings/daemon_options.py
@@ -1,4 +1,4 @@
-"""The flags of the daemon, declared once; groups are the headings of its help."""
+"""The settings of the daemon; their groups are the headings of its help."""
 
 from catkinslip.settings.base import Option, number, one_of, whole_number
 from catkinslip.settings.values import (
--- a/catkinslip/settings/flags.py
+++ b/catkinslip/settings/flags.py
@@ -1,4 +1,4 @@
-"""Read the flags of declared settings with cleo."""
+"""Parsing of command-line flags with cleo."""
 
 from collections.abc import Sequence
 from difflib import get_close_matches
@@ -13,7 +13,7 @@
 
 @frozen
 class ParsedFlags:
-    """Flags as given, and a sentence for each that cannot be read."""
+    """Texts of the parsed flags, and a sentence for each invalid argument."""
 
     text_by_field: dict[str, str | None]
     switches: frozenset[str]
@@ -21,14 +21,14 @@
 
 
 def cleo_option(option: Option) -> CleoOption:
-    """Return the flag of a setting as cleo declares it."""
+    """Return the cleo option for the flag of a setting."""
     return CleoOption(option.name, None, flag=False, description=option.sentences)
 
 
 def parse_flags(
     arguments: Sequence[str], options: Sequence[Option], switches: Sequence[CleoOption]
 ) -> ParsedFlags:
-    """Parse flags; leave out those that cannot be read and say why."""
+    """Parse flags; omit invalid arguments and describe them as mistakes."""
     definition = Definition([*map(cleo_option, options), *switches])
     checker = FlagChecker(definition)
     checker.check(list(arguments))
@@ -44,19 +44,19 @@
 
 @define
 class FlagChecker:
-    """Find every mistake in the arguments, where cleo stops at the first."""
+    """Finds every invalid argument, whereas cleo stops at the first."""
 
     definition: Definition
     kept: list[str] = Factory(list)
     mistakes: list[str] = Factory(list)
 
     def check(self, arguments: list[str]) -> None:
-        """Keep what cleo can parse and note the rest as mistakes."""
+        """Separate arguments that cleo can parse from mistakes; empty the list."""
         while arguments:
             argument = arguments.pop(0)
             flag, equals, _ = argument.partition('=')
             if not argument.startswith('-'):
-                self.mistakes.append(f'{argument!r} stands behind no flag.')
+                self.mistakes.append(f'{argument!r} is not preceded by a flag.')
                 continue
             takes_value = self._takes_value(flag)
             value = []
@@ -72,7 +72,7 @@
                 self.kept.extend((argument, *value))
 
     def _takes_value(self, flag: str) -> bool | None:
-        """Tell whether a flag takes a value; None when there is no such flag."""
+        """Return whether a flag takes a value, or None if there is no such flag."""
         name = flag.removeprefix('--')
         if flag.startswith('--') and self.definition.has_option(name):
             return self.definition.option(name).accepts_value()
@@ -88,7 +88,7 @@
 
 
 def take_value(arguments: list[str]) -> list[str]:
-    """Remove and return the next argument if it is a value."""
+    """Remove the next argument from a list and return it if it is a value."""
     if arguments and not arguments[0].startswith('-'):
         return [arguments.pop(0)]
     return []
--- a/catkinslip/settings/start.py
+++ b/catkinslip/settings/start.py
@@ -1,4 +1,4 @@
-"""Read the daemon's settings as a whole at its start."""
+"""Reading of all daemon settings at its start, and the help of the daemon."""
 
 from collections.abc import Mapping, Sequence
 
@@ -37,7 +37,7 @@
 def read_daemon_settings(
     flags: ParsedFlags, variables: Mapping[str, str]
 ) -> Result[DaemonSettings, SettingsError]:
-    """Check flags, variables and what they say together."""
+    """Read the daemon's settings and check each value and their combinations."""
     options = with_secret_files(OPTIONS)
     mistakes = list(flags.mistakes)
     match read_values(options, flags.text_by_field, variables):
@@ -53,7 +53,7 @@
 def unknown_variables(
     variables: Mapping[str, str], known: Sequence[Option]
 ) -> list[str]:
-    """Return the names of variables with our prefix that no option reads."""
+    """Return sorted names of `CATKINSLIP_` variables that no option reads."""
     names = {each.variable for each in known}
     return sorted(
         name
@@ -63,7 +63,7 @@
 
 
 def daemon_help() -> str:
-    """Return the help: flags by group, with ranges, defaults and variables."""
+    """Return the help of the daemon: flags by group, switches and examples."""
     lines = [f'Usage: {PROGRAM} [flags]', '', DESCRIPTION]
     group = None
     for each in with_secret_files(OPTIONS):
--- a/catkinslip/settings/values.py
+++ b/catkinslip/settings/values.py
@@ -1,4 +1,4 @@
-"""Conversions of settings that name places and things."""
+"""Conversions of settings that contain addresses, URLs or required texts."""
 
 from collections.abc import Callable
 from ipaddress import IPv4Address
@@ -15,23 +15,23 @@
 
 @frozen
 class FormConversion(Conversion):
-    """Convert to a value of a described form."""
+    """Conversion with a parse function and a phrase for the accepted format."""
 
     form: str
     parse: Callable[[str], Any]
 
     @property
     def text(self) -> str:
-        """Return what the value must be, for help and errors."""
+        """Return a phrase for the allowed values, used in help and errors."""
         return self.form
 
     def __call__(self, text: str) -> Any:
-        """Convert a text; raise ValueError when it is wrong."""
+        """Convert the text of a setting; raise ValueError if it is not allowed."""
         return self.parse(text)
 
 
 def parse_url(text: str) -> str:
-    """Return the URL without a slash at its end; raise ValueError when wrong."""
+    """Return an HTTP URL without trailing slashes; raise ValueError if invalid."""
     parts = urlsplit(text)
     if parts.scheme not in ('http', 'https') or not parts.hostname:
         raise ValueError(text)
@@ -41,7 +41,7 @@
 
 
 def parse_address(text: str) -> str:
-    """Return host:port; raise ValueError when the port is not one."""
+    """Return an address as host:port; raise ValueError if it is invalid."""
     address = Address.parse(text)
     if not 0 < address.port <= MAX_PORT:
         raise ValueError(text)
@@ -49,7 +49,10 @@
 
 
 def parse_ip_number(text: str) -> str:
-    """Return the number, which others are told; raise ValueError when wrong."""
+    """Return an IPv4 address that is announced to others.
+
+    Raise ValueError if the text is invalid or the unspecified address (0.0.0.0).
+    """
     number = IPv4Address(text)
     if number.is_unspecified:
         raise ValueError(text)
@@ -57,24 +60,24 @@
 
 
 def parse_required(text: str) -> str:
-    """Return the text; raise ValueError when it is empty."""
+    """Return a text unchanged; raise ValueError if it is empty."""
     if not text:
         raise ValueError(text)
     return text
 
 
 def parse_addresses(text: str) -> tuple[str, ...]:
-    """Return all addresses; raise ValueError when one is wrong."""
+    """Return comma-separated addresses; raise ValueError if one is invalid."""
     return tuple(parse_address(word) for word in words(text))
 
 
 def parse_some_addresses(text: str) -> tuple[str, ...]:
-    """Return at least one address; raise ValueError when one is wrong."""
+    """Return one or more addresses; raise ValueError if any is invalid or missing."""
     return parse_addresses(parse_required(text))
 
 
 def optional_url(text: str) -> str:
-    """Return a URL or an empty text; raise ValueError when it is wrong."""
+    """Return an HTTP URL or an empty text; raise ValueError if it is invalid."""
     return parse_url(text) if text else ''
 
 
@@ -91,7 +94,7 @@
 
 
 def optional(conversion: Conversion) -> FormConversion:
-    """Return a conversion that turns an empty text into None."""
+    """Return a conversion that converts an empty text to None."""
     return FormConversion(
         f'{conversion.text}, or empty',
         lambda text: conversion(text) if text else None,
--- a/tests/test_settings_start.py
+++ b/tests/test_settings_start.py
@@ -1,4 +1,4 @@
-"""The daemon's settings, checked as a whole at its start."""
+"""Tests of the daemon settings, which are checked together at its start."""
 
 import io
 import re
@@ -17,14 +17,14 @@
 
 
 def check(*arguments: str, **variables: str) -> tuple[ExitStatus, str]:
-    """Run the daemon with --check; return its status and what it said."""
+    """Run the daemon with --check; return its exit status and its output."""
     output = io.StringIO()
     environment = Environment(variables, output, output)
     return run([*arguments, '--check'], environment), output.getvalue()
 
 
 class SettingsStartTest(unittest.TestCase):
-    """Every mistake is told at once, with flag, variable, unit and range."""
+    """All mistakes are reported together, with flag, variable, unit and range."""
 
     def test_right_settings_from_flags_and_variables(self):
         status, said = check('--zone=zone-a', CATKINSLIP_INSTANCE_ID='entry-1')
@@ -46,7 +46,7 @@
         for expected in (
             '--instnce-id is not a flag. Did you mean --instance-id?',
             '--zone needs a value.',
-            "'stray' stands behind no flag.",
+            "'stray' is not preceded by a flag.",
             '--instance-id (CATKINSLIP_INSTANCE_ID) is missing.',
             "--platform-timeout (CATKINSLIP_PLATFORM_TIMEOUT): '900' is wrong; "
             'it must be from 0.05 to 60 seconds.',
