--- a/catkinslip/cli/__init__.py
+++ b/catkinslip/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' tool."""
+"""Command-line tool for operators: `catkinslip`."""
--- a/catkinslip/cli/application.py
+++ b/catkinslip/cli/application.py
@@ -1,4 +1,4 @@
-"""The tool's application."""
+"""The cleo application of the command-line tool."""
 
 from collections.abc import Sequence
 
@@ -49,7 +49,7 @@
 
 
 def run(arguments: Sequence[str], environment: Environment | None = None) -> int:
-    """Run the tool and return its exit status."""
+    """Run the command-line tool and return its exit status."""
     environment = environment or Environment()
     try:
         return build_application(environment).run(
@@ -64,7 +64,7 @@
 
 
 def build_application(environment: Environment) -> Application:
-    """Return the application with all commands."""
+    """Return the cleo application with all commands registered."""
     application = Application(PROGRAM, __version__)
     application.auto_exits(False)
     application.catch_exceptions(False)
--- a/catkinslip/cli/base.py
+++ b/catkinslip/cli/base.py
@@ -1,4 +1,4 @@
-"""What all commands share: settings, clients and printing."""
+"""Base class of all commands: settings, HTTP clients and printing."""
 
 from abc import abstractmethod
 from collections.abc import AsyncIterator
@@ -23,11 +23,11 @@
 
 
 class UsageError(Exception):
-    """Arguments that are wrong or do not go together."""
+    """Invalid arguments, or arguments that cannot be used together."""
 
 
 class BaseCommand(Command):
-    """A command that is declared by a definition and runs under trio."""
+    """Command that is built from its definition and runs under trio."""
 
     declared: ClassVar[Definition]
 
@@ -44,10 +44,10 @@
 
     @abstractmethod
     async def main(self) -> ExitStatus:
-        """Do the command's work and return its exit status."""
+        """Run the command and return its exit status."""
 
     def handle(self) -> int:
-        """Read all settings, then do the command's work."""
+        """Read all settings, run the command and return its exit status."""
         flags = {each.field: self.option(each.name) for each in self.settings}
         match read_values(self.settings, flags, self.environment.variables):
             case Failure(error):
@@ -64,29 +64,29 @@
 
     @property
     def printer(self) -> Printer:
-        """Return what prints data and errors."""
+        """Return a printer for the data and errors of this command."""
         return Printer(self.io, self.is_json)
 
     @property
     def is_json(self) -> bool:
-        """Tell whether data is wanted as JSON."""
+        """Return whether the command prints its data as JSON (`--json`)."""
         return self.definition.has_option('json') and self.option('json')
 
     def value(self, option: Option) -> Any:
-        """Return the checked value of a setting."""
+        """Return the converted value of a setting of this command."""
         return self.value_by_field[option.field]
 
     @asynccontextmanager
     async def open_store(self) -> AsyncIterator[HttpStore]:
-        """Open the platform's object API."""
+        """Open a client of the platform's object API."""
         timeout = self.value(options.PLATFORM_TIMEOUT)
         url = self.value(options.PLATFORM_URL)
         async with httpx.AsyncClient(base_url=url, timeout=timeout) as client:
             yield HttpStore(client, timeout)
 
     def open_control(self) -> httpx.AsyncClient:
-        """Return a context that opens a client of control surfaces."""
-        # Control surfaces speak plain HTTP; certificates take long to load.
+        """Return an HTTP client of control surfaces, to be entered as a context."""
+        # Control surfaces use plain HTTP; loading certificates would be slow.
         return httpx.AsyncClient(
             verify=False,
             headers={SECRET_HEADER: self.value(options.SHARED_SECRET)},
--- a/catkinslip/cli/change_outcomes.py
+++ b/catkinslip/cli/change_outcomes.py
@@ -1,4 +1,4 @@
-"""Tell operators what became of a change."""
+"""Descriptions of the outcome of a change, as sentences and as plain data."""
 
 from catkinslip.config.changes import (
     ChangeAccepted,
@@ -12,7 +12,7 @@
 
 
 def describe(outcome: ChangeOutcome) -> tuple[str, ExitStatus, str, dict]:
-    """Return an outcome's word, exit status, sentence and data."""
+    """Return the name, exit status, sentence and plain data of a change outcome."""
     match outcome:
         case ChangeAccepted(config):
             sentence = (
@@ -30,14 +30,14 @@
         case ChangeUnknown(change_id, reason):
             sentence = (
                 f'Unknown whether change {change_id} was accepted: {reason}. '
-                f'Ask later with: catkinslip changes --change {change_id}'
+                f'Check later with: catkinslip changes --change {change_id}'
             )
             extra = {'change_id': change_id, 'reason': reason}
             return 'unknown', ExitStatus.UNKNOWN, sentence, extra
 
 
 def describe_winner(winner: Change | None) -> dict | None:
-    """Return the change that won as plain data."""
+    """Return the change that was accepted first as plain data, if it is known."""
     if winner is None:
         return None
     return {
@@ -48,7 +48,7 @@
 
 
 def tell_winner(winner: Change | None) -> str:
-    """Return the change that won as part of a sentence."""
+    """Return the change that was accepted first as the subject of a sentence."""
     if winner is None:
         return 'another change, which could not be read,'
     return f'version {winner.version} by {winner.author}, change {winner.change_id},'
--- a/catkinslip/cli/changing.py
+++ b/catkinslip/cli/changing.py
@@ -1,4 +1,4 @@
-"""What the commands that change the configuration share."""
+"""Base class of the commands that change the configuration."""
 
 import secrets
 
@@ -14,11 +14,11 @@
 
 
 class ChangingCommand(ConfigurationCommand):
-    """A command that makes a change."""
+    """Command that changes the configuration or waits for a change."""
 
     @property
     def wait(self) -> float | None:
-        """Return the seconds to wait until a change is in force, if any."""
+        """Return the seconds to wait until a change is in force; None: no wait."""
         return self.value(options.WAIT)
 
     async def write(
@@ -28,7 +28,7 @@
         document: Document,
         raise_epoch: bool = False,
     ) -> ChangeOutcome:
-        """Write a document over the one it was made from."""
+        """Replace the configuration that a document was made from."""
         return await apply_change(
             store,
             base,
@@ -40,7 +40,7 @@
         )
 
     async def finish(self, store: ObjectStore, outcome: ChangeOutcome) -> ExitStatus:
-        """Print the outcome and wait until the change is in force."""
+        """Print the outcome and, with `--wait`, wait until the change is in force."""
         if not isinstance(outcome, ChangeAccepted) or self.wait is None:
             return self.tell(outcome)
         config = outcome.config
@@ -58,7 +58,7 @@
         change_id: str,
         plain: dict | None = None,
     ) -> ExitStatus:
-        """Wait until a version is in force on every instance."""
+        """Wait until a version is in force on every instance; print the result."""
         async with self.open_fleet(store) as fleet:
             report = await fleet.wait_in_force(version, change_id, self.wait or 0)
         if self.is_json:
@@ -68,7 +68,7 @@
         return ExitStatus.SUCCESS if report.is_complete else ExitStatus.NOT_IN_FORCE
 
     def tell_in_force(self, report: InForceReport, version: ConfigVersion) -> None:
-        """Print where a version is in force and name the stragglers."""
+        """Print on how many instances a version is in force, and list the others."""
         count = len(report.in_force)
         if report.is_complete:
             self.printer.sentence(
@@ -78,14 +78,14 @@
         for straggler in report.stragglers:
             self.printer.error(f'Not in force: {straggler}.')
         if not count and not report.stragglers:
-            self.printer.error('No instance is known; name one with --control.')
+            self.printer.error('No instance was found; set its address with --control.')
         total = count + len(report.stragglers)
         self.printer.error(
             f'Version {version} is in force on {count} of {total} instances.'
         )
 
     def tell(self, outcome: ChangeOutcome) -> ExitStatus:
-        """Print the outcome of a change."""
+        """Print the outcome of a change and return its exit status."""
         word, status, sentence, extra = describe(outcome)
         if self.is_json:
             self.printer.json({'outcome': word, **extra})
--- a/catkinslip/cli/configuration.py
+++ b/catkinslip/cli/configuration.py
@@ -1,4 +1,4 @@
-"""What the commands about the configuration share."""
+"""Base class of the commands that read, check or change the configuration."""
 
 import os
 from collections.abc import AsyncIterator
@@ -19,22 +19,22 @@
 
 
 class ConfigurationCommand(BaseCommand):
-    """A command about the configuration."""
+    """Command that reads, checks or changes the configuration."""
 
     @property
     def author(self) -> str:
-        """Return who makes a change."""
+        """Return the author of a change: `--author`, the user name or the user ID."""
         user = self.environment.variables.get('USER')
         return self.value(options.AUTHOR) or user or f'user-{os.getuid()}'
 
     @asynccontextmanager
     async def open_fleet(self, store: HttpStore) -> AsyncIterator[Fleet]:
-        """Open a client of all instances."""
+        """Open a client that queries all instances."""
         async with self.open_control() as client:
             yield Fleet(client, store, self.value(options.CONTROL))
 
     def read_file(self) -> Result[Document, DocumentRefused]:
-        """Read and check the document that the command names."""
+        """Read and check the document in the file argument of the command."""
         try:
             text = Path(self.argument('file')).read_bytes()
         except OSError as error:
@@ -43,7 +43,7 @@
         return parse_document(text)
 
     def tell_refused(self, refused: DocumentRefused) -> ExitStatus:
-        """Print every mistake of a document."""
+        """Print every mistake of a refused document and return the exit status."""
         if self.is_json:
             self.printer.json(
                 {'outcome': 'refused', 'mistakes': to_plain(refused.mistakes)}
@@ -52,11 +52,11 @@
         for mistake in refused.mistakes:
             self.printer.error(f'{mistake.place}: {mistake.reason}.')
         count = len(refused.mistakes)
-        self.printer.error(f'Refused, {count} to mend; nothing changed.')
+        self.printer.error(f'Refused, mistakes: {count}; nothing changed.')
         return ExitStatus.REJECTED
 
     def tell_unreachable(self, error: PlatformError) -> ExitStatus:
-        """Print that the platform could not be asked."""
+        """Print that the platform did not answer and return the exit status."""
         self.printer.error(
             f'The platform did not answer: {error}. Nothing changed. '
             'Check --platform-url or CATKINSLIP_PLATFORM_URL and try again.'
--- a/catkinslip/cli/configuration_changes.py
+++ b/catkinslip/cli/configuration_changes.py
@@ -1,4 +1,4 @@
-"""The commands that change the configuration and follow a change."""
+"""The commands that change the configuration or wait for a change."""
 
 from abc import abstractmethod
 
@@ -17,17 +17,17 @@
 from catkinslip.status import ExitStatus
 from catkinslip.store.base import ObjectStore
 
-#: Conflicts after which a change of one entry is given up.
+#: Number of conflicts after which an edit of the configuration is abandoned.
 MAX_CONFLICTS = 3
 
 
 class ApplyCommand(ChangingCommand):
-    """Make a document the accepted configuration."""
+    """Replace the accepted configuration with a document (`apply`)."""
 
     declared = defined.APPLY
 
     async def main(self) -> ExitStatus:
-        """Do the command's work and return its exit status."""
+        """Run the command and return its exit status."""
         match self.read_file():
             case Failure(refused):
                 return self.tell_refused(refused)
@@ -64,10 +64,10 @@
 
 
 class EditCommand(ChangingCommand):
-    """Edit the accepted configuration, again where another change came first."""
+    """Edit the accepted configuration; retry when another change came first."""
 
     async def main(self) -> ExitStatus:
-        """Do the command's work and return its exit status."""
+        """Run the command and return its exit status."""
         async with self.open_store() as store:
             for _ in range(MAX_CONFLICTS):
                 base = await read_config(store)
@@ -89,25 +89,25 @@
 
     @abstractmethod
     def edit(self, document: Document) -> Result[Document, DocumentRefused]:
-        """Return the edited document, or why it must not be accepted."""
+        """Return the edited document, or the mistakes that prevent the edit."""
 
     def _tell_same(self, base: StoredConfig) -> ExitStatus:
         version = base.config.version
         if self.is_json:
             self.printer.json({'outcome': 'same', 'version': str(version)})
         else:
-            self.printer.sentence(f'Nothing to change: so it is in version {version}.')
+            self.printer.sentence(f'Nothing to change: it is in version {version}.')
         return ExitStatus.SUCCESS
 
 
 class DrainCommand(EditCommand):
-    """Give a backend server no new work."""
+    """Mark a backend server as draining: it gets no new requests (`drain`)."""
 
     declared = defined.DRAIN
     draining = True
 
     def edit(self, document: Document) -> Result[Document, DocumentRefused]:
-        """Mark the server in the register."""
+        """Set or clear the draining mark of the server in the register."""
         name = self.argument('backend')
         backend = document.register.backends.get(name)
         if backend is None:
@@ -121,20 +121,20 @@
 
 
 class UndrainCommand(DrainCommand):
-    """Give a backend server work again."""
+    """Clear the draining mark of a backend server (`undrain`)."""
 
     declared = defined.UNDRAIN
     draining = False
 
 
 class EvacuateCommand(EditCommand):
-    """Give the backend servers of a zone no new requests."""
+    """Evacuate a zone: its backend servers get no new requests (`evacuate`)."""
 
     declared = defined.EVACUATE
     is_evacuated = True
 
     def edit(self, document: Document) -> Result[Document, DocumentRefused]:
-        """Name the zone in the rules, or leave it out."""
+        """Add the zone to the evacuated zones of the rules, or remove it."""
         zone = self.argument('zone')
         zones = set(document.rules.evacuated_zones) - {zone}
         if self.is_evacuated:
@@ -144,14 +144,14 @@
 
 
 class UnevacuateCommand(EvacuateCommand):
-    """Give the backend servers of a zone requests again."""
+    """End the evacuation of a zone (`unevacuate`)."""
 
     declared = defined.UNEVACUATE
     is_evacuated = False
 
 
 def parse_version(text: str) -> ConfigVersion:
-    """Parse a version; raise UsageError if it is none."""
+    """Parse a configuration version; raise UsageError if the text is not one."""
     try:
         return ConfigVersion.parse(text)
     except ValueError as error:
@@ -159,12 +159,12 @@
 
 
 class WatchCommand(ChangingCommand):
-    """Wait until a version is in force everywhere."""
+    """Wait until a version is in force on every instance (`watch`)."""
 
     declared = defined.WATCH
 
     async def main(self) -> ExitStatus:
-        """Do the command's work and return its exit status."""
+        """Run the command and return its exit status."""
         async with self.open_store() as store:
             text = self.argument('version')
             if text is not None:
--- a/catkinslip/cli/configuration_reads.py
+++ b/catkinslip/cli/configuration_reads.py
@@ -1,4 +1,4 @@
-"""The commands that show the configuration and check documents."""
+"""The commands that print the configuration and check documents."""
 
 import time
 
@@ -22,12 +22,12 @@
 
 
 class CheckCommand(ConfigurationCommand):
-    """Check a document without the platform."""
+    """Check a document without access to the platform (`check`)."""
 
     declared = defined.CHECK
 
     async def main(self) -> ExitStatus:
-        """Do the command's work and return its exit status."""
+        """Run the command and return its exit status."""
         match self.read_file():
             case Success(document):
                 return self._tell_good(document)
@@ -48,17 +48,17 @@
 
 
 class ReadCommand(ConfigurationCommand):
-    """Print the accepted configuration."""
+    """Print the accepted configuration (`read`)."""
 
     declared = defined.READ
 
     async def main(self) -> ExitStatus:
-        """Do the command's work and return its exit status."""
+        """Run the command and return its exit status."""
         if self.option('from'):
             return await self._read_instance(self.option('from'))
         if not self.value(options.PLATFORM_URL):
             raise UsageError(
-                'Name the platform with --platform-url (CATKINSLIP_PLATFORM_URL), or '
+                'Set the platform with --platform-url (CATKINSLIP_PLATFORM_URL), or '
                 'an instance with --from.'
             )
         async with self.open_store() as store:
@@ -91,12 +91,12 @@
 
 
 class ChangesCommand(ConfigurationCommand):
-    """Show recent changes."""
+    """Print the recent changes, or whether one change was accepted (`changes`)."""
 
     declared = defined.CHANGES
 
     async def main(self) -> ExitStatus:
-        """Do the command's work and return its exit status."""
+        """Run the command and return its exit status."""
         async with self.open_store() as store:
             found = await read_head(store)
         if not isinstance(found, StoredHead):
@@ -129,18 +129,18 @@
         first = head.changes[0].version
         self.printer.error(
             f'Change {change_id} is not among the changes since version {first}: '
-            'it was not accepted since then; of earlier ones nothing is known.'
+            'it was not accepted since then; earlier changes are no longer listed.'
         )
         return ExitStatus.UNKNOWN
 
 
 class DiffCommand(ConfigurationCommand):
-    """Show what a document would change."""
+    """Print what a document would change, as a JSON merge patch (`diff`)."""
 
     declared = defined.DIFF
 
     async def main(self) -> ExitStatus:
-        """Do the command's work and return its exit status."""
+        """Run the command and return its exit status."""
         match self.read_file():
             case Failure(refused):
                 return self.tell_refused(refused)
--- a/catkinslip/cli/definition.py
+++ b/catkinslip/cli/definition.py
@@ -1,4 +1,4 @@
-"""All commands of the tool: arguments, help, examples and exit statuses."""
+"""Definitions of all commands: arguments, help, examples and exit statuses."""
 
 from attrs import frozen
 from cleo.helpers import argument, option
@@ -31,7 +31,7 @@
 
 @frozen
 class Example:
-    """A command line and what it does."""
+    """Example command line and its purpose."""
 
     meaning: str
     line: str
@@ -39,7 +39,7 @@
 
 @frozen
 class Definition:
-    """One command as the tool declares it."""
+    """Definition of one command, from which its parser and its help are built."""
 
     name: str
     summary: str
@@ -56,8 +56,8 @@
 CHECK = Definition(
     'check',
     'Check a document and print every mistake.',
-    'Reads a document as `apply` does and says where it is wrong and why. Nothing is '
-    'sent.',
+    'Reads a document as `apply` does and prints the location and the reason of each '
+    'mistake. Nothing is sent.',
     arguments=(FILE,),
     switches=(JSON,),
     examples=(Example('Check before a change.', 'catkinslip check document.json'),),
@@ -72,12 +72,13 @@
     (*PLATFORM_IF_ANY, CONTROL_TIMEOUT, SHARED_SECRET),
     switches=(
         option('from', None, 'Control address of an instance to read.', flag=False),
-        option('document', None, 'Print only the document, fit for `apply`.'),
+        option('document', None, 'Print only the document, as `apply` accepts it.'),
     ),
     examples=(
         Example('Save the document.', 'catkinslip read --document > document.json'),
         Example(
-            'Read what one instance holds.', 'catkinslip read --from 10.0.0.1:7001'
+            'Read the configuration of one instance.',
+            'catkinslip read --from 10.0.0.1:7001',
         ),
     ),
     statuses=(ExitStatus.UNREACHABLE,),
@@ -85,19 +86,19 @@
 
 CHANGES = Definition(
     'changes',
-    'Show the last changes, or what became of one change.',
-    'Reads the last changes from the platform: version, ID, time and author. Asked for '
-    'one change, it tells whether that was accepted.',
+    'Show the last changes, or whether one change was accepted.',
+    'Reads the last changes from the platform: version, ID, time and author. With '
+    '--change, shows whether that change was accepted.',
     PLATFORM,
     switches=(
         option('change', None, 'ID of one change.', flag=False),
-        option('patches', None, 'Print what each change did.'),
+        option('patches', None, 'Print the patch of each change.'),
         JSON,
     ),
     examples=(
-        Example('Who changed what.', 'catkinslip changes --patches'),
+        Example('See who changed what.', 'catkinslip changes --patches'),
         Example(
-            'Learn the outcome of a change whose answer was lost.',
+            'Find the outcome of a change whose answer was lost.',
             'catkinslip changes --change 5f0c1a2b3d4e5f60',
         ),
     ),
@@ -112,7 +113,7 @@
     PLATFORM,
     (FILE,),
     (JSON,),
-    (Example('Look before a change.', 'catkinslip diff document.json'),),
+    (Example('See the difference before a change.', 'catkinslip diff document.json'),),
     (ExitStatus.REJECTED, ExitStatus.UNREACHABLE),
 )
 
@@ -129,7 +130,7 @@
         option(
             'raise-epoch',
             None,
-            'Begin a new epoch, after the platform was restored from a backup.',
+            'Start a new epoch, after the platform was restored from a backup.',
         ),
         JSON,
     ),
@@ -146,7 +147,7 @@
 
 DRAIN = Definition(
     'drain',
-    'Give a backend server no new work; requests in flight finish.',
+    'Send no new requests to a backend server; requests in flight finish.',
     'Marks the server as draining in the register.',
     CHANGE,
     (BACKEND,),
@@ -157,12 +158,12 @@
 
 UNDRAIN = Definition(
     'undrain',
-    'Give a drained backend server work again.',
+    'Send requests to a drained backend server again.',
     'Marks the server as not draining in the register.',
     CHANGE,
     (BACKEND,),
     (JSON,),
-    (Example('Take it back.', 'catkinslip undrain limits-1 --wait 30'),),
+    (Example('Use it again.', 'catkinslip undrain limits-1 --wait 30'),),
     CHANGE_STATUSES,
 )
 
@@ -170,36 +171,36 @@
 
 EVACUATE = Definition(
     'evacuate',
-    'Give the backend servers of a zone no new requests; those in flight finish.',
-    'Names the zone in the rules.',
+    'Send no new requests to the backend servers of a zone; those in flight finish.',
+    'Adds the zone to the evacuated zones of the rules.',
     CHANGE,
     (ZONE,),
     (JSON,),
-    (Example('Empty a zone.', 'catkinslip evacuate zone-a --wait 30'),),
+    (Example('Evacuate a zone.', 'catkinslip evacuate zone-a --wait 30'),),
     CHANGE_STATUSES,
 )
 
 UNEVACUATE = Definition(
     'unevacuate',
-    'Give the backend servers of an evacuated zone requests again.',
-    'Takes the zone out of the rules.',
+    'Send requests to the backend servers of an evacuated zone again.',
+    'Removes the zone from the evacuated zones of the rules.',
     CHANGE,
     (ZONE,),
     (JSON,),
-    (Example('Take it back.', 'catkinslip unevacuate zone-a --wait 30'),),
+    (Example('Use it again.', 'catkinslip unevacuate zone-a --wait 30'),),
     CHANGE_STATUSES,
 )
 
 WATCH = Definition(
     'watch',
     'Wait until a version is in force on every instance.',
-    'Asks all instances until each has the version in force, and names the others when '
-    'the time is over.',
+    'Polls all instances until each has the version in force, and lists the others '
+    'when the wait ends.',
     (*PLATFORM, *INSTANCE_IF_ANY, WATCH_WAIT),
     (
         argument(
             'version',
-            'Version, such as 0.17; the last one if left out.',
+            'Version, such as 0.17; default: the last one.',
             optional=True,
         ),
     ),
@@ -210,13 +211,13 @@
 
 STATUS = Definition(
     'status',
-    'Show what one instance knows and does.',
-    'Asks one instance for its configuration in force, its members and its state.',
+    'Show the status of one instance.',
+    'Queries one instance for its configuration in force, its members and its state.',
     INSTANCE,
     switches=(JSON,),
     examples=(
         Example('Show one instance.', 'catkinslip status --control 10.0.0.1:7001'),
-        Example('Take the data into a script.', 'catkinslip status --json'),
+        Example('Print JSON for a script.', 'catkinslip status --json'),
     ),
     statuses=(ExitStatus.UNREACHABLE,),
 )
@@ -224,7 +225,7 @@
 INSTANCES = Definition(
     'instances',
     'Show every instance and its configuration in force.',
-    'Asks one instance for its members, then asks each member for its status.',
+    'Queries one instance for its members, then each member for its status.',
     INSTANCE,
     switches=(JSON,),
     examples=(
@@ -238,34 +239,34 @@
 
 METRICS = Definition(
     'metrics',
-    'Show what one instance has measured.',
-    'Asks one instance for its counts and durations. Quantiles cover the last one to '
-    'two minutes; counts cover the time since the start of the daemon. The same '
+    'Show the metrics of one instance.',
+    'Queries one instance for its counts and durations. Quantiles cover the last one '
+    'to two minutes; counts cover the time since the start of the daemon. The same '
     'values are at /metrics of the control address in the Prometheus text format.',
     INSTANCE,
     switches=(JSON,),
     examples=(
         Example('Show one instance.', 'catkinslip metrics --control 10.0.0.1:7001'),
-        Example('Take the data into a script.', 'catkinslip metrics --json'),
+        Example('Print JSON for a script.', 'catkinslip metrics --json'),
     ),
     statuses=(ExitStatus.UNREACHABLE,),
 )
 
 EXPLAIN = Definition(
     'explain',
-    'Explain what became of one request.',
-    'Asks one instance for its members, then asks each for the request: which servers '
-    'were chosen and why, how each attempt ended and what the caller was told. Each '
-    'instance remembers its last 2,000 requests; for older ones give a log file.',
+    'Explain how one request was handled.',
+    'Queries one instance for its members, then each member for the request: which '
+    'servers were chosen and why, how each attempt ended and what the caller received. '
+    'Each instance keeps its last 2,000 requests; for older ones give a log file.',
     INSTANCE,
     (argument('request-id', 'Value of the answer header Catkinslip-Request-Id.'),),
     (
         JSON,
-        option('log', None, 'Log file to read; no instance is asked.', flag=False),
+        option('log', None, 'Log file to read; no instance is queried.', flag=False),
     ),
     (
         Example(
-            'Ask all instances.',
+            'Query all instances.',
             'catkinslip explain 7f3a90c2d14b5e66 --control 10.0.0.1:7001',
         ),
         Example(
@@ -295,6 +296,6 @@
 
 
 def all_settings() -> tuple[Option, ...]:
-    """Return every setting that some command reads."""
+    """Return every setting that at least one command reads."""
     by_field = {each.field: each for command in COMMANDS for each in command.settings}
     return tuple(by_field.values())
--- a/catkinslip/cli/explain.py
+++ b/catkinslip/cli/explain.py
@@ -1,4 +1,4 @@
-"""The command that explains one request."""
+"""The command that explains how one request was handled."""
 
 import re
 from collections.abc import Iterable, Iterator
@@ -14,30 +14,30 @@
 from catkinslip.status import ExitStatus
 
 MILLISECONDS = 1000
-#: What a line tells of a request that crashed servers, whatever its ID.
+#: Log field with the key that all copies of a request that crashed servers share.
 SAME_REQUEST = re.compile(r' request=(\S+)')
 
 
 def names_of(lines: Iterable[str], request_id: str) -> set[str]:
-    """Return what the lines of a request call it: its ID, and what copies share."""
+    """Return the ID of a request and the keys that its log lines share with copies."""
     own = (line for line in lines if request_id in line)
     keys = (found for line in own for found in SAME_REQUEST.findall(line))
     return {request_id, *keys}
 
 
 def lines_with(lines: Iterable[str], names: set[str]) -> list[str]:
-    """Return the lines that hold one of several names."""
+    """Return the log lines that contain at least one of several names."""
     return [line.rstrip('\n') for line in lines if any(name in line for name in names)]
 
 
 class ExplainCommand(InstanceCommand):
-    """Explain what became of one request."""
+    """Print the traces or the log lines of one request (`explain`)."""
 
     declared = defined.EXPLAIN
     path = STATUS_PATH
 
     def handle(self) -> int:
-        """Read a log file, or do as other commands."""
+        """Read the log file of `--log`, or query the instances without it."""
         if self.option('log') is None:
             return super().handle()
         return int(self._read_log(Path(self.option('log'))))
@@ -45,7 +45,7 @@
     async def show(
         self, client: httpx.AsyncClient, first: httpx.Response
     ) -> ExitStatus:
-        """Ask all members for the request."""
+        """Query all members for the request and print its traces."""
         members = first.json()['members']
         request_id = self.argument('request-id')
         answers = await self.ask_all(client, members, REQUESTS_PATH + request_id)
@@ -62,7 +62,7 @@
         try:
             with path.open(errors='replace') as file:
                 names = names_of(file, request_id)
-                # A log may be larger than the memory: it is read twice.
+                # The log may be larger than the memory, so the file is read twice.
                 file.seek(0)
                 lines = lines_with(file, names)
         except OSError as error:
@@ -75,14 +75,14 @@
 
     def _tell_not_found(self, place: str) -> ExitStatus:
         self.printer.error(
-            f'Request {self.argument("request-id")} is not known to {place}. Each '
-            'instance remembers its last requests only; read older ones with --log.'
+            f'Request {self.argument("request-id")} was not found in {place}. Each '
+            'instance keeps its last requests only; read older ones with --log.'
         )
         return ExitStatus.NOT_FOUND
 
 
 def trace_lines(traces: list[dict[str, Any]]) -> Iterator[str]:
-    """Return the traces of one request as sentences."""
+    """Yield sentences that describe the traces of one request."""
     for trace in traces:
         repeatable = 'repeatable' if trace['repeatable'] else 'not repeatable'
         yield (
@@ -93,14 +93,14 @@
         if trace['outcome']:
             yield (
                 f'The request ended after {trace["seconds"] * MILLISECONDS:.1f} ms; '
-                f'the caller was told: {trace["outcome"]}.'
+                f'the caller received: {trace["outcome"]}.'
             )
         else:
             yield 'The request is in flight.'
 
 
 def attempt_lines(attempts: list[dict[str, Any]]) -> Iterator[str]:
-    """Return the attempts of one trace as sentences."""
+    """Yield sentences that describe the attempts of one trace."""
     if not attempts:
         yield 'No backend server was chosen.'
     for number, attempt in enumerate(attempts, 1):
--- a/catkinslip/cli/help.py
+++ b/catkinslip/cli/help.py
@@ -1,4 +1,4 @@
-"""Write the help of a command from its definition."""
+"""The help of a command, built from its definition."""
 
 from collections.abc import Iterable, Sequence
 
@@ -15,12 +15,12 @@
 
 
 class HelpCommand(CleoHelpCommand):
-    """Show the help of a command."""
+    """Print the help of a command, or the list of commands."""
 
     description = 'Show the help of a command.'
 
     def handle(self) -> int:
-        """Run the command."""
+        """Print the help of the named command and return the exit status."""
         if self._command is None:
             self._command = self.application.find(self.argument('command_name'))
         if not isinstance(self._command, BaseCommand):
@@ -31,7 +31,7 @@
 
 
 def help_text(definition: Definition) -> str:
-    """Return the help: usage, meaning, flags by group, examples, exit statuses."""
+    """Return the help of a command: usage, flags, examples and exit statuses."""
     parts = [usage(definition), definition.help]
     if definition.arguments:
         parts.append(section('Arguments', argument_lines(definition)))
@@ -49,7 +49,7 @@
 
 
 def usage(definition: Definition) -> str:
-    """Return the line that shows how to call a command."""
+    """Return the usage line of a command."""
     words = ['catkinslip', definition.name]
     for each in definition.arguments:
         name = f'<{each.name}>'
@@ -58,12 +58,12 @@
 
 
 def argument_lines(definition: Definition) -> list[str]:
-    """Return a line for each argument."""
+    """Return the name and the description of each argument of a command."""
     return [f'<{each.name}>\n      {each.description}' for each in definition.arguments]
 
 
 def switch_lines(definition: Definition) -> list[str]:
-    """Return a line for each flag that has no variable."""
+    """Return the name and the description of each flag without a variable."""
     lines = []
     for each in definition.switches:
         value = '=VALUE' if each.accepts_value() else ''
@@ -74,12 +74,12 @@
 
 
 def section(title: str, lines: Iterable[str]) -> str:
-    """Return a titled section of the help."""
+    """Return a section of the help with its title and indented lines."""
     return '\n'.join((f'{title}:', *(f'  {line}' for line in lines)))
 
 
 def by_group(options: Sequence[Option]) -> dict[str, list[Option]]:
-    """Return the options by group, in the order of their declaration."""
+    """Return options by group, in the order of their declaration."""
     options_by_group: dict[str, list[Option]] = {}
     for option in options:
         options_by_group.setdefault(option.group, []).append(option)
--- a/catkinslip/cli/in_force.py
+++ b/catkinslip/cli/in_force.py
@@ -1,4 +1,4 @@
-"""Learn on which instances a configuration is in force."""
+"""Queries for the instances on which a configuration is in force."""
 
 from collections.abc import Iterable
 
@@ -16,7 +16,7 @@
 
 @frozen
 class InstanceReport:
-    """What one instance says; no version when it did not answer."""
+    """Configuration that one instance reports; no version: it did not answer."""
 
     name: str
     control_address: str
@@ -24,7 +24,7 @@
     change_id: str = ''
 
     def has_in_force(self, wanted: ConfigVersion, change_id: str) -> bool:
-        """Tell whether a version, or one that stands on it, is in force."""
+        """Return whether a change, or a later version, is in force on the instance."""
         if self.version is None:
             return False
         if self.version == wanted and change_id:
@@ -39,20 +39,20 @@
 
 @frozen
 class InForceReport:
-    """The instances that have a configuration in force, and the others."""
+    """The instances that have a configuration in force, and the stragglers."""
 
     in_force: tuple[InstanceReport, ...]
     stragglers: tuple[InstanceReport, ...]
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether all instances have it; not if none is known."""
+        """Return whether at least one instance answered and there is no straggler."""
         return bool(self.in_force) and not self.stragglers
 
 
 @frozen
 class Fleet:
-    """Ways to reach the instances."""
+    """Client that finds and queries all instances."""
 
     client: httpx.AsyncClient
     store: ObjectStore
@@ -61,7 +61,7 @@
     async def wait_in_force(
         self, wanted: ConfigVersion, change_id: str, wait: float
     ) -> InForceReport:
-        """Ask all instances until a version is in force, or for `wait` seconds."""
+        """Poll all instances until a version is in force, or for `wait` seconds."""
         end = trio.current_time() + wait
         while True:
             reports = await self.ask_all()
@@ -71,7 +71,7 @@
             await trio.sleep(POLL_SECONDS)
 
     async def ask_all(self) -> list[InstanceReport]:
-        """Ask every instance that the platform's list or another one names."""
+        """Query all instances that the platform or another instance lists."""
         name_by_address = await self._listed()
         report_by_name: dict[str, InstanceReport] = {}
         asked: set[str] = set()
@@ -123,7 +123,7 @@
 def split(
     reports: Iterable[InstanceReport], wanted: ConfigVersion, change_id: str
 ) -> InForceReport:
-    """Tell the instances that have a version in force from the stragglers."""
+    """Divide reports into those with a version in force and the stragglers."""
     in_force = []
     stragglers = []
     for report in reports:
--- a/catkinslip/cli/instances.py
+++ b/catkinslip/cli/instances.py
@@ -1,4 +1,4 @@
-"""Commands that show instances."""
+"""The commands that print the status of instances."""
 
 from abc import abstractmethod
 from collections.abc import Sequence
@@ -16,12 +16,12 @@
 
 
 class InstanceCommand(BaseCommand):
-    """A command that asks one instance over its control surface, then others."""
+    """Command that queries an instance over its control surface, then others."""
 
     path: ClassVar[str] = STATUS_PATH
 
     async def main(self) -> ExitStatus:
-        """Do the command's work and return its exit status."""
+        """Query the first instance that answers and print the result."""
         async with self.open_control() as client:
             for address in self.value(options.CONTROL):
                 first = await self.ask(client, address, self.path)
@@ -33,12 +33,12 @@
     async def show(
         self, client: httpx.AsyncClient, first: httpx.Response
     ) -> ExitStatus:
-        """Show the first answer, and ask others where it takes them."""
+        """Print the first answer, after queries to other instances if needed."""
 
     async def ask(
         self, client: httpx.AsyncClient, address: str, path: str
     ) -> httpx.Response | None:
-        """Ask an instance; say why and return None when it gives no answer."""
+        """Query an instance; print the error and return None if the query fails."""
         try:
             response = await client.get(f'http://{address}{path}')
         except httpx.HTTPError as error:
@@ -58,7 +58,7 @@
     async def ask_all(
         self, client: httpx.AsyncClient, members: Sequence[dict], path: str
     ) -> dict[str, Any]:
-        """Ask all members at once; return the plain answers by member."""
+        """Query all members concurrently; return the parsed answers by member ID."""
         plain_by_id: dict[str, Any] = {}
 
         async def ask_member(member: dict) -> None:
@@ -73,28 +73,28 @@
 
 
 class StatusCommand(InstanceCommand):
-    """Show what one instance knows and does."""
+    """Print the status of one instance (`status`)."""
 
     declared = defined.STATUS
 
     async def show(
         self, client: httpx.AsyncClient, first: httpx.Response
     ) -> ExitStatus:
-        """Show the status of the instance."""
+        """Print the status of the instance that answered."""
         plain = first.json()
         self.printer.data(plain, lambda: status_lines(plain))
         return ExitStatus.SUCCESS
 
 
 class InstancesCommand(InstanceCommand):
-    """Show every instance and its configuration in force."""
+    """Print every instance and its configuration in force (`instances`)."""
 
     declared = defined.INSTANCES
 
     async def show(
         self, client: httpx.AsyncClient, first: httpx.Response
     ) -> ExitStatus:
-        """Show all members of the instance."""
+        """Query and print all members that the instance lists."""
         members = first.json()['members']
         plain_by_id = await self.ask_all(client, members, STATUS_PATH)
         plain = [
@@ -107,18 +107,18 @@
 
 
 def describe(error: httpx.HTTPError) -> str:
-    """Return what went wrong, in words."""
+    """Return the text of an HTTP error, or its type if it has no text."""
     return str(error) or type(error).__name__
 
 
 def version_text(status: dict[str, Any]) -> str:
-    """Return the version in force as epoch and number."""
+    """Return the configuration version of a status as `epoch.number`."""
     version = status['config_version']
     return f'{version["epoch"]}.{version["number"]}'
 
 
 def status_lines(plain: dict[str, Any]) -> Sequence[str]:
-    """Return the status of one instance for people."""
+    """Return the status of one instance as readable lines."""
     member = plain['member']
     leaving = ', '.join(plain['leaving_backends']) or 'none'
     evacuated = ', '.join(plain['evacuated_zones']) or 'none'
@@ -126,17 +126,17 @@
     return (
         f'Instance {member["member_id"]} in {member["zone"]}, '
         f'{"leaving" if member["leaving"] else "live"}.',
-        f'Callers reach it at {member["address"]}, '
-        f'peers and operators at {member["control_address"]}.',
+        f'Address for callers: {member["address"]}, '
+        f'for peers and operators: {member["control_address"]}.',
         f'Configuration version {version_text(plain)} is in force.',
-        f'It knows {len(others)} instances: {", ".join(sorted(others))}.',
-        f'Backend servers that leave: {leaving}.',
+        f'Members: {len(others)} instances: {", ".join(sorted(others))}.',
+        f'Leaving backend servers: {leaving}.',
         f'Evacuated zones: {evacuated}.',
     )
 
 
 def instance_lines(plain: Sequence[dict[str, Any]]) -> Sequence[str]:
-    """Return a table of all instances."""
+    """Return the lines of a table of instances and their states."""
     heads = ('instance', 'zone', 'address', 'control', 'state', 'version')
     rows = []
     for each in plain:
--- a/catkinslip/cli/metrics.py
+++ b/catkinslip/cli/metrics.py
@@ -1,4 +1,4 @@
-"""The command that shows what an instance has measured."""
+"""The command that prints the metrics of an instance."""
 
 from collections.abc import Iterator, Sequence
 
@@ -27,7 +27,7 @@
 
 
 class MetricsCommand(InstanceCommand):
-    """Show what one instance has measured."""
+    """Print the metrics of one instance (`metrics`)."""
 
     declared = defined.METRICS
     path = METRICS_PATH
@@ -35,7 +35,7 @@
     async def show(
         self, client: httpx.AsyncClient, first: httpx.Response
     ) -> ExitStatus:
-        """Show the measured values."""
+        """Print the metrics as tables or as JSON."""
         plain = first.json()
         families = cattrs.structure(plain['families'], list[Family])
         by_name = {family.name: family for family in families}
@@ -44,7 +44,7 @@
 
 
 def metric_lines(family_by_name: dict[str, Family]) -> Iterator[str]:
-    """Return tables of services, of backend servers and of the instance."""
+    """Yield the lines of the service, backend server and instance tables."""
     yield from service_table(family_by_name)
     yield ''
     yield from backend_table(family_by_name)
@@ -53,7 +53,7 @@
 
 
 def service_table(family_by_name: dict[str, Family]) -> list[str]:
-    """Return a line for each service."""
+    """Return a table with a row for each service."""
     counts = outcome_counts(family_by_name['catkinslip_service_outcomes_total'])
     retries = {
         sample.labels[0]: sample.value
@@ -68,7 +68,7 @@
 
 
 def backend_table(family_by_name: dict[str, Family]) -> list[str]:
-    """Return a line for each backend server that had an attempt."""
+    """Return a table with a row for each backend server that had an attempt."""
     counts = outcome_counts(family_by_name['catkinslip_backend_outcomes_total'])
     in_flight = {
         sample.labels[1]: sample.value
@@ -85,7 +85,7 @@
 
 
 def instance_table(family_by_name: dict[str, Family]) -> list[str]:
-    """Return a line for each value that belongs to no service or backend server."""
+    """Return a table of the values that belong to no service or backend server."""
     rows = []
     for family in family_by_name.values():
         if {'service', 'backend'} & set(family.label_names):
@@ -100,7 +100,7 @@
 
 
 def outcome_counts(family: Family) -> dict[str, dict[str, float]]:
-    """Return counts by outcome, by the first label."""
+    """Return the counts of a family by its first label, then by outcome."""
     count_by_outcome_by_name: dict[str, dict[str, float]] = {}
     for sample in family.samples:
         name, outcome = sample.labels
@@ -111,7 +111,7 @@
 def common_cells(
     each: SummarySample, count_by_outcome: dict[str, float]
 ) -> Sequence[object]:
-    """Return the cells that services and backend servers have in common."""
+    """Return the row cells that the service and backend server tables share."""
     kinds = [
         int(sum(n for word, n in count_by_outcome.items() if word.startswith(kind)))
         for kind in ('answered', 'not-run', 'unknown')
@@ -126,5 +126,5 @@
 
 
 def labelled(name: str, labels: Sequence[str]) -> str:
-    """Return a name followed by its labels."""
+    """Return a metric name followed by its label values in braces."""
     return f'{name}{{{", ".join(labels)}}}' if labels else name
--- a/catkinslip/cli/options.py
+++ b/catkinslip/cli/options.py
@@ -1,4 +1,4 @@
-"""The flags that several commands of the tool share."""
+"""Settings that several commands share."""
 
 from attrs import evolve
 
@@ -22,34 +22,34 @@
     '--platform-timeout',
     '5',
     number(0.05, 60, 'seconds'),
-    'Seconds to wait for an answer of the platform.',
+    'Seconds to wait for an answer from the platform.',
     PLATFORM_GROUP,
 )
 CONTROL = Option(
     '--control',
     '',
     some_addresses,
-    'Control addresses of instances; the first that answers is asked.',
+    'Control addresses of instances; the first that answers is used.',
     CONTROL_GROUP,
 )
 CONTROL_TIMEOUT = Option(
     '--control-timeout',
     '3',
     number(0.05, 60, 'seconds'),
-    'Seconds to wait for an answer of an instance.',
+    'Seconds to wait for an answer from an instance.',
     CONTROL_GROUP,
 )
 SHARED_SECRET = Option(
     '--shared-secret',
     '',
     str,
-    'Secret that instances ask for; a flag shows in the process list, so prefer '
+    'Secret that instances require; a flag shows in the process list, so prefer '
     'the variable or the file.',
     CONTROL_GROUP,
     secret=True,
 )
 AUTHOR = Option(
-    '--author', '', str, 'Who makes the change; your user if empty.', CHANGE_GROUP
+    '--author', '', str, 'Author of the change; your user name if empty.', CHANGE_GROUP
 )
 WAIT = Option(
     '--wait',
--- a/catkinslip/cli/output.py
+++ b/catkinslip/cli/output.py
@@ -1,4 +1,4 @@
-"""Print data and errors of commands."""
+"""Output of commands: text, JSON, tables and errors."""
 
 from collections.abc import Callable, Sequence
 
@@ -12,21 +12,21 @@
 
 @frozen
 class Printer:
-    """Print to the streams of one command."""
+    """Printer for the output streams of one command."""
 
     io: IO
     is_json: bool = False
 
     def sentence(self, text: str) -> None:
-        """Print a sentence for people."""
+        """Print a line of text to standard output."""
         self.io.write_line(text, type=Type.RAW)
 
     def error(self, text: str) -> None:
-        """Print an error, also when the command is told to be quiet."""
+        """Print an error to standard error, also with `--quiet`."""
         self.io.write_error_line(text, verbosity=Verbosity.QUIET, type=Type.RAW)
 
     def data(self, plain: object, sentences: Callable[[], Sequence[str]]) -> None:
-        """Print plain data as JSON if that is wanted, else sentences about it."""
+        """Print plain data as JSON with `--json`, otherwise as lines of text."""
         if self.is_json:
             self.json(plain)
             return
@@ -34,13 +34,13 @@
             self.sentence(line)
 
     def json(self, plain: object) -> None:
-        """Print plain data as JSON."""
+        """Print plain data as indented JSON with sorted keys."""
         options = orjson.OPT_INDENT_2 | orjson.OPT_SORT_KEYS
         self.sentence(orjson.dumps(plain, option=options).decode())
 
 
 def table(heads: Sequence[str], rows: Sequence[Sequence[object]]) -> list[str]:
-    """Return the lines of a table; columns of numbers stand to the right."""
+    """Return the lines of a table, with columns of numbers aligned right."""
     texts = [[str(cell) for cell in row] for row in rows]
     columns = list(zip(heads, *texts, strict=True))
     widths = [max(map(len, column)) for column in columns]
@@ -55,5 +55,5 @@
 
 
 def is_numeric(cells: Sequence[str]) -> bool:
-    """Tell whether all cells of a column are numbers or empty marks."""
+    """Return whether all cells of a column are numbers or `-` (no value)."""
     return all(cell == '-' or cell.replace('.', '', 1).isdigit() for cell in cells)
--- a/tests/test_cli_frame.py
+++ b/tests/test_cli_frame.py
@@ -1,4 +1,4 @@
-"""The frame of the operators' tool: help, usage errors, printing."""
+"""Tests of the command-line tool: help, usage errors and tables."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 
 
 class ToolFrameTest(unittest.TestCase):
-    """Mistakes are told in sentences, never as a stack trace."""
+    """The tool documents its flags and reports errors without a stack trace."""
 
     def test_help_of_each_command_documents_flags_examples_and_statuses(self):
         for declared in COMMANDS:
--- a/tests/test_cli_instances.py
+++ b/tests/test_cli_instances.py
@@ -1,4 +1,4 @@
-"""Status, metrics and traces of real daemons, shown by the tool."""
+"""Tests of status, metrics and traces that the tool prints from daemons."""
 
 import tempfile
 import unittest
@@ -17,7 +17,7 @@
 
 
 class InstancesTest(unittest.TestCase):
-    """Two daemons, of which one took a request."""
+    """Output of the tool for two daemons, one of which received a request."""
 
     @classmethod
     def setUpClass(cls):
@@ -70,7 +70,7 @@
         self.assertRegex(
             result.stdout, r'Attempt 1 went to limits-\d, one of 2 servers: '
         )
-        self.assertIn('the caller was told: answered with 200.', result.stdout)
+        self.assertIn('the caller received: answered with 200.', result.stdout)
 
     def test_explain_reads_a_log_file_once_lines_are_flushed(self):
         log_path = self.daemons[0].log_path
