--- a/catkinslip/cli/change_outcomes.py
+++ b/catkinslip/cli/change_outcomes.py
@@ -11,32 +11,32 @@
 from catkinslip.status import ExitStatus
 
 
-def describe(outcome: ChangeOutcome) -> tuple[str, ExitStatus, str, dict]:
+def describe_outcome(outcome: ChangeOutcome) -> tuple[str, ExitStatus, str, dict]:
     """Return the name, exit status, sentence and plain data of a change outcome."""
     match outcome:
         case ChangeAccepted(config):
-            sentence = (
+            message = (
                 f'Accepted as version {config.version}, change {config.change_id}.'
             )
             extra = {'version': str(config.version), 'change_id': config.change_id}
-            return 'accepted', ExitStatus.SUCCESS, sentence, extra
+            return 'accepted', ExitStatus.SUCCESS, message, extra
         case ChangeConflict(winner):
-            extra = {'winner': describe_winner(winner)}
-            sentence = f'Not changed: {tell_winner(winner)} came first.'
-            return 'conflict', ExitStatus.CONFLICT, sentence, extra
+            extra = {'winner': winner_data(winner)}
+            message = f'Not changed: {winner_text(winner)} came first.'
+            return 'conflict', ExitStatus.CONFLICT, message, extra
         case ChangeNotMade(reason):
-            sentence = f'Not changed: {reason}.'
-            return 'not made', ExitStatus.UNREACHABLE, sentence, {'reason': reason}
+            message = f'Not changed: {reason}.'
+            return 'not made', ExitStatus.UNREACHABLE, message, {'reason': reason}
         case ChangeUnknown(change_id, reason):
-            sentence = (
+            message = (
                 f'Unknown whether change {change_id} was accepted: {reason}. '
                 f'Check later with: catkinslip changes --change {change_id}'
             )
             extra = {'change_id': change_id, 'reason': reason}
-            return 'unknown', ExitStatus.UNKNOWN, sentence, extra
+            return 'unknown', ExitStatus.UNKNOWN, message, extra
 
 
-def describe_winner(winner: Change | None) -> dict | None:
+def winner_data(winner: Change | None) -> dict | None:
     """Return the change that was accepted first as plain data, if it is known."""
     if winner is None:
         return None
@@ -47,7 +47,7 @@
     }
 
 
-def tell_winner(winner: Change | None) -> str:
+def winner_text(winner: Change | None) -> str:
     """Return the change that was accepted first as the subject of a sentence."""
     if winner is None:
         return 'another change, which could not be read,'
--- a/catkinslip/cli/changing.py
+++ b/catkinslip/cli/changing.py
@@ -3,7 +3,7 @@
 import secrets
 
 from catkinslip.cli import options
-from catkinslip.cli.change_outcomes import describe
+from catkinslip.cli.change_outcomes import describe_outcome
 from catkinslip.cli.configuration import ConfigurationCommand
 from catkinslip.cli.in_force import InForceReport
 from catkinslip.config.changes import ChangeAccepted, ChangeOutcome, apply_change
@@ -42,12 +42,12 @@
     async def finish(self, store: ObjectStore, outcome: ChangeOutcome) -> ExitStatus:
         """Print the outcome and, with `--wait`, wait until the change is in force."""
         if not isinstance(outcome, ChangeAccepted) or self.wait is None:
-            return self.tell(outcome)
+            return self.print_outcome(outcome)
         config = outcome.config
         if not self.is_json:
-            self.tell(outcome)
+            self.print_outcome(outcome)
             return await self.follow(store, config.version, config.change_id)
-        word, _, _, extra = describe(outcome)
+        word, _, _, extra = describe_outcome(outcome)
         plain = {'outcome': word, **extra}
         return await self.follow(store, config.version, config.change_id, plain)
 
@@ -64,10 +64,10 @@
         if self.is_json:
             self.printer.json({**(plain or {}), **to_plain(report)})
         else:
-            self.tell_in_force(report, version)
+            self.print_in_force(report, version)
         return ExitStatus.SUCCESS if report.is_complete else ExitStatus.NOT_IN_FORCE
 
-    def tell_in_force(self, report: InForceReport, version: ConfigVersion) -> None:
+    def print_in_force(self, report: InForceReport, version: ConfigVersion) -> None:
         """Print on how many instances a version is in force, and list the others."""
         count = len(report.in_force)
         if report.is_complete:
@@ -84,9 +84,9 @@
             f'Version {version} is in force on {count} of {total} instances.'
         )
 
-    def tell(self, outcome: ChangeOutcome) -> ExitStatus:
+    def print_outcome(self, outcome: ChangeOutcome) -> ExitStatus:
         """Print the outcome of a change and return its exit status."""
-        word, status, sentence, extra = describe(outcome)
+        word, status, sentence, extra = describe_outcome(outcome)
         if self.is_json:
             self.printer.json({'outcome': word, **extra})
         elif status == ExitStatus.SUCCESS:
--- a/catkinslip/cli/configuration.py
+++ b/catkinslip/cli/configuration.py
@@ -42,7 +42,7 @@
             return Failure(DocumentRefused((mistake,)))
         return parse_document(text)
 
-    def tell_refused(self, refused: DocumentRefused) -> ExitStatus:
+    def print_refused(self, refused: DocumentRefused) -> ExitStatus:
         """Print every mistake of a refused document and return the exit status."""
         if self.is_json:
             self.printer.json(
@@ -55,7 +55,7 @@
         self.printer.error(f'Refused, mistakes: {count}; nothing changed.')
         return ExitStatus.REJECTED
 
-    def tell_unreachable(self, error: PlatformError) -> ExitStatus:
+    def print_unreachable(self, error: PlatformError) -> ExitStatus:
         """Print that the platform did not answer and return the exit status."""
         self.printer.error(
             f'The platform did not answer: {error}. Nothing changed. '
--- a/catkinslip/cli/configuration_changes.py
+++ b/catkinslip/cli/configuration_changes.py
@@ -7,7 +7,7 @@
 
 from catkinslip.cli import definition as defined
 from catkinslip.cli.base import UsageError
-from catkinslip.cli.change_outcomes import tell_winner
+from catkinslip.cli.change_outcomes import winner_text
 from catkinslip.cli.changing import ChangingCommand
 from catkinslip.config.changes import ChangeConflict, rewrite_head
 from catkinslip.config.checks import DocumentRefused, read_document
@@ -30,19 +30,19 @@
         """Run the command and return its exit status."""
         match self.read_file():
             case Failure(refused):
-                return self.tell_refused(refused)
+                return self.print_refused(refused)
             case Success(document):
                 pass
         async with self.open_store() as store:
             base = await read_config(store)
             if not isinstance(base, StoredConfig):
-                return self.tell_unreachable(base)
+                return self.print_unreachable(base)
             if not self._is_base(base.config.version):
-                return self.tell(ChangeConflict(base.head.last))
+                return self.print_outcome(ChangeConflict(base.head.last))
             raise_epoch = self.option('raise-epoch')
             is_same = base.config.plain == to_plain(document) and not raise_epoch
             if is_same and await rewrite_head(store, base):
-                return await self._tell_same(store, base)
+                return await self._print_unchanged(store, base)
             outcome = await self.write(store, base, document, raise_epoch)
             return await self.finish(store, outcome)
 
@@ -50,7 +50,9 @@
         wanted = self.option('base')
         return wanted is None or wanted in (str(version), str(version.number))
 
-    async def _tell_same(self, store: ObjectStore, base: StoredConfig) -> ExitStatus:
+    async def _print_unchanged(
+        self, store: ObjectStore, base: StoredConfig
+    ) -> ExitStatus:
         version = base.config.version
         if self.is_json:
             self.printer.json({'outcome': 'same', 'version': str(version)})
@@ -72,18 +74,18 @@
             for _ in range(MAX_CONFLICTS):
                 base = await read_config(store)
                 if not isinstance(base, StoredConfig):
-                    return self.tell_unreachable(base)
+                    return self.print_unreachable(base)
                 document = self.edit(base.config.document)
                 if isinstance(document, Failure):
-                    return self.tell_refused(document.failure())
+                    return self.print_refused(document.failure())
                 is_same = document.unwrap() == base.config.document
                 if is_same and await rewrite_head(store, base):
-                    return self._tell_same(base)
+                    return self._print_unchanged(base)
                 outcome = await self.write(store, base, document.unwrap())
                 if not isinstance(outcome, ChangeConflict):
                     break
                 self.printer.error(
-                    f'Again, as {tell_winner(outcome.winner)} came first.'
+                    f'Again, as {winner_text(outcome.winner)} came first.'
                 )
             return await self.finish(store, outcome)
 
@@ -91,7 +93,7 @@
     def edit(self, document: Document) -> Result[Document, DocumentRefused]:
         """Return the edited document, or the mistakes that prevent the edit."""
 
-    def _tell_same(self, base: StoredConfig) -> ExitStatus:
+    def _print_unchanged(self, base: StoredConfig) -> ExitStatus:
         version = base.config.version
         if self.is_json:
             self.printer.json({'outcome': 'same', 'version': str(version)})
@@ -172,6 +174,6 @@
                 return await self.follow(store, version, '')
             found = await read_config(store)
             if not isinstance(found, StoredConfig):
-                return self.tell_unreachable(found)
+                return self.print_unreachable(found)
             config = found.config
             return await self.follow(store, config.version, config.change_id)
--- a/catkinslip/cli/configuration_reads.py
+++ b/catkinslip/cli/configuration_reads.py
@@ -30,11 +30,11 @@
         """Run the command and return its exit status."""
         match self.read_file():
             case Success(document):
-                return self._tell_good(document)
+                return self._print_valid(document)
             case Failure(refused):
-                return self.tell_refused(refused)
+                return self.print_refused(refused)
 
-    def _tell_good(self, document: Document) -> ExitStatus:
+    def _print_valid(self, document: Document) -> ExitStatus:
         services = len(document.register.services)
         backends = len(document.register.backends)
         if self.is_json:
@@ -64,7 +64,7 @@
         async with self.open_store() as store:
             found = await read_config(store)
         if not isinstance(found, StoredConfig):
-            return self.tell_unreachable(found)
+            return self.print_unreachable(found)
         config = found.config
         return self._tell(
             {
@@ -100,7 +100,7 @@
         async with self.open_store() as store:
             found = await read_head(store)
         if not isinstance(found, StoredHead):
-            return self.tell_unreachable(found)
+            return self.print_unreachable(found)
         wanted = self.option('change')
         if wanted is None:
             self._tell(found.head.changes)
@@ -109,7 +109,7 @@
         if change is not None:
             self._tell((change,))
             return ExitStatus.SUCCESS
-        return self._tell_absent(wanted, found.head)
+        return self._print_absent(wanted, found.head)
 
     def _tell(self, changes: tuple[Change, ...]) -> None:
         if self.is_json:
@@ -122,7 +122,7 @@
                 line += f'  {to_plain(change.patch)}'
             self.printer.sentence(line)
 
-    def _tell_absent(self, change_id: str, head: Head) -> ExitStatus:
+    def _print_absent(self, change_id: str, head: Head) -> ExitStatus:
         if head.has_all_changes_after(ConfigVersion()):
             self.printer.error(f'Change {change_id} has not been accepted.')
             return ExitStatus.CONFLICT
@@ -143,12 +143,12 @@
         """Run the command and return its exit status."""
         match self.read_file():
             case Failure(refused):
-                return self.tell_refused(refused)
+                return self.print_refused(refused)
             case Success(document):
                 pass
         async with self.open_store() as store:
             found = await read_config(store)
         if not isinstance(found, StoredConfig):
-            return self.tell_unreachable(found)
+            return self.print_unreachable(found)
         self.printer.json(merge_diff(found.config.plain, to_plain(document)))
         return ExitStatus.SUCCESS
--- a/catkinslip/cli/explain.py
+++ b/catkinslip/cli/explain.py
@@ -52,7 +52,7 @@
         traces = [trace for plain in answers.values() for trace in plain['traces']]
         traces.sort(key=lambda trace: trace['began_at'])
         if not traces:
-            return self._tell_not_found(f'{len(answers)} of {len(members)} instances')
+            return self._print_not_found(f'{len(answers)} of {len(members)} instances')
         self.printer.data(traces, lambda: list(trace_lines(traces)))
         silent = len(answers) < len(members)
         return ExitStatus.UNREACHABLE if silent else ExitStatus.SUCCESS
@@ -69,11 +69,11 @@
             self.printer.error(f'--log: {path}: {error.strerror}.')
             return ExitStatus.USAGE
         if not lines:
-            return self._tell_not_found(str(path))
+            return self._print_not_found(str(path))
         self.printer.data(lines, lambda: lines)
         return ExitStatus.SUCCESS
 
-    def _tell_not_found(self, place: str) -> ExitStatus:
+    def _print_not_found(self, place: str) -> ExitStatus:
         self.printer.error(
             f'Request {self.argument("request-id")} was not found in {place}. Each '
             'instance keeps its last requests only; read older ones with --log.'
--- a/catkinslip/cli/instances.py
+++ b/catkinslip/cli/instances.py
@@ -43,7 +43,7 @@
             response = await client.get(f'http://{address}{path}')
         except httpx.HTTPError as error:
             self.printer.error(
-                f'{address} did not answer: {describe(error)}. Check --control, and '
+                f'{address} did not answer: {error_text(error)}. Check --control, and '
                 'that the daemon runs.'
             )
             return None
@@ -106,7 +106,7 @@
         return ExitStatus.UNREACHABLE if silent else ExitStatus.SUCCESS
 
 
-def describe(error: httpx.HTTPError) -> str:
+def error_text(error: httpx.HTTPError) -> str:
     """Return the text of an HTTP error, or its type if it has no text."""
     return str(error) or type(error).__name__
 
