--- a/catkinslip/cli/configuration.py
+++ b/catkinslip/cli/configuration.py
@@ -9,7 +9,7 @@
 
 from catkinslip.cli import options
 from catkinslip.cli.base import BaseCommand
-from catkinslip.cli.in_force import Fleet
+from catkinslip.cli.in_force import FleetClient
 from catkinslip.config.checks import DocumentRefused, parse_document
 from catkinslip.config.documents import Document, to_plain
 from catkinslip.config.shapes import DocumentMistake
@@ -28,10 +28,10 @@
         return self.value(options.AUTHOR) or user or f'user-{os.getuid()}'
 
     @asynccontextmanager
-    async def open_fleet(self, store: HttpStore) -> AsyncIterator[Fleet]:
+    async def open_fleet(self, store: HttpStore) -> AsyncIterator[FleetClient]:
         """Open a client that queries all instances."""
         async with self.open_control() as client:
-            yield Fleet(client, store, self.value(options.CONTROL))
+            yield FleetClient(client, store, self.value(options.CONTROL))
 
     def read_file(self) -> Result[Document, DocumentRefused]:
         """Read and check the document in the file argument of the command."""
--- a/catkinslip/cli/explain.py
+++ b/catkinslip/cli/explain.py
@@ -48,7 +48,7 @@
         """Query all members for the request and print its traces."""
         members = first.json()['members']
         request_id = self.argument('request-id')
-        answers = await self.ask_all(client, members, REQUESTS_PATH + request_id)
+        answers = await self.fetch_all(client, members, REQUESTS_PATH + request_id)
         traces = [trace for plain in answers.values() for trace in plain['traces']]
         traces.sort(key=lambda trace: trace['began_at'])
         if not traces:
--- a/catkinslip/cli/in_force.py
+++ b/catkinslip/cli/in_force.py
@@ -51,7 +51,7 @@
 
 
 @frozen
-class Fleet:
+class FleetClient:
     """Client that finds and queries all instances."""
 
     client: httpx.AsyncClient
@@ -64,36 +64,40 @@
         """Poll all instances until a version is in force, or for `wait` seconds."""
         end = trio.current_time() + wait
         while True:
-            reports = await self.ask_all()
-            report = split(reports, wanted, change_id)
+            reports = await self.fetch_all()
+            report = partition_reports(reports, wanted, change_id)
             if report.is_complete or trio.current_time() >= end:
                 return report
             await trio.sleep(POLL_SECONDS)
 
-    async def ask_all(self) -> list[InstanceReport]:
+    async def fetch_all(self) -> list[InstanceReport]:
         """Query all instances that the platform or another instance lists."""
-        name_by_address = await self._listed()
+        name_by_address = await self._list_addresses()
         report_by_name: dict[str, InstanceReport] = {}
-        asked: set[str] = set()
-        while name_by_address.keys() - asked:
-            addresses = sorted(name_by_address.keys() - asked)
-            asked.update(addresses)
+        queried: set[str] = set()
+        while name_by_address.keys() - queried:
+            addresses = sorted(name_by_address.keys() - queried)
+            queried.update(addresses)
             async with trio.open_nursery() as nursery:
                 for address in addresses:
                     name = name_by_address[address]
                     nursery.start_soon(
-                        self._ask, name, address, report_by_name, name_by_address
+                        self._fetch_report,
+                        name,
+                        address,
+                        report_by_name,
+                        name_by_address,
                     )
         return sorted(report_by_name.values(), key=lambda each: each.name)
 
-    async def _listed(self) -> dict[str, str]:
+    async def _list_addresses(self) -> dict[str, str]:
         name_by_address = {each: each for each in self.control_addresses}
         for instance in (await self.store.list_instances()).value_or([]):
             if not instance.leaving:
                 name_by_address[instance.control_address] = instance.name
         return name_by_address
 
-    async def _ask(
+    async def _fetch_report(
         self,
         name: str,
         address: str,
@@ -105,22 +109,22 @@
             response = await self.client.get(f'http://{address}/v1/status')
             response.raise_for_status()
             status = response.json()
-            own = status['member']
+            responder = status['member']
             version = cattrs.structure(status['config_version'], ConfigVersion)
             members = [(each['control_address'], each) for each in status['members']]
         except (httpx.HTTPError, KeyError, *MALFORMED):
             return
-        if own['member_id'] != name:
+        if responder['member_id'] != name:
             report_by_name.pop(name, None)
-        report_by_name[own['member_id']] = InstanceReport(
-            own['member_id'], address, version, status['change_id']
+        report_by_name[responder['member_id']] = InstanceReport(
+            responder['member_id'], address, version, status['change_id']
         )
         for control_address, member in members:
             if not member['leaving']:
                 name_by_address.setdefault(control_address, member['member_id'])
 
 
-def split(
+def partition_reports(
     reports: Iterable[InstanceReport], wanted: ConfigVersion, change_id: str
 ) -> InForceReport:
     """Divide reports into those with a version in force and the stragglers."""
--- a/catkinslip/cli/instances.py
+++ b/catkinslip/cli/instances.py
@@ -24,7 +24,7 @@
         """Query the first instance that answers and print the result."""
         async with self.open_control() as client:
             for address in self.value(options.CONTROL):
-                first = await self.ask(client, address, self.path)
+                first = await self.fetch(client, address, self.path)
                 if first is not None:
                     return await self.show(client, first)
         return ExitStatus.UNREACHABLE
@@ -35,7 +35,7 @@
     ) -> ExitStatus:
         """Print the first answer, after queries to other instances if needed."""
 
-    async def ask(
+    async def fetch(
         self, client: httpx.AsyncClient, address: str, path: str
     ) -> httpx.Response | None:
         """Query an instance; print the error and return None if the query fails."""
@@ -55,20 +55,20 @@
             return None
         return response
 
-    async def ask_all(
+    async def fetch_all(
         self, client: httpx.AsyncClient, members: Sequence[dict], path: str
     ) -> dict[str, Any]:
         """Query all members concurrently; return the parsed answers by member ID."""
         plain_by_id: dict[str, Any] = {}
 
-        async def ask_member(member: dict) -> None:
-            response = await self.ask(client, member['control_address'], path)
+        async def fetch_member(member: dict) -> None:
+            response = await self.fetch(client, member['control_address'], path)
             if response is not None:
                 plain_by_id[member['member_id']] = response.json()
 
         async with trio.open_nursery() as nursery:
             for member in members:
-                nursery.start_soon(ask_member, member)
+                nursery.start_soon(fetch_member, member)
         return plain_by_id
 
 
@@ -96,7 +96,7 @@
     ) -> ExitStatus:
         """Query and print all members that the instance lists."""
         members = first.json()['members']
-        plain_by_id = await self.ask_all(client, members, STATUS_PATH)
+        plain_by_id = await self.fetch_all(client, members, STATUS_PATH)
         plain = [
             {**member, 'status': plain_by_id.get(member['member_id'])}
             for member in sorted(members, key=lambda each: each['member_id'])
--- a/tests/test_cli_instances.py
+++ b/tests/test_cli_instances.py
@@ -44,7 +44,7 @@
             for n in (1, 2)
         ]
         cls.request_id = wait_until(cls.send_request)
-        wait_until(lambda: len(cls.ask_json('instances')) == 2)
+        wait_until(lambda: len(cls.run_json('instances')) == 2)
 
     @classmethod
     def send_request(cls) -> str | None:
@@ -53,16 +53,16 @@
         return answer.headers['catkinslip-request-id'] if answer.is_success else None
 
     @classmethod
-    def ask(cls, *arguments: str):
+    def run_command(cls, *arguments: str):
         control = cls.daemons[1].control_address
         return run_tool(*arguments, '--control', control, variables=SECRET_VARIABLE)
 
     @classmethod
-    def ask_json(cls, *arguments: str):
-        return cls.ask(*arguments, '--json').json
+    def run_json(cls, *arguments: str):
+        return cls.run_command(*arguments, '--json').json
 
     def test_explain_finds_a_request_that_another_instance_took(self):
-        result = self.ask('explain', self.request_id)
+        result = self.run_command('explain', self.request_id)
         self.assertEqual(result.status, ExitStatus.SUCCESS, result.stderr)
         self.assertIn(
             'entry-1 took GET /limits/7 for limits, repeatable.', result.stdout
@@ -80,7 +80,7 @@
         self.assertIn(f'routing: {self.request_id} limits goes to', result.stdout)
 
     def test_explain_tells_that_a_request_is_not_known(self):
-        result = self.ask('explain', 'no-such-request')
+        result = self.run_command('explain', 'no-such-request')
         self.assertEqual(result.status, ExitStatus.NOT_FOUND)
         self.assertIn('2 of 2 instances', result.stderr)
 
@@ -106,9 +106,9 @@
             self.assertIn(name, text)
 
     def test_status_shows_the_version_in_force(self):
-        result = self.ask('status')
+        result = self.run_command('status')
         self.assertIn('Configuration version 0.1 is in force.', result.stdout)
-        statuses = [each['status'] for each in self.ask_json('instances')]
+        statuses = [each['status'] for each in self.run_json('instances')]
         versions = {each['config_version']['number'] for each in statuses}
         self.assertEqual(versions, {1})
 
