--- a/catkinslip/cli/explain.py
+++ b/catkinslip/cli/explain.py
@@ -15,17 +15,17 @@
 
 MILLISECONDS = 1000
 #: Log field with the key that all copies of a request that crashed servers share.
-SAME_REQUEST = re.compile(r' request=(\S+)')
+REQUEST_KEY = re.compile(r' request=(\S+)')
 
 
-def names_of(lines: Iterable[str], request_id: str) -> set[str]:
+def find_request_names(lines: Iterable[str], request_id: str) -> set[str]:
     """Return the ID of a request and the keys that its log lines share with copies."""
-    own = (line for line in lines if request_id in line)
-    keys = (found for line in own for found in SAME_REQUEST.findall(line))
+    matching = (line for line in lines if request_id in line)
+    keys = (found for line in matching for found in REQUEST_KEY.findall(line))
     return {request_id, *keys}
 
 
-def lines_with(lines: Iterable[str], names: set[str]) -> list[str]:
+def select_lines(lines: Iterable[str], names: set[str]) -> list[str]:
     """Return the log lines that contain at least one of several names."""
     return [line.rstrip('\n') for line in lines if any(name in line for name in names)]
 
@@ -61,10 +61,10 @@
         request_id = self.argument('request-id')
         try:
             with path.open(errors='replace') as file:
-                names = names_of(file, request_id)
+                names = find_request_names(file, request_id)
                 # The log may be larger than the memory, so the file is read twice.
                 file.seek(0)
-                lines = lines_with(file, names)
+                lines = select_lines(file, names)
         except OSError as error:
             self.printer.error(f'--log: {path}: {error.strerror}.')
             return ExitStatus.USAGE
@@ -73,9 +73,9 @@
         self.printer.data(lines, lambda: lines)
         return ExitStatus.SUCCESS
 
-    def _print_not_found(self, place: str) -> ExitStatus:
+    def _print_not_found(self, source: str) -> ExitStatus:
         self.printer.error(
-            f'Request {self.argument("request-id")} was not found in {place}. Each '
+            f'Request {self.argument("request-id")} was not found in {source}. Each '
             'instance keeps its last requests only; read older ones with --log.'
         )
         return ExitStatus.NOT_FOUND
--- a/tests/test_crashes_incident.py
+++ b/tests/test_crashes_incident.py
@@ -21,7 +21,7 @@
 
 import trio
 
-from catkinslip.cli.explain import lines_with, names_of
+from catkinslip.cli.explain import find_request_names, select_lines
 from catkinslip.crashes import suspect
 from catkinslip.entry import metrics_page
 from catkinslip.wiring.entry import Entry
@@ -307,7 +307,7 @@
                 await crash(platform, 3)
                 await platform.get(CRASHING, request_id='refused-copy')
             logged = [*crashes.output, *routing.output]
-            lines = lines_with(logged, names_of(logged, 'refused-copy'))
+            lines = select_lines(logged, find_request_names(logged, 'refused-copy'))
             text = '\n'.join(lines)
             self.assertIn('refused-copy is refused', text)
             self.assertIn('servers=3', text)
