--- a/catkinslip/cli/base.py
+++ b/catkinslip/cli/base.py
@@ -11,7 +11,7 @@
 from returns.result import Failure, Success
 
 from catkinslip.cli import options
-from catkinslip.cli.definition import Definition
+from catkinslip.cli.definition import CommandDefinition
 from catkinslip.cli.output import Printer
 from catkinslip.clock import LoopClock
 from catkinslip.control.paths import SECRET_HEADER
@@ -29,16 +29,16 @@
 class BaseCommand(Command):
     """Command that is built from its definition and runs under trio."""
 
-    declared: ClassVar[Definition]
+    command_definition: ClassVar[CommandDefinition]
 
     def __init__(self, environment: Environment) -> None:
-        declared = self.declared
+        command_definition = self.command_definition
         self.environment = environment
-        self.name = declared.name
-        self.description = declared.summary
-        self.settings = with_secret_files(declared.settings)
-        self.arguments = list(declared.arguments)
-        self.options = [*map(cleo_option, self.settings), *declared.switches]
+        self.name = command_definition.name
+        self.description = command_definition.summary
+        self.settings = with_secret_files(command_definition.settings)
+        self.arguments = list(command_definition.arguments)
+        self.options = [*map(cleo_option, self.settings), *command_definition.switches]
         self.value_by_field: dict[str, Any] = {}
         super().__init__()
 
--- a/catkinslip/cli/configuration_changes.py
+++ b/catkinslip/cli/configuration_changes.py
@@ -5,7 +5,7 @@
 from attrs import evolve
 from returns.result import Failure, Result, Success
 
-from catkinslip.cli import definition as defined
+from catkinslip.cli import definition as definitions
 from catkinslip.cli.base import UsageError
 from catkinslip.cli.change_outcomes import winner_text
 from catkinslip.cli.changing import ChangingCommand
@@ -24,7 +24,7 @@
 class ApplyCommand(ChangingCommand):
     """Replace the accepted configuration with a document (`apply`)."""
 
-    declared = defined.APPLY
+    command_definition = definitions.APPLY
 
     async def main(self) -> ExitStatus:
         """Run the command and return its exit status."""
@@ -105,7 +105,7 @@
 class DrainCommand(EditCommand):
     """Mark a backend server as draining: it gets no new requests (`drain`)."""
 
-    declared = defined.DRAIN
+    command_definition = definitions.DRAIN
     draining = True
 
     def edit(self, document: Document) -> Result[Document, DocumentRefused]:
@@ -125,14 +125,14 @@
 class UndrainCommand(DrainCommand):
     """Clear the draining mark of a backend server (`undrain`)."""
 
-    declared = defined.UNDRAIN
+    command_definition = definitions.UNDRAIN
     draining = False
 
 
 class EvacuateCommand(EditCommand):
     """Evacuate a zone: its backend servers get no new requests (`evacuate`)."""
 
-    declared = defined.EVACUATE
+    command_definition = definitions.EVACUATE
     is_evacuated = True
 
     def edit(self, document: Document) -> Result[Document, DocumentRefused]:
@@ -148,7 +148,7 @@
 class UnevacuateCommand(EvacuateCommand):
     """End the evacuation of a zone (`unevacuate`)."""
 
-    declared = defined.UNEVACUATE
+    command_definition = definitions.UNEVACUATE
     is_evacuated = False
 
 
@@ -163,7 +163,7 @@
 class WatchCommand(ChangingCommand):
     """Wait until a version is in force on every instance (`watch`)."""
 
-    declared = defined.WATCH
+    command_definition = definitions.WATCH
 
     async def main(self) -> ExitStatus:
         """Run the command and return its exit status."""
--- a/catkinslip/cli/configuration_reads.py
+++ b/catkinslip/cli/configuration_reads.py
@@ -5,7 +5,7 @@
 import httpx
 from returns.result import Failure, Success
 
-from catkinslip.cli import definition as defined
+from catkinslip.cli import definition as definitions
 from catkinslip.cli import options
 from catkinslip.cli.base import UsageError
 from catkinslip.cli.configuration import ConfigurationCommand
@@ -24,7 +24,7 @@
 class CheckCommand(ConfigurationCommand):
     """Check a document without access to the platform (`check`)."""
 
-    declared = defined.CHECK
+    command_definition = definitions.CHECK
 
     async def main(self) -> ExitStatus:
         """Run the command and return its exit status."""
@@ -50,7 +50,7 @@
 class ReadCommand(ConfigurationCommand):
     """Print the accepted configuration (`read`)."""
 
-    declared = defined.READ
+    command_definition = definitions.READ
 
     async def main(self) -> ExitStatus:
         """Run the command and return its exit status."""
@@ -93,7 +93,7 @@
 class ChangesCommand(ConfigurationCommand):
     """Print the recent changes, or whether one change was accepted (`changes`)."""
 
-    declared = defined.CHANGES
+    command_definition = definitions.CHANGES
 
     async def main(self) -> ExitStatus:
         """Run the command and return its exit status."""
@@ -137,7 +137,7 @@
 class DiffCommand(ConfigurationCommand):
     """Print what a document would change, as a JSON merge patch (`diff`)."""
 
-    declared = defined.DIFF
+    command_definition = definitions.DIFF
 
     async def main(self) -> ExitStatus:
         """Run the command and return its exit status."""
--- a/catkinslip/cli/definition.py
+++ b/catkinslip/cli/definition.py
@@ -38,7 +38,7 @@
 
 
 @frozen
-class Definition:
+class CommandDefinition:
     """Definition of one command, from which its parser and its help are built."""
 
     name: str
@@ -53,7 +53,7 @@
 
 FILE = argument('file', 'JSON document with the register and the rules.')
 
-CHECK = Definition(
+CHECK = CommandDefinition(
     'check',
     'Check a document and print every mistake.',
     'Reads a document as `apply` does and prints the location and the reason of each '
@@ -64,7 +64,7 @@
     statuses=(ExitStatus.REJECTED,),
 )
 
-READ = Definition(
+READ = CommandDefinition(
     'read',
     'Print the accepted configuration.',
     'Reads the register and the rules from the platform, or from one instance, and '
@@ -84,7 +84,7 @@
     statuses=(ExitStatus.UNREACHABLE,),
 )
 
-CHANGES = Definition(
+CHANGES = CommandDefinition(
     'changes',
     'Show the last changes, or whether one change was accepted.',
     'Reads the last changes from the platform: version, ID, time and author. With '
@@ -105,7 +105,7 @@
     statuses=(ExitStatus.CONFLICT, ExitStatus.UNKNOWN, ExitStatus.UNREACHABLE),
 )
 
-DIFF = Definition(
+DIFF = CommandDefinition(
     'diff',
     'Show what a document would change.',
     'Compares a document with the accepted configuration and prints the difference as '
@@ -117,7 +117,7 @@
     (ExitStatus.REJECTED, ExitStatus.UNREACHABLE),
 )
 
-APPLY = Definition(
+APPLY = CommandDefinition(
     'apply',
     'Make a document the accepted configuration.',
     'The document replaces the accepted one, unless another change was accepted since '
@@ -145,7 +145,7 @@
 
 BACKEND = argument('backend', 'Name of the backend server in the register.')
 
-DRAIN = Definition(
+DRAIN = CommandDefinition(
     'drain',
     'Send no new requests to a backend server; requests in flight finish.',
     'Marks the server as draining in the register.',
@@ -156,7 +156,7 @@
     CHANGE_STATUSES,
 )
 
-UNDRAIN = Definition(
+UNDRAIN = CommandDefinition(
     'undrain',
     'Send requests to a drained backend server again.',
     'Marks the server as not draining in the register.',
@@ -169,7 +169,7 @@
 
 ZONE = argument('zone', 'Name of the availability zone in the register.')
 
-EVACUATE = Definition(
+EVACUATE = CommandDefinition(
     'evacuate',
     'Send no new requests to the backend servers of a zone; those in flight finish.',
     'Adds the zone to the evacuated zones of the rules.',
@@ -180,7 +180,7 @@
     CHANGE_STATUSES,
 )
 
-UNEVACUATE = Definition(
+UNEVACUATE = CommandDefinition(
     'unevacuate',
     'Send requests to the backend servers of an evacuated zone again.',
     'Removes the zone from the evacuated zones of the rules.',
@@ -191,7 +191,7 @@
     CHANGE_STATUSES,
 )
 
-WATCH = Definition(
+WATCH = CommandDefinition(
     'watch',
     'Wait until a version is in force on every instance.',
     'Polls all instances until each has the version in force, and lists the others '
@@ -209,7 +209,7 @@
     (ExitStatus.UNREACHABLE, ExitStatus.NOT_IN_FORCE),
 )
 
-STATUS = Definition(
+STATUS = CommandDefinition(
     'status',
     'Show the status of one instance.',
     'Queries one instance for its configuration in force, its members and its state.',
@@ -222,7 +222,7 @@
     statuses=(ExitStatus.UNREACHABLE,),
 )
 
-INSTANCES = Definition(
+INSTANCES = CommandDefinition(
     'instances',
     'Show every instance and its configuration in force.',
     'Queries one instance for its members, then each member for its status.',
@@ -237,7 +237,7 @@
     statuses=(ExitStatus.UNREACHABLE,),
 )
 
-METRICS = Definition(
+METRICS = CommandDefinition(
     'metrics',
     'Show the metrics of one instance.',
     'Queries one instance for its counts and durations. Quantiles cover the last one '
@@ -252,7 +252,7 @@
     statuses=(ExitStatus.UNREACHABLE,),
 )
 
-EXPLAIN = Definition(
+EXPLAIN = CommandDefinition(
     'explain',
     'Explain how one request was handled.',
     'Queries one instance for its members, then each member for the request: which '
--- a/catkinslip/cli/explain.py
+++ b/catkinslip/cli/explain.py
@@ -7,7 +7,7 @@
 
 import httpx
 
-from catkinslip.cli import definition as defined
+from catkinslip.cli import definition as definitions
 from catkinslip.cli.instances import InstanceCommand
 from catkinslip.clock import utc_text
 from catkinslip.control.paths import REQUESTS_PATH, STATUS_PATH
@@ -33,7 +33,7 @@
 class ExplainCommand(InstanceCommand):
     """Print the traces or the log lines of one request (`explain`)."""
 
-    declared = defined.EXPLAIN
+    command_definition = definitions.EXPLAIN
     path = STATUS_PATH
 
     def handle(self) -> int:
--- a/catkinslip/cli/help.py
+++ b/catkinslip/cli/help.py
@@ -5,7 +5,7 @@
 from cleo.commands.help_command import HelpCommand as CleoHelpCommand
 
 from catkinslip.cli.base import BaseCommand
-from catkinslip.cli.definition import Definition
+from catkinslip.cli.definition import CommandDefinition
 from catkinslip.cli.output import Printer
 from catkinslip.settings.base import Option, with_secret_files
 from catkinslip.status import ExitStatus
@@ -25,18 +25,18 @@
             self._command = self.application.find(self.argument('command_name'))
         if not isinstance(self._command, BaseCommand):
             return super().handle()
-        Printer(self.io).sentence(help_text(self._command.declared))
+        Printer(self.io).sentence(help_text(self._command.command_definition))
         self._command = None
         return int(ExitStatus.SUCCESS)
 
 
-def help_text(definition: Definition) -> str:
+def help_text(definition: CommandDefinition) -> str:
     """Return the help of a command: usage, flags, examples and exit statuses."""
     parts = [usage(definition), definition.help]
     if definition.arguments:
         parts.append(section('Arguments', argument_lines(definition)))
-    for group, options in by_group(with_secret_files(definition.settings)).items():
-        lines = (f'--{each.name}=VALUE\n      {each.sentences}' for each in options)
+    for group, options in group_options(with_secret_files(definition.settings)).items():
+        lines = (f'--{each.name}=VALUE\n      {each.full_help}' for each in options)
         parts.append(section(group, lines))
     parts.append(section(GENERAL, switch_lines(definition)))
     if definition.examples:
@@ -48,7 +48,7 @@
     return '\n\n'.join(parts)
 
 
-def usage(definition: Definition) -> str:
+def usage(definition: CommandDefinition) -> str:
     """Return the usage line of a command."""
     words = ['catkinslip', definition.name]
     for each in definition.arguments:
@@ -57,12 +57,12 @@
     return 'Usage: ' + ' '.join((*words, '[flags]'))
 
 
-def argument_lines(definition: Definition) -> list[str]:
+def argument_lines(definition: CommandDefinition) -> list[str]:
     """Return the name and the description of each argument of a command."""
     return [f'<{each.name}>\n      {each.description}' for each in definition.arguments]
 
 
-def switch_lines(definition: Definition) -> list[str]:
+def switch_lines(definition: CommandDefinition) -> list[str]:
     """Return the name and the description of each flag without a variable."""
     lines = []
     for each in definition.switches:
@@ -78,7 +78,7 @@
     return '\n'.join((f'{title}:', *(f'  {line}' for line in lines)))
 
 
-def by_group(options: Sequence[Option]) -> dict[str, list[Option]]:
+def group_options(options: Sequence[Option]) -> dict[str, list[Option]]:
     """Return options by group, in the order of their declaration."""
     options_by_group: dict[str, list[Option]] = {}
     for option in options:
--- a/catkinslip/cli/instances.py
+++ b/catkinslip/cli/instances.py
@@ -7,7 +7,7 @@
 import httpx
 import trio
 
-from catkinslip.cli import definition as defined
+from catkinslip.cli import definition as definitions
 from catkinslip.cli import options
 from catkinslip.cli.base import BaseCommand
 from catkinslip.cli.output import table
@@ -75,7 +75,7 @@
 class StatusCommand(InstanceCommand):
     """Print the status of one instance (`status`)."""
 
-    declared = defined.STATUS
+    command_definition = definitions.STATUS
 
     async def show(
         self, client: httpx.AsyncClient, first: httpx.Response
@@ -89,7 +89,7 @@
 class InstancesCommand(InstanceCommand):
     """Print every instance and its configuration in force (`instances`)."""
 
-    declared = defined.INSTANCES
+    command_definition = definitions.INSTANCES
 
     async def show(
         self, client: httpx.AsyncClient, first: httpx.Response
@@ -137,7 +137,7 @@
 
 def instance_lines(plain: Sequence[dict[str, Any]]) -> Sequence[str]:
     """Return the lines of a table of instances and their states."""
-    heads = ('instance', 'zone', 'address', 'control', 'state', 'version')
+    headers = ('instance', 'zone', 'address', 'control', 'state', 'version')
     rows = []
     for each in plain:
         status = each['status']
@@ -153,4 +153,4 @@
                 version,
             )
         )
-    return table(heads, rows)
+    return table(headers, rows)
--- a/catkinslip/cli/metrics.py
+++ b/catkinslip/cli/metrics.py
@@ -5,7 +5,7 @@
 import cattrs
 import httpx
 
-from catkinslip.cli import definition as defined
+from catkinslip.cli import definition as definitions
 from catkinslip.cli.instances import InstanceCommand
 from catkinslip.cli.output import table
 from catkinslip.control.paths import METRICS_PATH
@@ -15,7 +15,7 @@
 
 MILLISECONDS = 1000
 SHOWN_QUANTILES = ('0.5', '0.99', '0.999')
-HEADS = (
+HEADERS = (
     'requests',
     'answered',
     'not run',
@@ -29,7 +29,7 @@
 class MetricsCommand(InstanceCommand):
     """Print the metrics of one instance (`metrics`)."""
 
-    declared = defined.METRICS
+    command_definition = definitions.METRICS
     path = METRICS_PATH
 
     async def show(
@@ -64,7 +64,7 @@
         name = each.labels[0]
         cells = common_cells(each, counts.get(name, {}))
         rows.append((name, *cells, int(retries.get(name, 0))))
-    return table(('service', *HEADS, 'retries'), rows)
+    return table(('service', *HEADERS, 'retries'), rows)
 
 
 def backend_table(family_by_name: dict[str, Family]) -> list[str]:
@@ -81,7 +81,7 @@
         cells = common_cells(each, by_outcome)
         sheds = int(by_outcome.get(SHED_WORD, 0))
         rows.append((name, *cells, sheds, int(in_flight.get(name, 0))))
-    return table(('backend', *HEADS, 'sheds', 'in flight'), rows)
+    return table(('backend', *HEADERS, 'sheds', 'in flight'), rows)
 
 
 def instance_table(family_by_name: dict[str, Family]) -> list[str]:
@@ -91,10 +91,12 @@
         if {'service', 'backend'} & set(family.label_names):
             continue
         for sample in family.samples:
-            rows.append((labelled(family.name, sample.labels), f'{sample.value:g}'))
+            rows.append(
+                (name_with_labels(family.name, sample.labels), f'{sample.value:g}')
+            )
         for each in family.summaries:
             for quantile, value in each.value_by_quantile.items():
-                name = labelled(family.name, (*each.labels, quantile))
+                name = name_with_labels(family.name, (*each.labels, quantile))
                 rows.append((name, f'{value:g}'))
     return table(('measure', 'value'), rows)
 
@@ -125,6 +127,6 @@
     return (each.count, *kinds, *quantiles)
 
 
-def labelled(name: str, labels: Sequence[str]) -> str:
+def name_with_labels(name: str, labels: Sequence[str]) -> str:
     """Return a metric name followed by its label values in braces."""
     return f'{name}{{{", ".join(labels)}}}' if labels else name
--- a/catkinslip/cli/output.py
+++ b/catkinslip/cli/output.py
@@ -25,12 +25,12 @@
         """Print an error to standard error, also with `--quiet`."""
         self.io.write_error_line(text, verbosity=Verbosity.QUIET, type=Type.RAW)
 
-    def data(self, plain: object, sentences: Callable[[], Sequence[str]]) -> None:
+    def data(self, plain: object, make_lines: Callable[[], Sequence[str]]) -> None:
         """Print plain data as JSON with `--json`, otherwise as lines of text."""
         if self.is_json:
             self.json(plain)
             return
-        for line in sentences():
+        for line in make_lines():
             self.sentence(line)
 
     def json(self, plain: object) -> None:
@@ -39,10 +39,10 @@
         self.sentence(orjson.dumps(plain, option=options).decode())
 
 
-def table(heads: Sequence[str], rows: Sequence[Sequence[object]]) -> list[str]:
+def table(headers: Sequence[str], rows: Sequence[Sequence[object]]) -> list[str]:
     """Return the lines of a table, with columns of numbers aligned right."""
     texts = [[str(cell) for cell in row] for row in rows]
-    columns = list(zip(heads, *texts, strict=True))
+    columns = list(zip(headers, *texts, strict=True))
     widths = [max(map(len, column)) for column in columns]
     numeric = [is_numeric(column[1:]) for column in columns]
     return [
@@ -50,7 +50,7 @@
             cell.rjust(width) if right else cell.ljust(width)
             for cell, width, right in zip(line, widths, numeric, strict=True)
         ).rstrip()
-        for line in (list(heads), *texts)
+        for line in (list(headers), *texts)
     ]
 
 
--- a/catkinslip/settings/base.py
+++ b/catkinslip/settings/base.py
@@ -44,7 +44,7 @@
         return getattr(self.convert, 'text', '')
 
     @property
-    def sentences(self) -> str:
+    def full_help(self) -> str:
         """Return the help of the setting with its range, default and variable."""
         parts = [self.help]
         if self.range_text:
--- a/catkinslip/settings/flags.py
+++ b/catkinslip/settings/flags.py
@@ -22,7 +22,7 @@
 
 def cleo_option(option: Option) -> CleoOption:
     """Return the cleo option for the flag of a setting."""
-    return CleoOption(option.name, None, flag=False, description=option.sentences)
+    return CleoOption(option.name, None, flag=False, description=option.full_help)
 
 
 def parse_flags(
--- a/catkinslip/settings/start.py
+++ b/catkinslip/settings/start.py
@@ -70,7 +70,7 @@
         if each.group != group:
             group = each.group
             lines.extend(('', f'{group}:'))
-        lines.extend((f'  {each.flag}=VALUE', f'      {each.sentences}'))
+        lines.extend((f'  {each.flag}=VALUE', f'      {each.full_help}'))
     lines.extend(('', 'General:'))
     for switch in SWITCHES:
         lines.extend((f'  --{switch.name}', f'      {switch.description}'))
--- a/tests/test_cli_frame.py
+++ b/tests/test_cli_frame.py
@@ -12,17 +12,17 @@
     """The tool documents its flags and reports errors without a stack trace."""
 
     def test_help_of_each_command_documents_flags_examples_and_statuses(self):
-        for declared in COMMANDS:
-            result = run_tool('help', declared.name)
+        for definition in COMMANDS:
+            result = run_tool('help', definition.name)
             self.assertEqual(result.status, ExitStatus.SUCCESS)
-            self.assertIn(declared.help, result.stdout)
-            for setting in declared.settings:
+            self.assertIn(definition.help, result.stdout)
+            for setting in definition.settings:
                 self.assertIn(setting.flag, result.stdout)
                 self.assertIn(setting.variable, result.stdout)
-            for status in declared.statuses:
+            for status in definition.statuses:
                 self.assertIn(f'{status.value}  {status.meaning}', result.stdout)
-            self.assertTrue(declared.examples, declared.name)
-            self.assertTrue(declared.help.endswith('.'), declared.name)
+            self.assertTrue(definition.examples, definition.name)
+            self.assertTrue(definition.help.endswith('.'), definition.name)
 
     def test_flag_wins_over_variable_and_all_mistakes_are_told(self):
         result = run_tool(
