--- a/catkinslip/cli/definition.py
+++ b/catkinslip/cli/definition.py
@@ -9,9 +9,9 @@
     CHANGE,
     CONTROL_TIMEOUT,
     INSTANCE,
-    INSTANCE_IF_ANY,
+    OPTIONAL_INSTANCE,
+    OPTIONAL_PLATFORM,
     PLATFORM,
-    PLATFORM_IF_ANY,
     SHARED_SECRET,
     WATCH_WAIT,
 )
@@ -69,7 +69,7 @@
     'Print the accepted configuration.',
     'Reads the register and the rules from the platform, or from one instance, and '
     'prints them as JSON with their version.',
-    (*PLATFORM_IF_ANY, CONTROL_TIMEOUT, SHARED_SECRET),
+    (*OPTIONAL_PLATFORM, CONTROL_TIMEOUT, SHARED_SECRET),
     switches=(
         option('from', None, 'Control address of an instance to read.', flag=False),
         option('document', None, 'Print only the document, as `apply` accepts it.'),
@@ -196,7 +196,7 @@
     'Wait until a version is in force on every instance.',
     'Polls all instances until each has the version in force, and lists the others '
     'when the wait ends.',
-    (*PLATFORM, *INSTANCE_IF_ANY, WATCH_WAIT),
+    (*PLATFORM, *OPTIONAL_INSTANCE, WATCH_WAIT),
     (
         argument(
             'version',
--- a/catkinslip/cli/options.py
+++ b/catkinslip/cli/options.py
@@ -8,7 +8,7 @@
     http_url,
     http_url_or_empty,
     optional,
-    some_addresses,
+    required_addresses,
 )
 
 PLATFORM_GROUP = 'Platform'
@@ -28,7 +28,7 @@
 CONTROL = Option(
     '--control',
     '',
-    some_addresses,
+    required_addresses,
     'Control addresses of instances; the first that answers is used.',
     CONTROL_GROUP,
 )
@@ -61,12 +61,12 @@
 WATCH_WAIT = evolve(WAIT, default='30', help='Seconds to wait.')
 
 PLATFORM = (PLATFORM_URL, PLATFORM_TIMEOUT)
-PLATFORM_IF_ANY = (
+OPTIONAL_PLATFORM = (
     evolve(PLATFORM_URL, convert=http_url_or_empty),
     PLATFORM_TIMEOUT,
 )
 INSTANCE = (CONTROL, CONTROL_TIMEOUT, SHARED_SECRET)
-INSTANCE_IF_ANY = (
+OPTIONAL_INSTANCE = (
     evolve(
         CONTROL,
         convert=addresses,
@@ -75,4 +75,4 @@
     CONTROL_TIMEOUT,
     SHARED_SECRET,
 )
-CHANGE = (*PLATFORM, *INSTANCE_IF_ANY, AUTHOR, WAIT)
+CHANGE = (*PLATFORM, *OPTIONAL_INSTANCE, AUTHOR, WAIT)
--- a/catkinslip/settings/base.py
+++ b/catkinslip/settings/base.py
@@ -92,24 +92,24 @@
     low: float
     high: float
     unit: str
-    kind: type[int] | type[float] = float
+    number_type: type[int] | type[float] = float
 
     @property
     def text(self) -> str:
         """Return a phrase for the allowed values, used in help and errors."""
-        word = 'a whole number ' if self.kind is int else ''
-        return f'{word}from {shown(self.low)} to {shown(self.high)} {self.unit}'
+        word = 'a whole number ' if self.number_type is int else ''
+        return f'{word}from {format_number(self.low)} to {format_number(self.high)} {self.unit}'
 
     def __call__(self, text: str) -> float:
         """Convert the text of a setting; raise ValueError if it is not allowed."""
-        value = self.kind(text)
+        value = self.number_type(text)
         if not self.low <= value <= self.high:
             raise ValueError(text)
         return value
 
 
 @frozen
-class WordConversion(Conversion):
+class ChoiceConversion(Conversion):
     """Conversion that accepts one of several choices."""
 
     choices: tuple[str, ...]
@@ -126,7 +126,7 @@
         return text
 
 
-def shown(value: float) -> str:
+def format_number(value: float) -> str:
     """Return a number as text, without a fraction if it is whole."""
     return str(int(value)) if value == int(value) else str(value)
 
@@ -141,12 +141,12 @@
     return NumberConversion(low, high, unit, int)
 
 
-def one_of(*choices: str) -> WordConversion:
+def one_of(*choices: str) -> ChoiceConversion:
     """Return a conversion that accepts only the given choices."""
-    return WordConversion(choices)
+    return ChoiceConversion(choices)
 
 
-def words(text: str) -> tuple[str, ...]:
+def split_list(text: str) -> tuple[str, ...]:
     """Split a comma-separated list into its items, without empty ones."""
     return tuple(word.strip() for word in text.split(',') if word.strip())
 
@@ -209,15 +209,15 @@
     error: Exception,
 ) -> str:
     """Return a sentence with the setting, its value and the allowed values."""
-    place = f'{option.flag} ({option.variable})'
+    setting = f'{option.flag} ({option.variable})'
     if isinstance(error, OSError):
         file_option = option.file_option()
         reason = error.strerror or type(error).__name__
         return f'{file_option.flag} ({file_option.variable}): {reason}.'
     text = find_text(option, flags, variables)
     if not text:
-        return f'{place} is missing. {option.help}'
+        return f'{setting} is missing. {option.help}'
     value = 'the value' if option.secret else repr(text)
     if option.range_text:
-        return f'{place}: {value} is wrong; it must be {option.range_text}.'
-    return f'{place}: {value} is wrong: {error}.'
+        return f'{setting}: {value} is wrong; it must be {option.range_text}.'
+    return f'{setting}: {value} is wrong: {error}.'
--- a/catkinslip/settings/daemon.py
+++ b/catkinslip/settings/daemon.py
@@ -45,7 +45,7 @@
     log_level: str
 
 
-def check_together(settings: DaemonSettings) -> tuple[str, ...]:
+def check_combinations(settings: DaemonSettings) -> tuple[str, ...]:
     """Return a sentence for each pair of settings that cannot be used together."""
     mistakes = []
     port = settings.listen_port
--- a/catkinslip/settings/daemon_options.py
+++ b/catkinslip/settings/daemon_options.py
@@ -4,7 +4,7 @@
 from catkinslip.settings.values import (
     addresses,
     http_url_or_empty,
-    ip_number,
+    ipv4_address,
     required,
 )
 
@@ -31,7 +31,11 @@
     Option('--zone', '', required, 'Availability zone of this instance.', IDENTITY),
     Option('--region', 'default', required, 'Region of this instance.', IDENTITY),
     Option(
-        '--listen-host', '127.0.0.1', ip_number, 'IP number callers reach.', LISTENERS
+        '--listen-host',
+        '127.0.0.1',
+        ipv4_address,
+        'IP number callers reach.',
+        LISTENERS,
     ),
     Option(
         '--listen-port',
@@ -43,7 +47,7 @@
     Option(
         '--control-host',
         '127.0.0.1',
-        ip_number,
+        ipv4_address,
         'IP number that peers and operators reach.',
         LISTENERS,
     ),
--- a/catkinslip/settings/flags.py
+++ b/catkinslip/settings/flags.py
@@ -32,7 +32,7 @@
     definition = Definition([*map(cleo_option, options), *switches])
     checker = FlagChecker(definition)
     checker.check(list(arguments))
-    parsed = ArgvInput(['', *checker.kept])
+    parsed = ArgvInput(['', *checker.accepted])
     parsed.bind(definition)
     given = parsed.options
     return ParsedFlags(
@@ -47,7 +47,7 @@
     """Finds every invalid argument, whereas cleo stops at the first."""
 
     definition: Definition
-    kept: list[str] = Factory(list)
+    accepted: list[str] = Factory(list)
     mistakes: list[str] = Factory(list)
 
     def check(self, arguments: list[str]) -> None:
@@ -61,15 +61,15 @@
             takes_value = self._takes_value(flag)
             value = []
             if takes_value is not False and not equals:
-                value = take_value(arguments)
+                value = pop_value(arguments)
             if takes_value is None:
-                self.mistakes.append(self._unknown(flag))
+                self.mistakes.append(self._describe_unknown(flag))
             elif takes_value and not equals and not value:
                 self.mistakes.append(f'{flag} needs a value.')
             elif not takes_value and equals:
                 self.mistakes.append(f'{flag} takes no value.')
             else:
-                self.kept.extend((argument, *value))
+                self.accepted.extend((argument, *value))
 
     def _takes_value(self, flag: str) -> bool | None:
         """Return whether a flag takes a value, or None if there is no such flag."""
@@ -80,14 +80,16 @@
             return self.definition.option_for_shortcut(flag[1:]).accepts_value()
         return None
 
-    def _unknown(self, flag: str) -> str:
+    def _describe_unknown(self, flag: str) -> str:
         names = [each.name for each in self.definition.options]
-        close = get_close_matches(flag.lstrip('-'), names, 1)
-        hint = f'Did you mean --{close[0]}?' if close else 'See --help for all flags.'
+        matches = get_close_matches(flag.lstrip('-'), names, 1)
+        hint = (
+            f'Did you mean --{matches[0]}?' if matches else 'See --help for all flags.'
+        )
         return f'{flag} is not a flag. {hint}'
 
 
-def take_value(arguments: list[str]) -> list[str]:
+def pop_value(arguments: list[str]) -> list[str]:
     """Remove the next argument from a list and return it if it is a value."""
     if arguments and not arguments[0].startswith('-'):
         return [arguments.pop(0)]
--- a/catkinslip/settings/start.py
+++ b/catkinslip/settings/start.py
@@ -12,7 +12,7 @@
     read_values,
     with_secret_files,
 )
-from catkinslip.settings.daemon import DaemonSettings, check_together
+from catkinslip.settings.daemon import DaemonSettings, check_combinations
 from catkinslip.settings.daemon_options import OPTIONS
 from catkinslip.settings.flags import ParsedFlags, parse_flags
 
@@ -46,7 +46,7 @@
         case Success(value_by_field):
             fields = {each.field: value_by_field[each.field] for each in OPTIONS}
             settings = DaemonSettings(**fields)
-            mistakes.extend(check_together(settings))
+            mistakes.extend(check_combinations(settings))
     return Failure(SettingsError(tuple(mistakes))) if mistakes else Success(settings)
 
 
--- a/catkinslip/settings/values.py
+++ b/catkinslip/settings/values.py
@@ -8,13 +8,13 @@
 from attrs import frozen
 
 from catkinslip.models import Address
-from catkinslip.settings.base import Conversion, words
+from catkinslip.settings.base import Conversion, split_list
 
 MAX_PORT = 65535
 
 
 @frozen
-class FormConversion(Conversion):
+class FormatConversion(Conversion):
     """Conversion with a parse function and a phrase for the accepted format."""
 
     form: str
@@ -48,15 +48,15 @@
     return str(address)
 
 
-def parse_ip_number(text: str) -> str:
+def parse_ipv4_address(text: str) -> str:
     """Return an IPv4 address that is announced to others.
 
     Raise ValueError if the text is invalid or the unspecified address (0.0.0.0).
     """
-    number = IPv4Address(text)
-    if number.is_unspecified:
+    address = IPv4Address(text)
+    if address.is_unspecified:
         raise ValueError(text)
-    return str(number)
+    return str(address)
 
 
 def parse_required(text: str) -> str:
@@ -68,10 +68,10 @@
 
 def parse_addresses(text: str) -> tuple[str, ...]:
     """Return comma-separated addresses; raise ValueError if one is invalid."""
-    return tuple(parse_address(word) for word in words(text))
+    return tuple(parse_address(word) for word in split_list(text))
 
 
-def parse_some_addresses(text: str) -> tuple[str, ...]:
+def parse_required_addresses(text: str) -> tuple[str, ...]:
     """Return one or more addresses; raise ValueError if any is invalid or missing."""
     return parse_addresses(parse_required(text))
 
@@ -81,21 +81,23 @@
     return parse_url(text) if text else ''
 
 
-required = FormConversion('a text that is not empty', parse_required)
-ip_number = FormConversion('an IPv4 number that others can reach', parse_ip_number)
-http_url = FormConversion('http://host:port or https://host:port', parse_url)
-http_url_or_empty = FormConversion(
+required = FormatConversion('a text that is not empty', parse_required)
+ipv4_address = FormatConversion(
+    'an IPv4 number that others can reach', parse_ipv4_address
+)
+http_url = FormatConversion('http://host:port or https://host:port', parse_url)
+http_url_or_empty = FormatConversion(
     'http://host:port, https://host:port or empty', optional_url
 )
-addresses = FormConversion('host:port, separated by commas', parse_addresses)
-some_addresses = FormConversion(
-    'host:port, or several separated by commas', parse_some_addresses
+addresses = FormatConversion('host:port, separated by commas', parse_addresses)
+required_addresses = FormatConversion(
+    'host:port, or several separated by commas', parse_required_addresses
 )
 
 
-def optional(conversion: Conversion) -> FormConversion:
+def optional(conversion: Conversion) -> FormatConversion:
     """Return a conversion that converts an empty text to None."""
-    return FormConversion(
+    return FormatConversion(
         f'{conversion.text}, or empty',
         lambda text: conversion(text) if text else None,
     )
--- a/tests/test_settings_start.py
+++ b/tests/test_settings_start.py
@@ -27,13 +27,13 @@
     """All mistakes are reported together, with flag, variable, unit and range."""
 
     def test_right_settings_from_flags_and_variables(self):
-        status, said = check('--zone=zone-a', CATKINSLIP_INSTANCE_ID='entry-1')
+        status, output = check('--zone=zone-a', CATKINSLIP_INSTANCE_ID='entry-1')
         self.assertEqual(
-            (status, said), (ExitStatus.SUCCESS, 'The settings are right.\n')
+            (status, output), (ExitStatus.SUCCESS, 'The settings are right.\n')
         )
 
     def test_every_mistake_is_told_at_once(self):
-        status, said = check(
+        status, output = check(
             '--instnce-id=entry-1',
             '--zone',
             '--platform-timeout=900',
@@ -55,10 +55,10 @@
             "--listen-host (CATKINSLIP_LISTEN_HOST): 'example.org' is wrong; "
             'it must be an IPv4 number that others can reach.',
         ):
-            self.assertIn(expected, said)
+            self.assertIn(expected, output)
 
     def test_settings_that_clash_are_told_together(self):
-        status, said = check(
+        status, output = check(
             '--instance-id=entry-1',
             '--zone=zone-a',
             '--listen-port=7000',
@@ -68,9 +68,11 @@
             '--request-timeout=31',
         )
         self.assertEqual(status, ExitStatus.USAGE)
-        self.assertIn('--key-lifetime (CATKINSLIP_KEY_LIFETIME)', said)
-        self.assertIn('--control-port (CATKINSLIP_CONTROL_PORT)', said)
-        self.assertIn('--drain-timeout (CATKINSLIP_DRAIN_TIMEOUT) of 30 seconds', said)
+        self.assertIn('--key-lifetime (CATKINSLIP_KEY_LIFETIME)', output)
+        self.assertIn('--control-port (CATKINSLIP_CONTROL_PORT)', output)
+        self.assertIn(
+            '--drain-timeout (CATKINSLIP_DRAIN_TIMEOUT) of 30 seconds', output
+        )
 
     def test_drain_timeout_equal_to_request_timeout_is_right(self):
         status, _ = check(
@@ -97,17 +99,17 @@
                 variables,
             ).unwrap()
         self.assertEqual(values['shared_secret'], SECRET)
-        _, said = check(f'--shared-secret={SECRET}', '--platform-timeout=900')
-        self.assertNotIn(SECRET, said)
+        _, output = check(f'--shared-secret={SECRET}', '--platform-timeout=900')
+        self.assertNotIn(SECRET, output)
 
     def test_secret_file_that_cannot_be_read_is_a_mistake(self):
         missing = str(Path(tempfile.gettempdir()) / 'no-such-folder' / 'secret')
-        _, said = check(CATKINSLIP_SHARED_SECRET_FILE=missing)
-        self.assertIn('--shared-secret-file', said)
-        self.assertIn('No such file', said)
+        _, output = check(CATKINSLIP_SHARED_SECRET_FILE=missing)
+        self.assertIn('--shared-secret-file', output)
+        self.assertIn('No such file', output)
 
     def test_variable_that_no_setting_reads_is_told(self):
-        _, said = check(
+        _, output = check(
             '--zone=zone-a', CATKINSLIP_INSTANCE_ID='entry-1', CATKINSLIP_ZON='b'
         )
-        self.assertIn('CATKINSLIP_ZON', said)
+        self.assertIn('CATKINSLIP_ZON', output)
