--- a/catkinslip/settings/base.py
+++ b/catkinslip/settings/base.py
@@ -97,8 +97,8 @@
     @property
     def text(self) -> str:
         """Return a phrase for the allowed values, used in help and errors."""
-        word = 'a whole number ' if self.number_type is int else ''
-        return f'{word}from {format_number(self.low)} to {format_number(self.high)} {self.unit}'
+        prefix = 'a whole number ' if self.number_type is int else ''
+        return f'{prefix}from {number_text(self.low)} to {number_text(self.high)} {self.unit}'
 
     def __call__(self, text: str) -> float:
         """Convert the text of a setting; raise ValueError if it is not allowed."""
@@ -126,7 +126,7 @@
         return text
 
 
-def format_number(value: float) -> str:
+def number_text(value: float) -> str:
     """Return a number as text, without a fraction if it is whole."""
     return str(int(value)) if value == int(value) else str(value)
 
@@ -148,7 +148,7 @@
 
 def split_list(text: str) -> tuple[str, ...]:
     """Split a comma-separated list into its items, without empty ones."""
-    return tuple(word.strip() for word in text.split(',') if word.strip())
+    return tuple(item.strip() for item in text.split(',') if item.strip())
 
 
 def with_secret_files(options: Sequence[Option]) -> tuple[Option, ...]:
--- a/catkinslip/settings/values.py
+++ b/catkinslip/settings/values.py
@@ -68,7 +68,7 @@
 
 def parse_addresses(text: str) -> tuple[str, ...]:
     """Return comma-separated addresses; raise ValueError if one is invalid."""
-    return tuple(parse_address(word) for word in split_list(text))
+    return tuple(parse_address(item) for item in split_list(text))
 
 
 def parse_required_addresses(text: str) -> tuple[str, ...]:
