--- a/catkinslip/cli/changing.py
+++ b/catkinslip/cli/changing.py
@@ -46,12 +46,12 @@
         config = outcome.config
         if not self.is_json:
             self.print_outcome(outcome)
-            return await self.follow(store, config.version, config.change_id)
-        word, _, _, extra = describe_outcome(outcome)
-        plain = {'outcome': word, **extra}
-        return await self.follow(store, config.version, config.change_id, plain)
+            return await self.wait_in_force(store, config.version, config.change_id)
+        name, _, _, extra = describe_outcome(outcome)
+        plain = {'outcome': name, **extra}
+        return await self.wait_in_force(store, config.version, config.change_id, plain)
 
-    async def follow(
+    async def wait_in_force(
         self,
         store: ObjectStore,
         version: ConfigVersion,
@@ -71,7 +71,7 @@
         """Print on how many instances a version is in force, and list the others."""
         count = len(report.in_force)
         if report.is_complete:
-            self.printer.sentence(
+            self.printer.line(
                 f'Version {version} is in force on all {count} instances.'
             )
             return
@@ -86,11 +86,11 @@
 
     def print_outcome(self, outcome: ChangeOutcome) -> ExitStatus:
         """Print the outcome of a change and return its exit status."""
-        word, status, sentence, extra = describe_outcome(outcome)
+        name, status, message, extra = describe_outcome(outcome)
         if self.is_json:
-            self.printer.json({'outcome': word, **extra})
+            self.printer.json({'outcome': name, **extra})
         elif status == ExitStatus.SUCCESS:
-            self.printer.sentence(sentence)
+            self.printer.line(message)
         else:
-            self.printer.error(sentence)
+            self.printer.error(message)
         return status
--- a/catkinslip/cli/configuration_changes.py
+++ b/catkinslip/cli/configuration_changes.py
@@ -47,8 +47,8 @@
             return await self.finish(store, outcome)
 
     def _is_base(self, version: ConfigVersion) -> bool:
-        wanted = self.option('base')
-        return wanted is None or wanted in (str(version), str(version.number))
+        base = self.option('base')
+        return base is None or base in (str(version), str(version.number))
 
     async def _print_unchanged(
         self, store: ObjectStore, base: StoredConfig
@@ -57,12 +57,10 @@
         if self.is_json:
             self.printer.json({'outcome': 'same', 'version': str(version)})
         else:
-            self.printer.sentence(
-                f'Nothing to change: version {version} is this document.'
-            )
+            self.printer.line(f'Nothing to change: version {version} is this document.')
         if self.wait is None:
             return ExitStatus.SUCCESS
-        return await self.follow(store, version, base.config.change_id)
+        return await self.wait_in_force(store, version, base.config.change_id)
 
 
 class EditCommand(ChangingCommand):
@@ -98,7 +96,7 @@
         if self.is_json:
             self.printer.json({'outcome': 'same', 'version': str(version)})
         else:
-            self.printer.sentence(f'Nothing to change: it is in version {version}.')
+            self.printer.line(f'Nothing to change: it is in version {version}.')
         return ExitStatus.SUCCESS
 
 
@@ -171,9 +169,9 @@
             text = self.argument('version')
             if text is not None:
                 version = parse_version(text)
-                return await self.follow(store, version, '')
+                return await self.wait_in_force(store, version, '')
             found = await read_config(store)
             if not isinstance(found, StoredConfig):
                 return self.print_unreachable(found)
             config = found.config
-            return await self.follow(store, config.version, config.change_id)
+            return await self.wait_in_force(store, config.version, config.change_id)
--- a/catkinslip/cli/configuration_reads.py
+++ b/catkinslip/cli/configuration_reads.py
@@ -41,9 +41,7 @@
             counts = {'services': services, 'backends': backends}
             self.printer.json({'outcome': 'good', **counts})
         else:
-            self.printer.sentence(
-                f'Good: {services} services, {backends} backend servers.'
-            )
+            self.printer.line(f'Good: {services} services, {backends} backend servers.')
         return ExitStatus.SUCCESS
 
 
@@ -101,15 +99,15 @@
             found = await read_head(store)
         if not isinstance(found, StoredHead):
             return self.print_unreachable(found)
-        wanted = self.option('change')
-        if wanted is None:
+        change_id = self.option('change')
+        if change_id is None:
             self._tell(found.head.changes)
             return ExitStatus.SUCCESS
-        change = found.head.find(wanted)
+        change = found.head.find(change_id)
         if change is not None:
             self._tell((change,))
             return ExitStatus.SUCCESS
-        return self._print_absent(wanted, found.head)
+        return self._print_absent(change_id, found.head)
 
     def _tell(self, changes: tuple[Change, ...]) -> None:
         if self.is_json:
@@ -120,7 +118,7 @@
             line = f'{change.version}  {change.change_id}  {made_at}  {change.author}'
             if self.option('patches'):
                 line += f'  {to_plain(change.patch)}'
-            self.printer.sentence(line)
+            self.printer.line(line)
 
     def _print_absent(self, change_id: str, head: Head) -> ExitStatus:
         if head.has_all_changes_after(ConfigVersion()):
--- a/catkinslip/cli/help.py
+++ b/catkinslip/cli/help.py
@@ -25,7 +25,7 @@
             self._command = self.application.find(self.argument('command_name'))
         if not isinstance(self._command, BaseCommand):
             return super().handle()
-        Printer(self.io).sentence(help_text(self._command.command_definition))
+        Printer(self.io).line(help_text(self._command.command_definition))
         self._command = None
         return int(ExitStatus.SUCCESS)
 
@@ -50,11 +50,11 @@
 
 def usage(definition: CommandDefinition) -> str:
     """Return the usage line of a command."""
-    words = ['catkinslip', definition.name]
+    parts = ['catkinslip', definition.name]
     for each in definition.arguments:
         name = f'<{each.name}>'
-        words.append(name if each.is_required() else f'[{name}]')
-    return 'Usage: ' + ' '.join((*words, '[flags]'))
+        parts.append(name if each.is_required() else f'[{name}]')
+    return 'Usage: ' + ' '.join((*parts, '[flags]'))
 
 
 def argument_lines(definition: CommandDefinition) -> list[str]:
--- a/catkinslip/cli/in_force.py
+++ b/catkinslip/cli/in_force.py
@@ -131,6 +131,6 @@
     in_force = []
     stragglers = []
     for report in reports:
-        has = report.has_in_force(wanted, change_id)
-        (in_force if has else stragglers).append(report)
+        is_in_force = report.has_in_force(wanted, change_id)
+        (in_force if is_in_force else stragglers).append(report)
     return InForceReport(tuple(in_force), tuple(stragglers))
--- a/catkinslip/cli/metrics.py
+++ b/catkinslip/cli/metrics.py
@@ -115,7 +115,11 @@
 ) -> Sequence[object]:
     """Return the row cells that the service and backend server tables share."""
     kinds = [
-        int(sum(n for word, n in count_by_outcome.items() if word.startswith(kind)))
+        int(
+            sum(
+                n for outcome, n in count_by_outcome.items() if outcome.startswith(kind)
+            )
+        )
         for kind in ('answered', 'not-run', 'unknown')
     ]
     quantiles = [
--- a/catkinslip/cli/output.py
+++ b/catkinslip/cli/output.py
@@ -17,7 +17,7 @@
     io: IO
     is_json: bool = False
 
-    def sentence(self, text: str) -> None:
+    def line(self, text: str) -> None:
         """Print a line of text to standard output."""
         self.io.write_line(text, type=Type.RAW)
 
@@ -31,12 +31,12 @@
             self.json(plain)
             return
         for line in make_lines():
-            self.sentence(line)
+            self.line(line)
 
     def json(self, plain: object) -> None:
         """Print plain data as indented JSON with sorted keys."""
         options = orjson.OPT_INDENT_2 | orjson.OPT_SORT_KEYS
-        self.sentence(orjson.dumps(plain, option=options).decode())
+        self.line(orjson.dumps(plain, option=options).decode())
 
 
 def table(headers: Sequence[str], rows: Sequence[Sequence[object]]) -> list[str]:
