--- a/tests/test_cli_frame.py
+++ b/tests/test_cli_frame.py
@@ -8,7 +8,7 @@
 from standins.tool import run_tool
 
 
-class ToolFrameTest(unittest.TestCase):
+class ToolTest(unittest.TestCase):
     """The tool documents its flags and reports errors without a stack trace."""
 
     def test_help_of_each_command_documents_flags_examples_and_statuses(self):
@@ -24,7 +24,7 @@
             self.assertTrue(definition.examples, definition.name)
             self.assertTrue(definition.help.endswith('.'), definition.name)
 
-    def test_flag_wins_over_variable_and_all_mistakes_are_told(self):
+    def test_flag_overrides_variable_and_all_mistakes_are_reported(self):
         result = run_tool(
             'read',
             '--platform-url=ftp://10.0.0.9',
@@ -50,6 +50,6 @@
         self.assertEqual(result.status, ExitStatus.UNREACHABLE)
         self.assertIn('127.0.0.1:1 did not answer', result.stderr)
 
-    def test_table_sets_numbers_to_the_right(self):
+    def test_table_aligns_numbers_right(self):
         lines = table(('name', 'count'), [('a', 5), ('longer', 1234)])
         self.assertEqual(lines, ['name    count', 'a           5', 'longer   1234'])
--- a/tests/test_cli_instances.py
+++ b/tests/test_cli_instances.py
@@ -61,7 +61,7 @@
     def run_json(cls, *arguments: str):
         return cls.run_command(*arguments, '--json').json
 
-    def test_explain_finds_a_request_that_another_instance_took(self):
+    def test_explain_finds_a_request_that_another_instance_received(self):
         result = self.run_command('explain', self.request_id)
         self.assertEqual(result.status, ExitStatus.SUCCESS, result.stderr)
         self.assertIn(
@@ -79,7 +79,7 @@
         self.assertEqual(result.status, ExitStatus.SUCCESS)
         self.assertIn(f'routing: {self.request_id} limits goes to', result.stdout)
 
-    def test_explain_tells_that_a_request_is_not_known(self):
+    def test_explain_reports_an_unknown_request(self):
         result = self.run_command('explain', 'no-such-request')
         self.assertEqual(result.status, ExitStatus.NOT_FOUND)
         self.assertIn('2 of 2 instances', result.stderr)
@@ -112,7 +112,7 @@
         versions = {each['config_version']['number'] for each in statuses}
         self.assertEqual(versions, {1})
 
-    def test_wrong_secret_is_told_with_what_to_do(self):
+    def test_wrong_secret_is_reported_with_a_remedy(self):
         control = self.daemons[0].control_address
         result = run_tool('status', '--control', control)
         self.assertEqual(result.status, ExitStatus.UNREACHABLE)
--- a/tests/test_settings_start.py
+++ b/tests/test_settings_start.py
@@ -32,7 +32,7 @@
             (status, output), (ExitStatus.SUCCESS, 'The settings are right.\n')
         )
 
-    def test_every_mistake_is_told_at_once(self):
+    def test_every_mistake_is_reported_at_once(self):
         status, output = check(
             '--instnce-id=entry-1',
             '--zone',
@@ -57,7 +57,7 @@
         ):
             self.assertIn(expected, output)
 
-    def test_settings_that_clash_are_told_together(self):
+    def test_conflicting_settings_are_reported_together(self):
         status, output = check(
             '--instance-id=entry-1',
             '--zone=zone-a',
@@ -108,7 +108,7 @@
         self.assertIn('--shared-secret-file', output)
         self.assertIn('No such file', output)
 
-    def test_variable_that_no_setting_reads_is_told(self):
+    def test_variable_that_no_setting_reads_is_reported(self):
         _, output = check(
             '--zone=zone-a', CATKINSLIP_INSTANCE_ID='entry-1', CATKINSLIP_ZON='b'
         )
