--- a/catkinslip/cli/changing.py
+++ b/catkinslip/cli/changing.py
@@ -78,7 +78,7 @@
         for straggler in report.stragglers:
             self.printer.error(f'Not in force: {straggler}.')
         if not count and not report.stragglers:
-            self.printer.error('No instance was found; set its address with --control.')
+            self.printer.error('No instance found; set an address with --control.')
         total = count + len(report.stragglers)
         self.printer.error(
             f'Version {version} is in force on {count} of {total} instances.'
--- a/catkinslip/cli/explain.py
+++ b/catkinslip/cli/explain.py
@@ -19,7 +19,7 @@
 
 
 def find_request_names(lines: Iterable[str], request_id: str) -> set[str]:
-    """Return the ID of a request and the keys that its log lines share with copies."""
+    """Return the ID of a request and the keys in its log lines, shared by copies."""
     matching = (line for line in lines if request_id in line)
     keys = (found for line in matching for found in REQUEST_KEY.findall(line))
     return {request_id, *keys}
--- a/catkinslip/cli/in_force.py
+++ b/catkinslip/cli/in_force.py
@@ -24,7 +24,10 @@
     change_id: str = ''
 
     def has_in_force(self, wanted: ConfigVersion, change_id: str) -> bool:
-        """Return whether a change, or a later version, is in force on the instance."""
+        """Return whether a version, or a later one, is in force on the instance.
+
+        The same version counts only with the given change, unless that is empty.
+        """
         if self.version is None:
             return False
         if self.version == wanted and change_id:
@@ -46,7 +49,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Return whether at least one instance answered and there is no straggler."""
+        """Return whether the configuration is in force on all of one or more instances."""
         return bool(self.in_force) and not self.stragglers
 
 
--- a/catkinslip/settings/base.py
+++ b/catkinslip/settings/base.py
@@ -98,7 +98,10 @@
     def text(self) -> str:
         """Return a phrase for the allowed values, used in help and errors."""
         prefix = 'a whole number ' if self.number_type is int else ''
-        return f'{prefix}from {number_text(self.low)} to {number_text(self.high)} {self.unit}'
+        return (
+            f'{prefix}from {number_text(self.low)} to '
+            f'{number_text(self.high)} {self.unit}'
+        )
 
     def __call__(self, text: str) -> float:
         """Convert the text of a setting; raise ValueError if it is not allowed."""
--- a/catkinslip/settings/flags.py
+++ b/catkinslip/settings/flags.py
@@ -44,14 +44,14 @@
 
 @define
 class FlagChecker:
-    """Finds every invalid argument, whereas cleo stops at the first."""
+    """Checker that finds every invalid argument; cleo stops at the first."""
 
     definition: Definition
     accepted: list[str] = Factory(list)
     mistakes: list[str] = Factory(list)
 
     def check(self, arguments: list[str]) -> None:
-        """Separate arguments that cleo can parse from mistakes; empty the list."""
+        """Collect mistakes and the arguments that cleo can parse; empty the list."""
         while arguments:
             argument = arguments.pop(0)
             flag, equals, _ = argument.partition('=')
