--- a/tests/test_settings_start.py
+++ b/tests/test_settings_start.py
@@ -83,7 +83,7 @@
         )
         self.assertEqual(status, ExitStatus.SUCCESS)
 
-    def test_each_heading_of_the_help_stands_once(self):
+    def test_each_heading_of_the_help_appears_once(self):
         headings = re.findall(r'^\w+:$', daemon_help(), re.MULTILINE)
         self.assertIn('Requests:', headings)
         self.assertEqual(len(headings), len(set(headings)))
