--- a/catkinslip/cli/in_force.py
+++ b/catkinslip/cli/in_force.py
@@ -49,7 +49,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Return whether the configuration is in force on all of one or more instances."""
+        """Return whether the configuration is in force on all instances, at least one."""
         return bool(self.in_force) and not self.stragglers
 
 
--- a/catkinslip/cli/instances.py
+++ b/catkinslip/cli/instances.py
@@ -94,7 +94,7 @@
     async def show(
         self, client: httpx.AsyncClient, first: httpx.Response
     ) -> ExitStatus:
-        """Query and print all members that the instance lists."""
+        """Query all members that the first instance lists and print their states."""
         members = first.json()['members']
         plain_by_id = await self.fetch_all(client, members, STATUS_PATH)
         plain = [
@@ -129,7 +129,7 @@
         f'Address for callers: {member["address"]}, '
         f'for peers and operators: {member["control_address"]}.',
         f'Configuration version {version_text(plain)} is in force.',
-        f'Members: {len(others)} instances: {", ".join(sorted(others))}.',
+        f'Members ({len(others)}): {", ".join(sorted(others))}.',
         f'Leaving backend servers: {leaving}.',
         f'Evacuated zones: {evacuated}.',
     )
