--- a/catkinslip/cli/in_force.py
+++ b/catkinslip/cli/in_force.py
@@ -23,16 +23,16 @@
     version: ConfigVersion | None = None
     change_id: str = ''
 
-    def has_in_force(self, wanted: ConfigVersion, change_id: str) -> bool:
+    def has_in_force(self, target: ConfigVersion, change_id: str) -> bool:
         """Return whether a version, or a later one, is in force on the instance.
 
         The same version counts only with the given change, unless that is empty.
         """
         if self.version is None:
             return False
-        if self.version == wanted and change_id:
+        if self.version == target and change_id:
             return self.change_id == change_id
-        return self.version >= wanted
+        return self.version >= target
 
     def __str__(self) -> str:
         if self.version is None:
@@ -62,13 +62,13 @@
     control_addresses: tuple[str, ...]
 
     async def wait_in_force(
-        self, wanted: ConfigVersion, change_id: str, wait: float
+        self, target: ConfigVersion, change_id: str, wait: float
     ) -> InForceReport:
         """Poll all instances until a version is in force, or for `wait` seconds."""
         end = trio.current_time() + wait
         while True:
             reports = await self.fetch_all()
-            report = partition_reports(reports, wanted, change_id)
+            report = partition_reports(reports, target, change_id)
             if report.is_complete or trio.current_time() >= end:
                 return report
             await trio.sleep(POLL_SECONDS)
@@ -128,12 +128,12 @@
 
 
 def partition_reports(
-    reports: Iterable[InstanceReport], wanted: ConfigVersion, change_id: str
+    reports: Iterable[InstanceReport], target: ConfigVersion, change_id: str
 ) -> InForceReport:
     """Divide reports into those with a version in force and the stragglers."""
     in_force = []
     stragglers = []
     for report in reports:
-        is_in_force = report.has_in_force(wanted, change_id)
+        is_in_force = report.has_in_force(target, change_id)
         (in_force if is_in_force else stragglers).append(report)
     return InForceReport(tuple(in_force), tuple(stragglers))
--- a/catkinslip/cli/instances.py
+++ b/catkinslip/cli/instances.py
@@ -122,14 +122,14 @@
     member = plain['member']
     leaving = ', '.join(plain['leaving_backends']) or 'none'
     evacuated = ', '.join(plain['evacuated_zones']) or 'none'
-    others = [each['member_id'] for each in plain['members']]
+    member_ids = [each['member_id'] for each in plain['members']]
     return (
         f'Instance {member["member_id"]} in {member["zone"]}, '
         f'{"leaving" if member["leaving"] else "live"}.',
         f'Address for callers: {member["address"]}, '
         f'for peers and operators: {member["control_address"]}.',
         f'Configuration version {version_text(plain)} is in force.',
-        f'Members ({len(others)}): {", ".join(sorted(others))}.',
+        f'Members ({len(member_ids)}): {", ".join(sorted(member_ids))}.',
         f'Leaving backend servers: {leaving}.',
         f'Evacuated zones: {evacuated}.',
     )
