--- a/catkinslip/cli/in_force.py
+++ b/catkinslip/cli/in_force.py
@@ -49,7 +49,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Return whether the configuration is in force on all instances, at least one."""
+        """Return whether all instances, at least one, have the version in force."""
         return bool(self.in_force) and not self.stragglers
 
 
