--- a/catkinslip/cli/configuration_changes.py
+++ b/catkinslip/cli/configuration_changes.py
@@ -1,13 +1,13 @@
-"""The commands that change the configuration and follow a change."""
+"""The commands that change the configuration or wait for a change."""
 
 from abc import abstractmethod
 
 from attrs import evolve
 from returns.result import Failure, Result, Success
 
-from catkinslip.cli import definition as defined
+from catkinslip.cli import definition as definitions
 from catkinslip.cli.base import UsageError
-from catkinslip.cli.change_outcomes import tell_winner
+from catkinslip.cli.change_outcomes import winner_text
 from catkinslip.cli.changing import ChangingCommand
 from catkinslip.config.changes import ChangeConflict, rewrite_head
 from catkinslip.config.checks import DocumentRefused, read_document
@@ -17,97 +17,97 @@
 from catkinslip.status import ExitStatus
 from catkinslip.store.base import ObjectStore
 
-#: Conflicts after which a change of one entry is given up.
+#: Number of conflicts after which an edit of the configuration is abandoned.
 MAX_CONFLICTS = 3
 
 
 class ApplyCommand(ChangingCommand):
-    """Make a document the accepted configuration."""
+    """Replace the accepted configuration with a document (`apply`)."""
 
-    declared = defined.APPLY
+    command_definition = definitions.APPLY
 
     async def main(self) -> ExitStatus:
-        """Do the command's work and return its exit status."""
+        """Run the command and return its exit status."""
         match self.read_file():
             case Failure(refused):
-                return self.tell_refused(refused)
+                return self.print_refused(refused)
             case Success(document):
                 pass
         async with self.open_store() as store:
             base = await read_config(store)
             if not isinstance(base, StoredConfig):
-                return self.tell_unreachable(base)
+                return self.print_unreachable(base)
             if not self._is_base(base.config.version):
-                return self.tell(ChangeConflict(base.head.last))
+                return self.print_outcome(ChangeConflict(base.head.last))
             raise_epoch = self.option('raise-epoch')
             is_same = base.config.plain == to_plain(document) and not raise_epoch
             if is_same and await rewrite_head(store, base):
-                return await self._tell_same(store, base)
+                return await self._print_unchanged(store, base)
             outcome = await self.write(store, base, document, raise_epoch)
             return await self.finish(store, outcome)
 
     def _is_base(self, version: ConfigVersion) -> bool:
-        wanted = self.option('base')
-        return wanted is None or wanted in (str(version), str(version.number))
+        base = self.option('base')
+        return base is None or base in (str(version), str(version.number))
 
-    async def _tell_same(self, store: ObjectStore, base: StoredConfig) -> ExitStatus:
+    async def _print_unchanged(
+        self, store: ObjectStore, base: StoredConfig
+    ) -> ExitStatus:
         version = base.config.version
         if self.is_json:
             self.printer.json({'outcome': 'same', 'version': str(version)})
         else:
-            self.printer.sentence(
-                f'Nothing to change: version {version} is this document.'
-            )
+            self.printer.line(f'Nothing to change: version {version} is this document.')
         if self.wait is None:
             return ExitStatus.SUCCESS
-        return await self.follow(store, version, base.config.change_id)
+        return await self.wait_in_force(store, version, base.config.change_id)
 
 
 class EditCommand(ChangingCommand):
-    """Edit the accepted configuration, again where another change came first."""
+    """Edit the accepted configuration; retry when another change came first."""
 
     async def main(self) -> ExitStatus:
-        """Do the command's work and return its exit status."""
+        """Run the command and return its exit status."""
         async with self.open_store() as store:
             for _ in range(MAX_CONFLICTS):
                 base = await read_config(store)
                 if not isinstance(base, StoredConfig):
-                    return self.tell_unreachable(base)
+                    return self.print_unreachable(base)
                 document = self.edit(base.config.document)
                 if isinstance(document, Failure):
-                    return self.tell_refused(document.failure())
+                    return self.print_refused(document.failure())
                 is_same = document.unwrap() == base.config.document
                 if is_same and await rewrite_head(store, base):
-                    return self._tell_same(base)
+                    return self._print_unchanged(base)
                 outcome = await self.write(store, base, document.unwrap())
                 if not isinstance(outcome, ChangeConflict):
                     break
                 self.printer.error(
-                    f'Again, as {tell_winner(outcome.winner)} came first.'
+                    f'Again, as {winner_text(outcome.winner)} came first.'
                 )
             return await self.finish(store, outcome)
 
     @abstractmethod
     def edit(self, document: Document) -> Result[Document, DocumentRefused]:
-        """Return the edited document, or why it must not be accepted."""
+        """Return the edited document, or the mistakes that prevent the edit."""
 
-    def _tell_same(self, base: StoredConfig) -> ExitStatus:
+    def _print_unchanged(self, base: StoredConfig) -> ExitStatus:
         version = base.config.version
         if self.is_json:
             self.printer.json({'outcome': 'same', 'version': str(version)})
         else:
-            self.printer.sentence(f'Nothing to change: so it is in version {version}.')
+            self.printer.line(f'Nothing to change: it is in version {version}.')
         return ExitStatus.SUCCESS
 
 
 class DrainCommand(EditCommand):
-    """Give a backend server no new work."""
+    """Mark a backend server as draining: it gets no new requests (`drain`)."""
 
-    declared = defined.DRAIN
+    command_definition = definitions.DRAIN
     draining = True
 
     def edit(self, document: Document) -> Result[Document, DocumentRefused]:
-        """Mark the server in the register."""
+        """Set or clear the draining mark of the server in the register."""
         name = self.argument('backend')
         backend = document.register.backends.get(name)
         if backend is None:
@@ -121,20 +121,20 @@
 
 
 class UndrainCommand(DrainCommand):
-    """Give a backend server work again."""
+    """Clear the draining mark of a backend server (`undrain`)."""
 
-    declared = defined.UNDRAIN
+    command_definition = definitions.UNDRAIN
     draining = False
 
 
 class EvacuateCommand(EditCommand):
-    """Give the backend servers of a zone no new requests."""
+    """Evacuate a zone: its backend servers get no new requests (`evacuate`)."""
 
-    declared = defined.EVACUATE
+    command_definition = definitions.EVACUATE
     is_evacuated = True
 
     def edit(self, document: Document) -> Result[Document, DocumentRefused]:
-        """Name the zone in the rules, or leave it out."""
+        """Add the zone to the evacuated zones of the rules, or remove it."""
         zone = self.argument('zone')
         zones = set(document.rules.evacuated_zones) - {zone}
         if self.is_evacuated:
@@ -144,14 +144,14 @@
 
 
 class UnevacuateCommand(EvacuateCommand):
-    """Give the backend servers of a zone requests again."""
+    """End the evacuation of a zone (`unevacuate`)."""
 
-    declared = defined.UNEVACUATE
+    command_definition = definitions.UNEVACUATE
     is_evacuated = False
 
 
 def parse_version(text: str) -> ConfigVersion:
-    """Parse a version; raise UsageError if it is none."""
+    """Parse a configuration version; raise UsageError if the text is not one."""
     try:
         return ConfigVersion.parse(text)
     except ValueError as error:
@@ -159,19 +159,19 @@
 
 
 class WatchCommand(ChangingCommand):
-    """Wait until a version is in force everywhere."""
+    """Wait until a version is in force on every instance (`watch`)."""
 
-    declared = defined.WATCH
+    command_definition = definitions.WATCH
 
     async def main(self) -> ExitStatus:
-        """Do the command's work and return its exit status."""
+        """Run the command and return its exit status."""
         async with self.open_store() as store:
             text = self.argument('version')
             if text is not None:
                 version = parse_version(text)
-                return await self.follow(store, version, '')
+                return await self.wait_in_force(store, version, '')
             found = await read_config(store)
             if not isinstance(found, StoredConfig):
-                return self.tell_unreachable(found)
+                return self.print_unreachable(found)
             config = found.config
-            return await self.follow(store, config.version, config.change_id)
+            return await self.wait_in_force(store, config.version, config.change_id)
--- a/catkinslip/cli/configuration_reads.py
+++ b/catkinslip/cli/configuration_reads.py
@@ -1,11 +1,11 @@
-"""The commands that show the configuration and check documents."""
+"""The commands that print the configuration and check documents."""
 
 import time
 
 import httpx
 from returns.result import Failure, Success
 
-from catkinslip.cli import definition as defined
+from catkinslip.cli import definition as definitions
 from catkinslip.cli import options
 from catkinslip.cli.base import UsageError
 from catkinslip.cli.configuration import ConfigurationCommand
@@ -22,49 +22,47 @@
 
 
 class CheckCommand(ConfigurationCommand):
-    """Check a document without the platform."""
+    """Check a document without access to the platform (`check`)."""
 
-    declared = defined.CHECK
+    command_definition = definitions.CHECK
 
     async def main(self) -> ExitStatus:
-        """Do the command's work and return its exit status."""
+        """Run the command and return its exit status."""
         match self.read_file():
             case Success(document):
-                return self._tell_good(document)
+                return self._print_valid(document)
             case Failure(refused):
-                return self.tell_refused(refused)
+                return self.print_refused(refused)
 
-    def _tell_good(self, document: Document) -> ExitStatus:
+    def _print_valid(self, document: Document) -> ExitStatus:
         services = len(document.register.services)
         backends = len(document.register.backends)
         if self.is_json:
             counts = {'services': services, 'backends': backends}
             self.printer.json({'outcome': 'good', **counts})
         else:
-            self.printer.sentence(
-                f'Good: {services} services, {backends} backend servers.'
-            )
+            self.printer.line(f'Good: {services} services, {backends} backend servers.')
         return ExitStatus.SUCCESS
 
 
 class ReadCommand(ConfigurationCommand):
-    """Print the accepted configuration."""
+    """Print the accepted configuration (`read`)."""
 
-    declared = defined.READ
+    command_definition = definitions.READ
 
     async def main(self) -> ExitStatus:
-        """Do the command's work and return its exit status."""
+        """Run the command and return its exit status."""
         if self.option('from'):
             return await self._read_instance(self.option('from'))
         if not self.value(options.PLATFORM_URL):
             raise UsageError(
-                'Name the platform with --platform-url (CATKINSLIP_PLATFORM_URL), or '
+                'Set the platform with --platform-url (CATKINSLIP_PLATFORM_URL), or '
                 'an instance with --from.'
             )
         async with self.open_store() as store:
             found = await read_config(store)
         if not isinstance(found, StoredConfig):
-            return self.tell_unreachable(found)
+            return self.print_unreachable(found)
         config = found.config
         return self._tell(
             {
@@ -91,25 +89,25 @@
 
 
 class ChangesCommand(ConfigurationCommand):
-    """Show recent changes."""
+    """Print the recent changes, or whether one change was accepted (`changes`)."""
 
-    declared = defined.CHANGES
+    command_definition = definitions.CHANGES
 
     async def main(self) -> ExitStatus:
-        """Do the command's work and return its exit status."""
+        """Run the command and return its exit status."""
         async with self.open_store() as store:
             found = await read_head(store)
         if not isinstance(found, StoredHead):
-            return self.tell_unreachable(found)
-        wanted = self.option('change')
-        if wanted is None:
+            return self.print_unreachable(found)
+        change_id = self.option('change')
+        if change_id is None:
             self._tell(found.head.changes)
             return ExitStatus.SUCCESS
-        change = found.head.find(wanted)
+        change = found.head.find(change_id)
         if change is not None:
             self._tell((change,))
             return ExitStatus.SUCCESS
-        return self._tell_absent(wanted, found.head)
+        return self._print_absent(change_id, found.head)
 
     def _tell(self, changes: tuple[Change, ...]) -> None:
         if self.is_json:
@@ -120,35 +118,35 @@
             line = f'{change.version}  {change.change_id}  {made_at}  {change.author}'
             if self.option('patches'):
                 line += f'  {to_plain(change.patch)}'
-            self.printer.sentence(line)
+            self.printer.line(line)
 
-    def _tell_absent(self, change_id: str, head: Head) -> ExitStatus:
+    def _print_absent(self, change_id: str, head: Head) -> ExitStatus:
         if head.has_all_changes_after(ConfigVersion()):
             self.printer.error(f'Change {change_id} has not been accepted.')
             return ExitStatus.CONFLICT
         first = head.changes[0].version
         self.printer.error(
             f'Change {change_id} is not among the changes since version {first}: '
-            'it was not accepted since then; of earlier ones nothing is known.'
+            'it was not accepted since then; earlier changes are no longer listed.'
         )
         return ExitStatus.UNKNOWN
 
 
 class DiffCommand(ConfigurationCommand):
-    """Show what a document would change."""
+    """Print what a document would change, as a JSON merge patch (`diff`)."""
 
-    declared = defined.DIFF
+    command_definition = definitions.DIFF
 
     async def main(self) -> ExitStatus:
-        """Do the command's work and return its exit status."""
+        """Run the command and return its exit status."""
         match self.read_file():
             case Failure(refused):
-                return self.tell_refused(refused)
+                return self.print_refused(refused)
             case Success(document):
                 pass
         async with self.open_store() as store:
             found = await read_config(store)
         if not isinstance(found, StoredConfig):
-            return self.tell_unreachable(found)
+            return self.print_unreachable(found)
         self.printer.json(merge_diff(found.config.plain, to_plain(document)))
         return ExitStatus.SUCCESS
--- a/catkinslip/cli/help.py
+++ b/catkinslip/cli/help.py
@@ -1,11 +1,11 @@
-"""Write the help of a command from its definition."""
+"""The help of a command, built from its definition."""
 
 from collections.abc import Iterable, Sequence
 
 from cleo.commands.help_command import HelpCommand as CleoHelpCommand
 
 from catkinslip.cli.base import BaseCommand
-from catkinslip.cli.definition import Definition
+from catkinslip.cli.definition import CommandDefinition
 from catkinslip.cli.output import Printer
 from catkinslip.settings.base import Option, with_secret_files
 from catkinslip.status import ExitStatus
@@ -15,28 +15,28 @@
 
 
 class HelpCommand(CleoHelpCommand):
-    """Show the help of a command."""
+    """Print the help of a command, or the list of commands."""
 
     description = 'Show the help of a command.'
 
     def handle(self) -> int:
-        """Run the command."""
+        """Print the help of the named command and return the exit status."""
         if self._command is None:
             self._command = self.application.find(self.argument('command_name'))
         if not isinstance(self._command, BaseCommand):
             return super().handle()
-        Printer(self.io).sentence(help_text(self._command.declared))
+        Printer(self.io).line(help_text(self._command.command_definition))
         self._command = None
         return int(ExitStatus.SUCCESS)
 
 
-def help_text(definition: Definition) -> str:
-    """Return the help: usage, meaning, flags by group, examples, exit statuses."""
+def help_text(definition: CommandDefinition) -> str:
+    """Return the help of a command: usage, flags, examples and exit statuses."""
     parts = [usage(definition), definition.help]
     if definition.arguments:
         parts.append(section('Arguments', argument_lines(definition)))
-    for group, options in by_group(with_secret_files(definition.settings)).items():
-        lines = (f'--{each.name}=VALUE\n      {each.sentences}' for each in options)
+    for group, options in group_options(with_secret_files(definition.settings)).items():
+        lines = (f'--{each.name}=VALUE\n      {each.full_help}' for each in options)
         parts.append(section(group, lines))
     parts.append(section(GENERAL, switch_lines(definition)))
     if definition.examples:
@@ -48,22 +48,22 @@
     return '\n\n'.join(parts)
 
 
-def usage(definition: Definition) -> str:
-    """Return the line that shows how to call a command."""
-    words = ['catkinslip', definition.name]
+def usage(definition: CommandDefinition) -> str:
+    """Return the usage line of a command."""
+    parts = ['catkinslip', definition.name]
     for each in definition.arguments:
         name = f'<{each.name}>'
-        words.append(name if each.is_required() else f'[{name}]')
-    return 'Usage: ' + ' '.join((*words, '[flags]'))
+        parts.append(name if each.is_required() else f'[{name}]')
+    return 'Usage: ' + ' '.join((*parts, '[flags]'))
 
 
-def argument_lines(definition: Definition) -> list[str]:
-    """Return a line for each argument."""
+def argument_lines(definition: CommandDefinition) -> list[str]:
+    """Return the name and the description of each argument of a command."""
     return [f'<{each.name}>\n      {each.description}' for each in definition.arguments]
 
 
-def switch_lines(definition: Definition) -> list[str]:
-    """Return a line for each flag that has no variable."""
+def switch_lines(definition: CommandDefinition) -> list[str]:
+    """Return the name and the description of each flag without a variable."""
     lines = []
     for each in definition.switches:
         value = '=VALUE' if each.accepts_value() else ''
@@ -74,12 +74,12 @@
 
 
 def section(title: str, lines: Iterable[str]) -> str:
-    """Return a titled section of the help."""
+    """Return a section of the help with its title and indented lines."""
     return '\n'.join((f'{title}:', *(f'  {line}' for line in lines)))
 
 
-def by_group(options: Sequence[Option]) -> dict[str, list[Option]]:
-    """Return the options by group, in the order of their declaration."""
+def group_options(options: Sequence[Option]) -> dict[str, list[Option]]:
+    """Return options by group, in the order of their declaration."""
     options_by_group: dict[str, list[Option]] = {}
     for option in options:
         options_by_group.setdefault(option.group, []).append(option)
--- a/catkinslip/cli/instances.py
+++ b/catkinslip/cli/instances.py
@@ -1,4 +1,4 @@
-"""Commands that show instances."""
+"""The commands that print the status of instances."""
 
 from abc import abstractmethod
 from collections.abc import Sequence
@@ -7,7 +7,7 @@
 import httpx
 import trio
 
-from catkinslip.cli import definition as defined
+from catkinslip.cli import definition as definitions
 from catkinslip.cli import options
 from catkinslip.cli.base import BaseCommand
 from catkinslip.cli.output import table
@@ -16,15 +16,15 @@
 
 
 class InstanceCommand(BaseCommand):
-    """A command that asks one instance over its control surface, then others."""
+    """Command that queries an instance over its control surface, then others."""
 
     path: ClassVar[str] = STATUS_PATH
 
     async def main(self) -> ExitStatus:
-        """Do the command's work and return its exit status."""
+        """Query the first instance that answers and print the result."""
         async with self.open_control() as client:
             for address in self.value(options.CONTROL):
-                first = await self.ask(client, address, self.path)
+                first = await self.fetch(client, address, self.path)
                 if first is not None:
                     return await self.show(client, first)
         return ExitStatus.UNREACHABLE
@@ -33,17 +33,17 @@
     async def show(
         self, client: httpx.AsyncClient, first: httpx.Response
     ) -> ExitStatus:
-        """Show the first answer, and ask others where it takes them."""
+        """Print the first answer, after queries to other instances if needed."""
 
-    async def ask(
+    async def fetch(
         self, client: httpx.AsyncClient, address: str, path: str
     ) -> httpx.Response | None:
-        """Ask an instance; say why and return None when it gives no answer."""
+        """Query an instance; print the error and return None if the query fails."""
         try:
             response = await client.get(f'http://{address}{path}')
         except httpx.HTTPError as error:
             self.printer.error(
-                f'{address} did not answer: {describe(error)}. Check --control, and '
+                f'{address} did not answer: {error_text(error)}. Check --control, and '
                 'that the daemon runs.'
             )
             return None
@@ -55,48 +55,48 @@
             return None
         return response
 
-    async def ask_all(
+    async def fetch_all(
         self, client: httpx.AsyncClient, members: Sequence[dict], path: str
     ) -> dict[str, Any]:
-        """Ask all members at once; return the plain answers by member."""
+        """Query all members concurrently; return the parsed answers by member ID."""
         plain_by_id: dict[str, Any] = {}
 
-        async def ask_member(member: dict) -> None:
-            response = await self.ask(client, member['control_address'], path)
+        async def fetch_member(member: dict) -> None:
+            response = await self.fetch(client, member['control_address'], path)
             if response is not None:
                 plain_by_id[member['member_id']] = response.json()
 
         async with trio.open_nursery() as nursery:
             for member in members:
-                nursery.start_soon(ask_member, member)
+                nursery.start_soon(fetch_member, member)
         return plain_by_id
 
 
 class StatusCommand(InstanceCommand):
-    """Show what one instance knows and does."""
+    """Print the status of one instance (`status`)."""
 
-    declared = defined.STATUS
+    command_definition = definitions.STATUS
 
     async def show(
         self, client: httpx.AsyncClient, first: httpx.Response
     ) -> ExitStatus:
-        """Show the status of the instance."""
+        """Print the status of the instance that answered."""
         plain = first.json()
         self.printer.data(plain, lambda: status_lines(plain))
         return ExitStatus.SUCCESS
 
 
 class InstancesCommand(InstanceCommand):
-    """Show every instance and its configuration in force."""
+    """Print every instance and its configuration in force (`instances`)."""
 
-    declared = defined.INSTANCES
+    command_definition = definitions.INSTANCES
 
     async def show(
         self, client: httpx.AsyncClient, first: httpx.Response
     ) -> ExitStatus:
-        """Show all members of the instance."""
+        """Query all members that the first instance lists and print their states."""
         members = first.json()['members']
-        plain_by_id = await self.ask_all(client, members, STATUS_PATH)
+        plain_by_id = await self.fetch_all(client, members, STATUS_PATH)
         plain = [
             {**member, 'status': plain_by_id.get(member['member_id'])}
             for member in sorted(members, key=lambda each: each['member_id'])
@@ -106,38 +106,38 @@
         return ExitStatus.UNREACHABLE if silent else ExitStatus.SUCCESS
 
 
-def describe(error: httpx.HTTPError) -> str:
-    """Return what went wrong, in words."""
+def error_text(error: httpx.HTTPError) -> str:
+    """Return the text of an HTTP error, or its type if it has no text."""
     return str(error) or type(error).__name__
 
 
 def version_text(status: dict[str, Any]) -> str:
-    """Return the version in force as epoch and number."""
+    """Return the configuration version of a status as `epoch.number`."""
     version = status['config_version']
     return f'{version["epoch"]}.{version["number"]}'
 
 
 def status_lines(plain: dict[str, Any]) -> Sequence[str]:
-    """Return the status of one instance for people."""
+    """Return the status of one instance as readable lines."""
     member = plain['member']
     leaving = ', '.join(plain['leaving_backends']) or 'none'
     evacuated = ', '.join(plain['evacuated_zones']) or 'none'
-    others = [each['member_id'] for each in plain['members']]
+    member_ids = [each['member_id'] for each in plain['members']]
     return (
         f'Instance {member["member_id"]} in {member["zone"]}, '
         f'{"leaving" if member["leaving"] else "live"}.',
-        f'Callers reach it at {member["address"]}, '
-        f'peers and operators at {member["control_address"]}.',
+        f'Address for callers: {member["address"]}, '
+        f'for peers and operators: {member["control_address"]}.',
         f'Configuration version {version_text(plain)} is in force.',
-        f'It knows {len(others)} instances: {", ".join(sorted(others))}.',
-        f'Backend servers that leave: {leaving}.',
+        f'Members ({len(member_ids)}): {", ".join(sorted(member_ids))}.',
+        f'Leaving backend servers: {leaving}.',
         f'Evacuated zones: {evacuated}.',
     )
 
 
 def instance_lines(plain: Sequence[dict[str, Any]]) -> Sequence[str]:
-    """Return a table of all instances."""
-    heads = ('instance', 'zone', 'address', 'control', 'state', 'version')
+    """Return the lines of a table of instances and their states."""
+    headers = ('instance', 'zone', 'address', 'control', 'state', 'version')
     rows = []
     for each in plain:
         status = each['status']
@@ -153,4 +153,4 @@
                 version,
             )
         )
-    return table(heads, rows)
+    return table(headers, rows)
--- a/catkinslip/cli/metrics.py
+++ b/catkinslip/cli/metrics.py
@@ -1,11 +1,11 @@
-"""The command that shows what an instance has measured."""
+"""The command that prints the metrics of an instance."""
 
 from collections.abc import Iterator, Sequence
 
 import cattrs
 import httpx
 
-from catkinslip.cli import definition as defined
+from catkinslip.cli import definition as definitions
 from catkinslip.cli.instances import InstanceCommand
 from catkinslip.cli.output import table
 from catkinslip.control.paths import METRICS_PATH
@@ -15,7 +15,7 @@
 
 MILLISECONDS = 1000
 SHOWN_QUANTILES = ('0.5', '0.99', '0.999')
-HEADS = (
+HEADERS = (
     'requests',
     'answered',
     'not run',
@@ -27,15 +27,15 @@
 
 
 class MetricsCommand(InstanceCommand):
-    """Show what one instance has measured."""
+    """Print the metrics of one instance (`metrics`)."""
 
-    declared = defined.METRICS
+    command_definition = definitions.METRICS
     path = METRICS_PATH
 
     async def show(
         self, client: httpx.AsyncClient, first: httpx.Response
     ) -> ExitStatus:
-        """Show the measured values."""
+        """Print the metrics as tables or as JSON."""
         plain = first.json()
         families = cattrs.structure(plain['families'], list[Family])
         by_name = {family.name: family for family in families}
@@ -44,7 +44,7 @@
 
 
 def metric_lines(family_by_name: dict[str, Family]) -> Iterator[str]:
-    """Return tables of services, of backend servers and of the instance."""
+    """Yield the lines of the service, backend server and instance tables."""
     yield from service_table(family_by_name)
     yield ''
     yield from backend_table(family_by_name)
@@ -53,7 +53,7 @@
 
 
 def service_table(family_by_name: dict[str, Family]) -> list[str]:
-    """Return a line for each service."""
+    """Return a table with a row for each service."""
     counts = outcome_counts(family_by_name['catkinslip_service_outcomes_total'])
     retries = {
         sample.labels[0]: sample.value
@@ -64,11 +64,11 @@
         name = each.labels[0]
         cells = common_cells(each, counts.get(name, {}))
         rows.append((name, *cells, int(retries.get(name, 0))))
-    return table(('service', *HEADS, 'retries'), rows)
+    return table(('service', *HEADERS, 'retries'), rows)
 
 
 def backend_table(family_by_name: dict[str, Family]) -> list[str]:
-    """Return a line for each backend server that had an attempt."""
+    """Return a table with a row for each backend server that had an attempt."""
     counts = outcome_counts(family_by_name['catkinslip_backend_outcomes_total'])
     in_flight = {
         sample.labels[1]: sample.value
@@ -81,26 +81,28 @@
         cells = common_cells(each, by_outcome)
         sheds = int(by_outcome.get(SHED_WORD, 0))
         rows.append((name, *cells, sheds, int(in_flight.get(name, 0))))
-    return table(('backend', *HEADS, 'sheds', 'in flight'), rows)
+    return table(('backend', *HEADERS, 'sheds', 'in flight'), rows)
 
 
 def instance_table(family_by_name: dict[str, Family]) -> list[str]:
-    """Return a line for each value that belongs to no service or backend server."""
+    """Return a table of the values that belong to no service or backend server."""
     rows = []
     for family in family_by_name.values():
         if {'service', 'backend'} & set(family.label_names):
             continue
         for sample in family.samples:
-            rows.append((labelled(family.name, sample.labels), f'{sample.value:g}'))
+            rows.append(
+                (name_with_labels(family.name, sample.labels), f'{sample.value:g}')
+            )
         for each in family.summaries:
             for quantile, value in each.value_by_quantile.items():
-                name = labelled(family.name, (*each.labels, quantile))
+                name = name_with_labels(family.name, (*each.labels, quantile))
                 rows.append((name, f'{value:g}'))
     return table(('measure', 'value'), rows)
 
 
 def outcome_counts(family: Family) -> dict[str, dict[str, float]]:
-    """Return counts by outcome, by the first label."""
+    """Return the counts of a family by its first label, then by outcome."""
     count_by_outcome_by_name: dict[str, dict[str, float]] = {}
     for sample in family.samples:
         name, outcome = sample.labels
@@ -111,9 +113,13 @@
 def common_cells(
     each: SummarySample, count_by_outcome: dict[str, float]
 ) -> Sequence[object]:
-    """Return the cells that services and backend servers have in common."""
+    """Return the row cells that the service and backend server tables share."""
     kinds = [
-        int(sum(n for word, n in count_by_outcome.items() if word.startswith(kind)))
+        int(
+            sum(
+                n for outcome, n in count_by_outcome.items() if outcome.startswith(kind)
+            )
+        )
         for kind in ('answered', 'not-run', 'unknown')
     ]
     quantiles = [
@@ -125,6 +131,6 @@
     return (each.count, *kinds, *quantiles)
 
 
-def labelled(name: str, labels: Sequence[str]) -> str:
-    """Return a name followed by its labels."""
+def name_with_labels(name: str, labels: Sequence[str]) -> str:
+    """Return a metric name followed by its label values in braces."""
     return f'{name}{{{", ".join(labels)}}}' if labels else name
--- a/catkinslip/cli/options.py
+++ b/catkinslip/cli/options.py
@@ -1,4 +1,4 @@
-"""The flags that several commands of the tool share."""
+"""Settings that several commands share."""
 
 from attrs import evolve
 
@@ -8,7 +8,7 @@
     http_url,
     http_url_or_empty,
     optional,
-    some_addresses,
+    required_addresses,
 )
 
 PLATFORM_GROUP = 'Platform'
@@ -22,34 +22,34 @@
     '--platform-timeout',
     '5',
     number(0.05, 60, 'seconds'),
-    'Seconds to wait for an answer of the platform.',
+    'Seconds to wait for an answer from the platform.',
     PLATFORM_GROUP,
 )
 CONTROL = Option(
     '--control',
     '',
-    some_addresses,
-    'Control addresses of instances; the first that answers is asked.',
+    required_addresses,
+    'Control addresses of instances; the first that answers is used.',
     CONTROL_GROUP,
 )
 CONTROL_TIMEOUT = Option(
     '--control-timeout',
     '3',
     number(0.05, 60, 'seconds'),
-    'Seconds to wait for an answer of an instance.',
+    'Seconds to wait for an answer from an instance.',
     CONTROL_GROUP,
 )
 SHARED_SECRET = Option(
     '--shared-secret',
     '',
     str,
-    'Secret that instances ask for; a flag shows in the process list, so prefer '
+    'Secret that instances require; a flag shows in the process list, so prefer '
     'the variable or the file.',
     CONTROL_GROUP,
     secret=True,
 )
 AUTHOR = Option(
-    '--author', '', str, 'Who makes the change; your user if empty.', CHANGE_GROUP
+    '--author', '', str, 'Author of the change; your user name if empty.', CHANGE_GROUP
 )
 WAIT = Option(
     '--wait',
@@ -61,12 +61,12 @@
 WATCH_WAIT = evolve(WAIT, default='30', help='Seconds to wait.')
 
 PLATFORM = (PLATFORM_URL, PLATFORM_TIMEOUT)
-PLATFORM_IF_ANY = (
+OPTIONAL_PLATFORM = (
     evolve(PLATFORM_URL, convert=http_url_or_empty),
     PLATFORM_TIMEOUT,
 )
 INSTANCE = (CONTROL, CONTROL_TIMEOUT, SHARED_SECRET)
-INSTANCE_IF_ANY = (
+OPTIONAL_INSTANCE = (
     evolve(
         CONTROL,
         convert=addresses,
@@ -75,4 +75,4 @@
     CONTROL_TIMEOUT,
     SHARED_SECRET,
 )
-CHANGE = (*PLATFORM, *INSTANCE_IF_ANY, AUTHOR, WAIT)
+CHANGE = (*PLATFORM, *OPTIONAL_INSTANCE, AUTHOR, WAIT)
--- a/catkinslip/settings/start.py
+++ b/catkinslip/settings/start.py
@@ -1,4 +1,4 @@
-"""Read the daemon's settings as a whole at its start."""
+"""Reading of all daemon settings at its start, and the help of the daemon."""
 
 from collections.abc import Mapping, Sequence
 
@@ -12,7 +12,7 @@
     read_values,
     with_secret_files,
 )
-from catkinslip.settings.daemon import DaemonSettings, check_together
+from catkinslip.settings.daemon import DaemonSettings, check_combinations
 from catkinslip.settings.daemon_options import OPTIONS
 from catkinslip.settings.flags import ParsedFlags, parse_flags
 
@@ -37,7 +37,7 @@
 def read_daemon_settings(
     flags: ParsedFlags, variables: Mapping[str, str]
 ) -> Result[DaemonSettings, SettingsError]:
-    """Check flags, variables and what they say together."""
+    """Read the daemon's settings and check each value and their combinations."""
     options = with_secret_files(OPTIONS)
     mistakes = list(flags.mistakes)
     match read_values(options, flags.text_by_field, variables):
@@ -46,14 +46,14 @@
         case Success(value_by_field):
             fields = {each.field: value_by_field[each.field] for each in OPTIONS}
             settings = DaemonSettings(**fields)
-            mistakes.extend(check_together(settings))
+            mistakes.extend(check_combinations(settings))
     return Failure(SettingsError(tuple(mistakes))) if mistakes else Success(settings)
 
 
 def unknown_variables(
     variables: Mapping[str, str], known: Sequence[Option]
 ) -> list[str]:
-    """Return the names of variables with our prefix that no option reads."""
+    """Return sorted names of `CATKINSLIP_` variables that no option reads."""
     names = {each.variable for each in known}
     return sorted(
         name
@@ -63,14 +63,14 @@
 
 
 def daemon_help() -> str:
-    """Return the help: flags by group, with ranges, defaults and variables."""
+    """Return the help of the daemon: flags by group, switches and examples."""
     lines = [f'Usage: {PROGRAM} [flags]', '', DESCRIPTION]
     group = None
     for each in with_secret_files(OPTIONS):
         if each.group != group:
             group = each.group
             lines.extend(('', f'{group}:'))
-        lines.extend((f'  {each.flag}=VALUE', f'      {each.sentences}'))
+        lines.extend((f'  {each.flag}=VALUE', f'      {each.full_help}'))
     lines.extend(('', 'General:'))
     for switch in SWITCHES:
         lines.extend((f'  --{switch.name}', f'      {switch.description}'))
--- a/tests/test_cli_frame.py
+++ b/tests/test_cli_frame.py
@@ -1,4 +1,4 @@
-"""The frame of the operators' tool: help, usage errors, printing."""
+"""Tests of the command-line tool: help, usage errors and tables."""
 
 import unittest
 
@@ -8,23 +8,23 @@
 from standins.tool import run_tool
 
 
-class ToolFrameTest(unittest.TestCase):
-    """Mistakes are told in sentences, never as a stack trace."""
+class ToolTest(unittest.TestCase):
+    """The tool documents its flags and reports errors without a stack trace."""
 
     def test_help_of_each_command_documents_flags_examples_and_statuses(self):
-        for declared in COMMANDS:
-            result = run_tool('help', declared.name)
+        for definition in COMMANDS:
+            result = run_tool('help', definition.name)
             self.assertEqual(result.status, ExitStatus.SUCCESS)
-            self.assertIn(declared.help, result.stdout)
-            for setting in declared.settings:
+            self.assertIn(definition.help, result.stdout)
+            for setting in definition.settings:
                 self.assertIn(setting.flag, result.stdout)
                 self.assertIn(setting.variable, result.stdout)
-            for status in declared.statuses:
+            for status in definition.statuses:
                 self.assertIn(f'{status.value}  {status.meaning}', result.stdout)
-            self.assertTrue(declared.examples, declared.name)
-            self.assertTrue(declared.help.endswith('.'), declared.name)
+            self.assertTrue(definition.examples, definition.name)
+            self.assertTrue(definition.help.endswith('.'), definition.name)
 
-    def test_flag_wins_over_variable_and_all_mistakes_are_told(self):
+    def test_flag_overrides_variable_and_all_mistakes_are_reported(self):
         result = run_tool(
             'read',
             '--platform-url=ftp://10.0.0.9',
@@ -50,6 +50,6 @@
         self.assertEqual(result.status, ExitStatus.UNREACHABLE)
         self.assertIn('127.0.0.1:1 did not answer', result.stderr)
 
-    def test_table_sets_numbers_to_the_right(self):
+    def test_table_aligns_numbers_right(self):
         lines = table(('name', 'count'), [('a', 5), ('longer', 1234)])
         self.assertEqual(lines, ['name    count', 'a           5', 'longer   1234'])
--- a/tests/test_settings_start.py
+++ b/tests/test_settings_start.py
@@ -1,4 +1,4 @@
-"""The daemon's settings, checked as a whole at its start."""
+"""Tests of the daemon settings, which are checked together at its start."""
 
 import io
 import re
@@ -17,23 +17,23 @@
 
 
 def check(*arguments: str, **variables: str) -> tuple[ExitStatus, str]:
-    """Run the daemon with --check; return its status and what it said."""
+    """Run the daemon with --check; return its exit status and its output."""
     output = io.StringIO()
     environment = Environment(variables, output, output)
     return run([*arguments, '--check'], environment), output.getvalue()
 
 
 class SettingsStartTest(unittest.TestCase):
-    """Every mistake is told at once, with flag, variable, unit and range."""
+    """All mistakes are reported together, with flag, variable, unit and range."""
 
     def test_right_settings_from_flags_and_variables(self):
-        status, said = check('--zone=zone-a', CATKINSLIP_INSTANCE_ID='entry-1')
+        status, output = check('--zone=zone-a', CATKINSLIP_INSTANCE_ID='entry-1')
         self.assertEqual(
-            (status, said), (ExitStatus.SUCCESS, 'The settings are right.\n')
+            (status, output), (ExitStatus.SUCCESS, 'The settings are right.\n')
         )
 
-    def test_every_mistake_is_told_at_once(self):
-        status, said = check(
+    def test_every_mistake_is_reported_at_once(self):
+        status, output = check(
             '--instnce-id=entry-1',
             '--zone',
             '--platform-timeout=900',
@@ -46,7 +46,7 @@
         for expected in (
             '--instnce-id is not a flag. Did you mean --instance-id?',
             '--zone needs a value.',
-            "'stray' stands behind no flag.",
+            "'stray' is not preceded by a flag.",
             '--instance-id (CATKINSLIP_INSTANCE_ID) is missing.',
             "--platform-timeout (CATKINSLIP_PLATFORM_TIMEOUT): '900' is wrong; "
             'it must be from 0.05 to 60 seconds.',
@@ -55,10 +55,10 @@
             "--listen-host (CATKINSLIP_LISTEN_HOST): 'example.org' is wrong; "
             'it must be an IPv4 number that others can reach.',
         ):
-            self.assertIn(expected, said)
+            self.assertIn(expected, output)
 
-    def test_settings_that_clash_are_told_together(self):
-        status, said = check(
+    def test_conflicting_settings_are_reported_together(self):
+        status, output = check(
             '--instance-id=entry-1',
             '--zone=zone-a',
             '--listen-port=7000',
@@ -68,9 +68,11 @@
             '--request-timeout=31',
         )
         self.assertEqual(status, ExitStatus.USAGE)
-        self.assertIn('--key-lifetime (CATKINSLIP_KEY_LIFETIME)', said)
-        self.assertIn('--control-port (CATKINSLIP_CONTROL_PORT)', said)
-        self.assertIn('--drain-timeout (CATKINSLIP_DRAIN_TIMEOUT) of 30 seconds', said)
+        self.assertIn('--key-lifetime (CATKINSLIP_KEY_LIFETIME)', output)
+        self.assertIn('--control-port (CATKINSLIP_CONTROL_PORT)', output)
+        self.assertIn(
+            '--drain-timeout (CATKINSLIP_DRAIN_TIMEOUT) of 30 seconds', output
+        )
 
     def test_drain_timeout_equal_to_request_timeout_is_right(self):
         status, _ = check(
@@ -81,7 +83,7 @@
         )
         self.assertEqual(status, ExitStatus.SUCCESS)
 
-    def test_each_heading_of_the_help_stands_once(self):
+    def test_each_heading_of_the_help_appears_once(self):
         headings = re.findall(r'^\w+:$', daemon_help(), re.MULTILINE)
         self.assertIn('Requests:', headings)
         self.assertEqual(len(headings), len(set(headings)))
@@ -97,17 +99,17 @@
                 variables,
             ).unwrap()
         self.assertEqual(values['shared_secret'], SECRET)
-        _, said = check(f'--shared-secret={SECRET}', '--platform-timeout=900')
-        self.assertNotIn(SECRET, said)
+        _, output = check(f'--shared-secret={SECRET}', '--platform-timeout=900')
+        self.assertNotIn(SECRET, output)
 
     def test_secret_file_that_cannot_be_read_is_a_mistake(self):
         missing = str(Path(tempfile.gettempdir()) / 'no-such-folder' / 'secret')
-        _, said = check(CATKINSLIP_SHARED_SECRET_FILE=missing)
-        self.assertIn('--shared-secret-file', said)
-        self.assertIn('No such file', said)
+        _, output = check(CATKINSLIP_SHARED_SECRET_FILE=missing)
+        self.assertIn('--shared-secret-file', output)
+        self.assertIn('No such file', output)
 
-    def test_variable_that_no_setting_reads_is_told(self):
-        _, said = check(
+    def test_variable_that_no_setting_reads_is_reported(self):
+        _, output = check(
             '--zone=zone-a', CATKINSLIP_INSTANCE_ID='entry-1', CATKINSLIP_ZON='b'
         )
-        self.assertIn('CATKINSLIP_ZON', said)
+        self.assertIn('CATKINSLIP_ZON', output)
