--- a/catkinslip/logs/__init__.py
+++ b/catkinslip/logs/__init__.py
@@ -1,1 +1,1 @@
-"""Log lines: buffered, written by one task, counted when lost."""
+"""Buffered logging: one task writes the lines, and dropped lines are counted."""
--- a/catkinslip/logs/buffer.py
+++ b/catkinslip/logs/buffer.py
@@ -1,4 +1,4 @@
-"""Hold log lines in memory until they are written."""
+"""In-memory buffer of log records that have not been written yet."""
 
 import logging
 from collections import deque
@@ -11,18 +11,18 @@
 
 @define
 class LogBuffer:
-    """Hold a bounded number of log records; count those that find no room."""
+    """Bounded buffer of log records that counts the records dropped when it is full."""
 
     limit: int = MAX_LINES
     records: deque[logging.LogRecord] = Factory(deque)
     taken: int = 0
     lost: int = 0
     told: int = 0
-    #: Set while there may be something to write.
+    #: Event that is set while there may be records to write.
     has_news: trio.Event = Factory(trio.Event)
 
     def add(self, record: logging.LogRecord) -> None:
-        """Take a record, or count it as lost."""
+        """Add a record, or count it as dropped if the buffer is full."""
         self.has_news.set()
         if len(self.records) >= self.limit:
             self.lost += 1
@@ -31,27 +31,30 @@
         self.records.append(record)
 
     def take(self, formatter: logging.Formatter, count: int) -> str:
-        """Remove and return at most `count` lines, and a line on what was lost."""
+        """Remove and return at most `count` formatted lines.
+
+        A further line reports the records dropped since the last report, if any.
+        """
         lines = []
         while self.records and len(lines) < count:
             lines.append(formatter.format(self.records.popleft()))
         if self.lost > self.told:
-            lines.append(f'logs: {self.lost - self.told} lines were lost, no room.')
+            lines.append(f'logs: buffer full, lines_dropped={self.lost - self.told}.')
             self.told = self.lost
         return ''.join(f'{line}\n' for line in lines)
 
 
 class BufferHandler(logging.Handler):
-    """Give records to a buffer; formatting waits until they are written."""
+    """Logging handler that adds unformatted records to a buffer."""
 
     def __init__(self, buffer: LogBuffer) -> None:
         super().__init__()
         self.buffer = buffer
 
-    def createLock(self) -> None:  # noqa: N802 - the name is the library's
-        """Use no lock: one loop, one thread."""
+    def createLock(self) -> None:  # noqa: N802 - overrides logging.Handler
+        """Set no lock, because all records come from one thread."""
         self.lock = None
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Take a record."""
+        """Add a record to the buffer."""
         self.buffer.add(record)
--- a/catkinslip/logs/flush.py
+++ b/catkinslip/logs/flush.py
@@ -1,4 +1,4 @@
-"""Write buffered log lines without holding the loop."""
+"""Background writer of buffered log lines that does not block the event loop."""
 
 import logging
 
@@ -16,7 +16,7 @@
 
 @define
 class LogFlusher:
-    """Write the lines of a buffer; a reader that is stuck stops only this task."""
+    """Writer of buffered lines; a blocked reader of the log delays only this task."""
 
     buffer: LogBuffer
     writer: LogWriter
@@ -24,7 +24,7 @@
     pending: bytes = b''
 
     async def run(self) -> None:
-        """Write what comes, now and then, until cancelled; then what is left."""
+        """Write new lines at intervals until cancelled, then the remaining lines."""
         try:
             while True:
                 await self.buffer.has_news.wait()
@@ -37,7 +37,7 @@
             self.writer.close()
 
     async def flush(self) -> None:
-        """Write all lines, and let other tasks run in between."""
+        """Write all buffered lines and yield to other tasks between chunks."""
         while self._next_chunk():
             written = self.writer.write(self.pending)
             self.pending = self.pending[written:]
--- a/catkinslip/logs/format.py
+++ b/catkinslip/logs/format.py
@@ -1,11 +1,11 @@
-"""Write a log record as one line."""
+"""Formatting of log records as lines."""
 
 import logging
 import time
 
 
 class LineFormatter(logging.Formatter):
-    """Write time in UTC, severity and sentence; reuse the text of each second."""
+    """Formatter for UTC time, level and message; caches the current second as text."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -13,7 +13,7 @@
         self.second_text = ''
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line, and the stack trace of an error below it."""
+        """Return the line of a record, followed by the stack trace of an exception."""
         line = f'{self._time(record)} {record.levelname} {record.getMessage()}'
         if record.exc_info:
             line = f'{line}\n{self.formatException(record.exc_info)}'
--- a/catkinslip/logs/setup.py
+++ b/catkinslip/logs/setup.py
@@ -1,4 +1,4 @@
-"""Send the program's log lines to a buffer."""
+"""Setup of the root logger."""
 
 import logging
 
@@ -8,14 +8,17 @@
 
 
 def configure_buffered(level: str) -> LogBuffer:
-    """Keep lines of a severity or more in a buffer, which somebody must flush."""
+    """Send log records of at least a level to a buffer; return the buffer.
+
+    The caller must flush the buffer.
+    """
     buffer = LogBuffer()
     use_handler(BufferHandler(buffer), level)
     return buffer
 
 
 def use_handler(handler: logging.Handler, level: str) -> None:
-    """Use only one handler, and collect no facts that no line shows."""
+    """Set the only handler of the root logger; turn off unused record attributes."""
     root = logging.getLogger()
     root.handlers = [handler]
     root.setLevel(level.upper())
--- a/catkinslip/logs/writers.py
+++ b/catkinslip/logs/writers.py
@@ -1,4 +1,4 @@
-"""Write bytes of log lines to where they go."""
+"""Non-blocking writers of log output."""
 
 import os
 import stat
@@ -10,77 +10,77 @@
 
 
 class LogWriter(ABC):
-    """Take as many bytes as there is room for, without holding the loop."""
+    """Interface of writers that never block the event loop."""
 
     @abstractmethod
     def write(self, data: bytes) -> int:
-        """Write and return how many bytes were taken; 0 when there is no room."""
+        """Write data; return the number of bytes written, 0 if the stream is full."""
 
     @abstractmethod
     async def wait_for_room(self) -> None:
-        """Return when bytes may be taken again."""
+        """Wait until more bytes can be written."""
 
     @abstractmethod
     def close(self) -> None:
-        """Leave the stream as it was found."""
+        """Restore the original state of the stream."""
 
 
 @define
 class DescriptorWriter(LogWriter):
-    """Write to a file descriptor; a pipe without a reader never blocks."""
+    """Writer to a file descriptor; does not block on a full pipe."""
 
     descriptor: int
     was_blocking: bool
 
     def write(self, data: bytes) -> int:
-        """Write and return how many bytes were taken; 0 when there is no room."""
+        """Write data; return the number of bytes written, 0 if the stream is full."""
         try:
             return os.write(self.descriptor, data)
         except BlockingIOError:
             return 0
 
     async def wait_for_room(self) -> None:
-        """Return when bytes may be taken again."""
+        """Wait until more bytes can be written."""
         await trio.lowlevel.wait_writable(self.descriptor)
 
     def close(self) -> None:
-        """Leave the stream as it was found."""
+        """Restore the original state of the stream."""
         os.set_blocking(self.descriptor, self.was_blocking)
 
 
 @frozen
 class TextWriter(LogWriter):
-    """Write to a text stream without a file descriptor."""
+    """Writer to a text stream that has no file descriptor."""
 
     stream: TextIO
 
     def write(self, data: bytes) -> int:
-        """Write and return how many bytes were taken; 0 when there is no room."""
+        """Write data; return the number of bytes written, 0 if the stream is full."""
         self.stream.write(data.decode())
         return len(data)
 
     async def wait_for_room(self) -> None:
-        """Return when bytes may be taken again."""
+        """Wait until more bytes can be written."""
         await trio.lowlevel.checkpoint()
 
     def close(self) -> None:
-        """Leave the stream as it was found."""
+        """Restore the original state of the stream."""
 
 
 def open_writer(stream: TextIO) -> LogWriter:
-    """Return a writer to a text stream's descriptor, or to the stream itself."""
+    """Return a writer to the file descriptor of a stream, or else to the stream."""
     try:
         descriptor = stream.fileno()
     except (OSError, AttributeError):
         return TextWriter(stream)
     writer = DescriptorWriter(descriptor, os.get_blocking(descriptor))
     if is_pipe(descriptor):
-        # The flag is shared with other holders of the pipe; a terminal is spared.
+        # All processes that use the pipe share the flag; a terminal stays unchanged.
         os.set_blocking(descriptor, False)
     return writer
 
 
 def is_pipe(descriptor: int) -> bool:
-    """Tell whether a descriptor is a pipe or a socket."""
+    """Return whether a file descriptor is a pipe or a socket."""
     mode = os.fstat(descriptor).st_mode
     return stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode)
