--- a/catkinslip/metrics/__init__.py
+++ b/catkinslip/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""What is counted, and how it is shown to operators."""
+"""Metrics and their exposition to operators."""
--- a/catkinslip/metrics/base.py
+++ b/catkinslip/metrics/base.py
@@ -1,4 +1,4 @@
-"""Families of measured values, and who provides them."""
+"""Metric families and the interface of metric sources."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Iterable
@@ -9,13 +9,13 @@
 
 @unique
 class FamilyKind(Enum):
-    """How a value behaves over time."""
+    """Type of a metric family."""
 
-    #: Only grows while the process lives.
+    #: Value that only increases while the process runs.
     COUNTER = 'counter'
-    #: Goes up and down.
+    #: Value that increases and decreases.
     GAUGE = 'gauge'
-    #: Recent quantiles with the count and the sum since the start.
+    #: Recent quantiles with the count and the sum since the start of the process.
     SUMMARY = 'summary'
 
 
@@ -29,7 +29,7 @@
 
 @frozen
 class SummarySample:
-    """Recent quantiles of one series, with its count and sum since the start."""
+    """Recent quantiles of one series, with count and sum since the process start."""
 
     labels: tuple[str, ...]
     count: int
@@ -39,7 +39,7 @@
 
 @define
 class Family:
-    """All series of one name; names end with their unit."""
+    """All series of one metric name; the name ends with the unit."""
 
     name: str
     help: str
@@ -49,28 +49,28 @@
     summaries: list[SummarySample] = Factory(list)
 
     def add(self, value: float, *labels: str) -> None:
-        """Add one value."""
+        """Add a sample with the given label values."""
         self.samples.append(Sample(labels, value))
 
 
 class MetricSource(ABC):
-    """A part that can tell what it has measured."""
+    """Component that provides metric families."""
 
     @abstractmethod
     def families(self) -> Iterable[Family]:
-        """Return the measured values of now."""
+        """Return the current metric families."""
 
 
 def counter(name: str, text: str, *label_names: str) -> Family:
-    """Return an empty family of counters."""
+    """Return a counter family without samples."""
     return Family(name, text, FamilyKind.COUNTER, label_names)
 
 
 def gauge(name: str, text: str, *label_names: str) -> Family:
-    """Return an empty family of gauges."""
+    """Return a gauge family without samples."""
     return Family(name, text, FamilyKind.GAUGE, label_names)
 
 
 def summary(name: str, text: str, *label_names: str) -> Family:
-    """Return an empty family of summaries."""
+    """Return a summary family without samples."""
     return Family(name, text, FamilyKind.SUMMARY, label_names)
--- a/catkinslip/metrics/calls.py
+++ b/catkinslip/metrics/calls.py
@@ -1,4 +1,4 @@
-"""Show the calls of the platform, a waiting watch as one."""
+"""Metric family of calls to the platform; a pending watch counts as one call."""
 
 from collections.abc import Mapping
 
@@ -10,13 +10,13 @@
 
 
 def outcome_of(result: Result) -> str:
-    """Return how a call ended, as it is counted."""
+    """Return the outcome label of a platform call: answered or its error type."""
     failed = isinstance(result, Failure)
     return type(result.failure()).__name__ if failed else ANSWERED
 
 
 def calls_family(count_by_call: Mapping[tuple[str, str], int]) -> Family:
-    """Return the calls that were counted by operation and outcome."""
+    """Return the family of platform calls by operation and outcome."""
     family = counter(
         'catkinslip_platform_calls_total',
         'Calls of the platform; those over budget were not sent.',
--- a/catkinslip/metrics/crashes.py
+++ b/catkinslip/metrics/crashes.py
@@ -1,4 +1,4 @@
-"""Tell what is known of requests that end servers."""
+"""Metrics of requests that crash servers."""
 
 from collections.abc import Iterable
 
@@ -11,12 +11,12 @@
 
 @define
 class CrashMetrics(MetricSource):
-    """Count servers that ended under requests, verdicts and refusals."""
+    """Source of the counts of server crashes, verdicts and refused calls."""
 
     guard: CrashGuard
 
     def families(self) -> Iterable[Family]:
-        """Return the measured values of now."""
+        """Return the current metric families."""
         book = self.guard.book
         events = counter(
             'catkinslip_crashes_total',
--- a/catkinslip/metrics/discovery.py
+++ b/catkinslip/metrics/discovery.py
@@ -1,4 +1,4 @@
-"""Tell what an instance learned of others, and at what cost."""
+"""Metrics of load probes, shared load reports and peer instances."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -13,14 +13,14 @@
 
 @define
 class DiscoveryMetrics(MetricSource):
-    """Tell probes before choices, shared reports, and the known instances."""
+    """Source of the counts of load probes, shared load reports and known peers."""
 
     instances: InstanceTable
     sampler: LoadSampler
     sharer: ReportSharer
 
     def families(self) -> Iterable[Family]:
-        """Return the measured values of now."""
+        """Return the current metric families."""
         probes = counter(
             'catkinslip_load_probes_total', 'Probes before a choice.', 'state'
         )
--- a/catkinslip/metrics/durations.py
+++ b/catkinslip/metrics/durations.py
@@ -1,7 +1,7 @@
 """Durations of recent requests in bounded memory.
 
-A histogram of HdrHistogram holds a fixed array of counts. Its size depends on
-the range and on the number of exact digits: see docs/OPERATING.md.
+HdrHistogram stores a fixed array of counts. The size of the array depends on the
+range and on the number of exact digits: see docs/OPERATING.md.
 """
 
 from attrs import Factory, define, field, frozen
@@ -16,7 +16,7 @@
 
 @frozen
 class Precision:
-    """Range and exact digits of a histogram of microseconds."""
+    """Range in microseconds and number of exact digits of a histogram."""
 
     lowest: int
     highest: int
@@ -27,15 +27,15 @@
         return HdrHistogram(self.lowest, self.highest, self.digits)
 
 
-#: Steps of 1 %, for the few services.
+#: Resolution of 1 %, for services, which are few.
 FINE = Precision(1, 60 * MICROSECONDS, 2)
-#: Steps of 10 % from 0.1 ms on, for the many backend servers.
+#: Resolution of 10 % from 0.1 ms on, for backend servers, which are many.
 COARSE = Precision(100, 60 * MICROSECONDS, 1)
 
 
 @define
 class Durations:
-    """Count durations; keep quantiles of the last one to two windows."""
+    """Count and sum of durations, and a histogram of the last one to two windows."""
 
     precision: Precision
     count: int = 0
@@ -47,7 +47,7 @@
     previous: HdrHistogram | None = None
 
     def record(self, seconds: float, now: float) -> None:
-        """Count one duration."""
+        """Record one duration in seconds at a monotonic time in seconds."""
         if now >= self.window_ends:
             self._turn(now)
         self.count += 1
@@ -56,7 +56,7 @@
         self.current.record_value(min(microseconds, self.precision.highest))
 
     def summarize(self, now: float, *labels: str) -> SummarySample:
-        """Return count and sum since the start and recent quantiles in seconds."""
+        """Return count and sum since the start and recent quantiles, in seconds."""
         if now >= self.window_ends:
             self._turn(now)
         merged = self.current
@@ -75,7 +75,7 @@
         return SummarySample(labels, self.count, self.sum, value_by_quantile)
 
     def _turn(self, now: float) -> None:
-        """Start a new window; a new histogram is cheaper than a reset one."""
+        """Start a new window; creating a histogram is cheaper than resetting one."""
         is_recent = now < self.window_ends + WINDOW_SECONDS
         used = self.current.total_count > 0
         self.previous = self.current if is_recent and used else None
--- a/catkinslip/metrics/exposition.py
+++ b/catkinslip/metrics/exposition.py
@@ -1,4 +1,4 @@
-"""Write measured values in the Prometheus text format.
+"""Conversion of metric families to the Prometheus text format.
 
 https://prometheus.io/docs/instrumenting/exposition_formats/
 """
@@ -22,24 +22,27 @@
 
 @frozen(eq=False)
 class FamilyCollector(Collector):
-    """Give one family to the library's registry."""
+    """Adapter that provides one family to the registry of prometheus_client."""
 
     family: Family
 
     def collect(self) -> Iterable[Metric]:
-        """Return the family as the library knows it."""
+        """Return the family as a metric of prometheus_client."""
         yield to_metric(self.family)
 
 
 def expose(family: Family) -> bytes:
-    """Return the text of one family; a family at a time keeps the loop free."""
+    """Return one family in the Prometheus text format.
+
+    Callers convert one family at a time so that the event loop is not blocked for long.
+    """
     registry = CollectorRegistry(auto_describe=False)
     registry.register(FamilyCollector(family))
     return generate_latest(registry)
 
 
 def to_metric(family: Family) -> Metric:
-    """Convert a family to the library's."""
+    """Convert a family to a metric of prometheus_client."""
     name, labels = family.name, list(family.label_names)
     if family.kind is FamilyKind.SUMMARY:
         return summary_metric(family)
@@ -53,7 +56,7 @@
 
 
 def summary_metric(family: Family) -> Metric:
-    """Convert summaries; the library's own class has no quantiles."""
+    """Convert a summary family; `SummaryMetricFamily` itself has no quantiles."""
     metric = SummaryMetricFamily(family.name, family.help, labels=family.label_names)
     for each in family.summaries:
         metric.add_metric(list(each.labels), each.count, each.sum)
--- a/catkinslip/metrics/health.py
+++ b/catkinslip/metrics/health.py
@@ -1,4 +1,4 @@
-"""Tell what the health slice counts, probes against their budget among it."""
+"""Metrics of health probes and of the states that backend servers report."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -11,12 +11,12 @@
 
 @define
 class HealthMetrics(MetricSource):
-    """Tell probes sent and held back by the budget, drain words and returns."""
+    """Source of probe and drain counts and of cold, throttled and resting servers."""
 
     health: HealthTracker
 
     def families(self) -> Iterable[Family]:
-        """Return the measured values of now."""
+        """Return the current metric families."""
         events = counter(
             'catkinslip_health_events_total',
             'Probes, drain words and reports; held back probes were not sent.',
@@ -40,7 +40,7 @@
         yield leaving
 
     def _resting(self, now: float) -> Iterable[Family]:
-        """Return what is known of servers that asked this instance for rest."""
+        """Return the families of resting servers and of rest events."""
         resting = gauge(
             'catkinslip_resting_backends',
             'Servers that asked this instance for rest.',
@@ -62,7 +62,7 @@
         yield events
 
     def _throttling(self) -> Iterable[Family]:
-        """Return what is known of servers that name the rate that they take."""
+        """Return the families of throttled servers and of rate events."""
         named = gauge(
             'catkinslip_throttled_backends',
             'Servers that name the rate that they take.',
--- a/catkinslip/metrics/instance.py
+++ b/catkinslip/metrics/instance.py
@@ -1,4 +1,4 @@
-"""Measure the instance itself: its loop, its configuration, its logs."""
+"""Metrics of the event loop, the configuration and the logs of an instance."""
 
 from collections.abc import Iterable
 
@@ -12,20 +12,21 @@
 from catkinslip.metrics.base import Family, MetricSource, counter, gauge, summary
 from catkinslip.metrics.durations import FINE, Durations
 
-#: With the log written only when there are lines, an idle instance wakes 4.7 times a
-#: second instead of 17 and takes 0.33 % of a core instead of 0.87 (one process, 15 s).
+#: Interval of lag measurements. With logs flushed only when there are lines, an idle
+#: instance wakes 4.7 times a second instead of 17 and uses 0.33 % of a core instead of
+#: 0.87 % (one process, 15 s).
 LAG_PERIOD_SECONDS = 0.5
 
 
 @define
 class LoopLag(MetricSource):
-    """Measure how late the loop wakes a task that sleeps."""
+    """Source of the delay with which the event loop wakes sleeping tasks."""
 
     clock: Clock
     durations: Durations = Factory(lambda: Durations(FINE))
 
     async def run(self) -> None:
-        """Measure until cancelled."""
+        """Measure the delay of the event loop until cancelled."""
         while True:
             due = self.clock.monotonic() + LAG_PERIOD_SECONDS
             await trio.sleep(LAG_PERIOD_SECONDS)
@@ -33,7 +34,7 @@
             self.durations.record(max(0.0, now - due), now)
 
     def families(self) -> Iterable[Family]:
-        """Return the measured values of now."""
+        """Return the current metric families."""
         family = summary('catkinslip_loop_lag_seconds', 'Delay of a task that is due.')
         family.summaries.append(self.durations.summarize(self.clock.monotonic()))
         yield family
@@ -41,7 +42,7 @@
 
 @define
 class ConfigMetrics(MetricSource):
-    """Tell which configuration is in force, and since when."""
+    """Source of the version and age of the active configuration."""
 
     clock: Clock
     config: ConfigHolder
@@ -50,11 +51,11 @@
     )
 
     def took(self, _: AcceptedConfig) -> None:
-        """Note that another configuration came into force."""
+        """Record the time at which another configuration became active."""
         self.in_force_since = self.clock.monotonic()
 
     def families(self) -> Iterable[Family]:
-        """Return the measured values of now."""
+        """Return the current metric families."""
         version = self.config.current.version
         number = gauge('catkinslip_config_version', 'Version in force.', 'epoch')
         number.add(version.number, str(version.epoch))
@@ -75,12 +76,12 @@
 
 @define
 class LogMetrics(MetricSource):
-    """Tell how many log lines were written and lost."""
+    """Source of the counts of accepted and dropped log lines."""
 
     buffer: LogBuffer
 
     def families(self) -> Iterable[Family]:
-        """Return the measured values of now."""
+        """Return the current metric families."""
         lines = counter(
             'catkinslip_log_lines_total', 'Log lines by what became of them.', 'state'
         )
--- a/catkinslip/metrics/members.py
+++ b/catkinslip/metrics/members.py
@@ -1,4 +1,4 @@
-"""Tell the members that an instance knows."""
+"""Metrics of the membership view of an instance."""
 
 from collections.abc import Iterable
 
@@ -10,12 +10,12 @@
 
 @define
 class MemberMetrics(MetricSource):
-    """Tell how many members this instance knows."""
+    """Source of the number of known members by state."""
 
     members: MemberTable
 
     def families(self) -> Iterable[Family]:
-        """Return the measured values of now."""
+        """Return the current metric families."""
         family = gauge('catkinslip_members', 'Known instances by state.', 'state')
         live = self.members.live()
         leaving = sum(member.leaving for member in live)
--- a/catkinslip/metrics/platform.py
+++ b/catkinslip/metrics/platform.py
@@ -1,4 +1,4 @@
-"""Count the calls of the platform, a waiting watch as one."""
+"""Count of calls to the platform; a pending watch counts as one call."""
 
 from collections.abc import Iterable
 
@@ -13,12 +13,12 @@
 
 @define
 class CountedStore(WrappedStore, MetricSource):
-    """Pass calls on to a store and count them by operation and outcome."""
+    """Store that forwards calls to another store and counts them."""
 
     count_by_call: dict[tuple[str, str], int] = Factory(dict)
 
     def families(self) -> Iterable[Family]:
-        """Return the measured values of now."""
+        """Return the current metric families."""
         yield calls_family(self.count_by_call)
 
     async def _call(
--- a/catkinslip/metrics/requests.py
+++ b/catkinslip/metrics/requests.py
@@ -1,4 +1,4 @@
-"""Count requests by service and attempts by backend server."""
+"""Metrics of requests by service and of attempts by backend server."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -27,11 +27,12 @@
     durations: Durations
     count_by_outcome: dict[str, int] = Factory(dict)
     retries: int = 0
-    #: Attempts whose connection ended without a whole answer, by its kind.
+    #: Number of attempts whose connection closed before the end of the response, by
+    #: kind of connection.
     breaks: Counter[str] = Factory(Counter)
 
     def count(self, outcome: Outcome, seconds: float, now: float) -> None:
-        """Count one request or attempt that ended."""
+        """Record the outcome and the duration in seconds of one request or attempt."""
         word = outcome_word(outcome)
         self.count_by_outcome[word] = self.count_by_outcome.get(word, 0) + 1
         self.durations.record(seconds, now)
@@ -39,7 +40,7 @@
 
 @define
 class RequestMetrics(RequestObserver, MetricSource):
-    """Count what the request path does, in memory bounded by the register."""
+    """Request and attempt counts, in memory bounded by the register."""
 
     clock: Clock
     directory: Directory
@@ -47,14 +48,14 @@
     tally_by_backend: dict[str, Tally] = field(factory=dict)
 
     def on_server_chosen(self, call: Call, choice: Choice, number: int) -> None:
-        """Learn of the backend server chosen for an attempt, counted from 1."""
+        """Count a retry if the attempt number, which starts at 1, is above 1."""
         if number > 1:
             self._service(call.service).retries += 1
 
     def on_attempt_ended(
         self, call: Call, backend_id: str, outcome: Outcome, seconds: float
     ) -> None:
-        """Learn how an attempt ended and how long it took."""
+        """Record the outcome and the duration in seconds of an attempt."""
         tally = self.tally_by_backend.get(backend_id)
         if tally is None:
             tally = Tally(Durations(COARSE))
@@ -62,16 +63,16 @@
         tally.count(outcome, seconds, self.clock.monotonic())
 
     def on_connection_broken(self, call: Call, broken: ConnectionBreak) -> None:
-        """Learn of a connection that ended under an attempt."""
+        """Count a connection that closed during an attempt."""
         kind = 'kept' if broken.is_reused else 'new'
         self._service(call.service).breaks[kind] += 1
 
     def on_request_ended(self, call: Call, outcome: Outcome, seconds: float) -> None:
-        """Learn what the caller was told and how long the request took."""
+        """Record the outcome that the caller got and the duration in seconds."""
         self._service(call.service).count(outcome, seconds, self.clock.monotonic())
 
     def families(self) -> Iterable[Family]:
-        """Return the measured values of now."""
+        """Return the current metric families."""
         self._forget_removed()
         yield from self._latencies()
         yield self._outcomes('service', self.tally_by_service)
@@ -137,7 +138,7 @@
         return family
 
     def _service(self, service: str) -> Tally:
-        """Return the tally of a service; callers cannot add names of their own."""
+        """Return the counts of a service; all unregistered names share one entry."""
         if service not in self.directory.router_by_service:
             service = UNKNOWN_SERVICE
         tally = self.tally_by_service.get(service)
@@ -147,7 +148,7 @@
         return tally
 
     def _forget_removed(self) -> None:
-        """Drop the counts of what is no longer in the register."""
+        """Drop the counts of services and servers that are no longer registered."""
         services = {*self.directory.router_by_service, UNKNOWN_SERVICE}
         for service in set(self.tally_by_service) - services:
             del self.tally_by_service[service]
@@ -158,7 +159,7 @@
 
 
 def outcome_word(outcome: Outcome) -> str:
-    """Return the outcome and its reason as one word."""
+    """Return the metric label of an outcome, for example not-run-shed."""
     if isinstance(outcome, Answered):
         return f'answered-{outcome.status // 100}xx'
     kind = 'not-run' if isinstance(outcome, NotRun) else 'unknown'
--- a/catkinslip/metrics/traces.py
+++ b/catkinslip/metrics/traces.py
@@ -1,4 +1,4 @@
-"""Traces of recent requests, to explain one of them."""
+"""Traces of recent requests, which show how a request was routed."""
 
 from collections import deque
 from typing import Any
@@ -15,7 +15,7 @@
 
 @define
 class AttemptTrace:
-    """One attempt: where it went, why, and how it ended; times in seconds."""
+    """Backend server, routing reason and outcome of one attempt; times in seconds."""
 
     backend_id: str
     reason: object
@@ -24,7 +24,7 @@
     seconds: float = 0.0
 
     def to_plain(self) -> dict[str, Any]:
-        """Return the attempt as plain data; only now its texts are written."""
+        """Return the attempt as plain data; its texts are formatted only here."""
         return {
             'backend_id': self.backend_id,
             'reason': str(self.reason),
@@ -36,7 +36,7 @@
 
 @define
 class RequestTrace:
-    """What one instance decided on one request; times in seconds."""
+    """Attempts and outcome of one request on one instance; times in seconds."""
 
     request_id: str
     service: str
@@ -49,7 +49,7 @@
     seconds: float = 0.0
 
     def to_plain(self) -> dict[str, Any]:
-        """Return the trace as plain data; only now its texts are written."""
+        """Return the trace as plain data; its texts are formatted only here."""
         return {
             'request_id': self.request_id,
             'service': self.service,
@@ -65,7 +65,7 @@
 
 @define
 class TraceRing(RequestObserver):
-    """Hold the traces of the last requests that ended, and of those in flight."""
+    """Ring buffer of traces of finished requests, and traces of those in flight."""
 
     instance_id: str
     clock: Clock
@@ -74,7 +74,7 @@
     trace_by_call: dict[int, RequestTrace] = Factory(dict)
 
     def on_server_chosen(self, call: Call, choice: Choice, number: int) -> None:
-        """Learn of the backend server chosen for an attempt, counted from 1."""
+        """Add an attempt on the chosen backend server to the trace of its request."""
         trace = self.trace_by_call.get(id(call))
         if trace is None:
             trace = self._begin(call)
@@ -87,7 +87,7 @@
     def on_attempt_ended(
         self, call: Call, backend_id: str, outcome: Outcome, seconds: float
     ) -> None:
-        """Learn how an attempt ended and how long it took."""
+        """Record the outcome and the duration in seconds of an attempt."""
         trace = self.trace_by_call.get(id(call))
         if trace is None:
             return
@@ -97,14 +97,14 @@
                 attempt.seconds = seconds
 
     def on_request_ended(self, call: Call, outcome: Outcome, seconds: float) -> None:
-        """Learn what the caller was told and how long the request took."""
+        """Record the outcome that the caller got and the duration in seconds."""
         trace = self.trace_by_call.pop(id(call), None) or self._begin(call)
         trace.outcome = outcome
         trace.seconds = seconds
         self.ended_traces.append(trace)
 
     def find(self, request_id: str) -> list[dict[str, Any]]:
-        """Return all traces of a request as plain data, the oldest first."""
+        """Return all traces of a request as plain data, finished ones first."""
         traces = [*self.ended_traces, *self.trace_by_call.values()]
         return [
             {'instance': self.instance_id, **trace.to_plain()}
@@ -124,5 +124,5 @@
 
 
 def text_of(outcome: Outcome | None) -> str:
-    """Return an outcome as text; empty while there is none."""
+    """Return an outcome as text, or an empty text if there is none yet."""
     return '' if outcome is None else str(outcome)
--- a/catkinslip/metrics/wiring.py
+++ b/catkinslip/metrics/wiring.py
@@ -1,4 +1,4 @@
-"""Wire what measures one daemon."""
+"""Construction of the metric sources of a daemon."""
 
 from collections import deque
 
@@ -25,7 +25,7 @@
 
 @frozen
 class Metrics:
-    """What measures one daemon."""
+    """Metric sources, traces and request observer of one daemon."""
 
     observer: RequestObserver
     traces: TraceRing
@@ -42,7 +42,7 @@
         members: MemberTable,
         log_buffer: LogBuffer,
     ) -> 'Metrics':
-        """Wire the parts that measure."""
+        """Build the metric sources and subscribe them to configuration changes."""
         requests = RequestMetrics(clock, directory)
         traces = TraceRing(instance_id, clock, directory, deque(maxlen=MAX_TRACES))
         lag = LoopLag(clock)
--- a/tests/test_metrics_discovery.py
+++ b/tests/test_metrics_discovery.py
@@ -7,7 +7,7 @@
 
 
 class PageTest(unittest.TestCase):
-    """What on-call engineers read of an instance."""
+    """Content of the metrics page."""
 
     def test_calls_probes_reports_and_peers_are_told(self):
         async def check(platform):
--- a/tests/test_metrics_requests.py
+++ b/tests/test_metrics_requests.py
@@ -1,4 +1,4 @@
-"""Counts and durations in memory that the register bounds."""
+"""Request metrics and traces, in memory bounded by the registered servers."""
 
 import unittest
 from collections import deque
@@ -16,7 +16,7 @@
 
 
 class FixedClock(Clock):
-    """Tell a time that a test sets."""
+    """Clock whose time a test sets."""
 
     now = 0.0
 
@@ -35,7 +35,7 @@
 
 
 class DurationsTest(unittest.TestCase):
-    """Quantiles are recent, counts are since the start."""
+    """Quantiles cover recent windows; counts cover the time since the start."""
 
     def test_quantiles_cover_two_windows_and_counts_all(self):
         durations = Durations(FINE)
@@ -60,7 +60,7 @@
 
 
 class RequestMetricsTest(unittest.TestCase):
-    """What is counted is bounded by the register."""
+    """Series exist only for registered services and backend servers."""
 
     def setUp(self):
         self.directory = directory_of(a='127.0.0.1:1', b='127.0.0.1:2')
@@ -105,7 +105,7 @@
 
 
 class TraceRingTest(unittest.TestCase):
-    """The ring is bounded and knows requests in flight."""
+    """The ring buffer is bounded and includes requests in flight."""
 
     def test_oldest_ended_trace_makes_room_and_none_in_flight_leaks(self):
         directory = directory_of(a='127.0.0.1:1')
