--- a/catkinslip/control/__init__.py
+++ b/catkinslip/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control surface for peers and operators."""
+"""HTTP control API for peers and operators."""
--- a/catkinslip/control/app.py
+++ b/catkinslip/control/app.py
@@ -1,4 +1,4 @@
-"""The control surface over HTTP; callers do not reach it."""
+"""HTTP control API for peers and operators, on a port that callers do not use."""
 
 import hmac
 import logging
@@ -19,7 +19,8 @@
 )
 from catkinslip.membership.messages import ExchangeMessage, ProbeRequest, converter
 
-#: A configuration of full size and its envelope fit.
+#: Size limit of a message in bytes; a configuration of maximum size fits with its
+#: envelope.
 MAX_MESSAGE_BYTES = 8 << 20
 MALFORMED_ERRORS = (
     cattrs.BaseValidationError,
@@ -34,7 +35,7 @@
 
 @define
 class ControlSurface:
-    """Answer peers and operators."""
+    """HTTP control API, protected by a shared secret."""
 
     peers: PeerExchange
     operators: OperatorPages
@@ -52,7 +53,8 @@
         return app
 
     async def _check_secret(self) -> Response | None:
-        # An answer before the body's end leaves hypercorn's connection unusable.
+        # Hypercorn's connection becomes unusable if a response is sent before the end
+        # of the request body.
         await request.get_data()
         given = request.headers.get(SECRET_HEADER, '') or bearer_token()
         if hmac.compare_digest(given.encode(), self.shared_secret.encode()):
@@ -78,16 +80,16 @@
 
 
 async def read_message(message_type: type):
-    """Read a peer's message; answer 400 when it is malformed."""
+    """Read a message of a peer; abort with status 400 if it is malformed."""
     try:
         plain = orjson.loads(await request.get_data())
         return converter.structure(plain, message_type)
     except MALFORMED_ERRORS as error:
-        log.warning('control: a malformed message, %r.', error)
+        log.warning('control: rejected a malformed message of a peer, error=%r.', error)
         abort(Response('The message is malformed.\n', status=400))
 
 
 def json_response(message) -> Response:
-    """Return a message as the answer's body."""
+    """Return a JSON response with a message as its body."""
     body = orjson.dumps(converter.unstructure(message))
     return Response(body, content_type='application/json')
--- a/catkinslip/control/operators.py
+++ b/catkinslip/control/operators.py
@@ -1,4 +1,4 @@
-"""What operators may ask an instance: status, metrics and traces."""
+"""Pages of an instance for operators: status, configuration, metrics and traces."""
 
 from collections.abc import AsyncIterator, Iterable
 from typing import Any
@@ -26,7 +26,7 @@
 
 @define
 class OperatorPages:
-    """Answer operators."""
+    """HTTP handlers for operators."""
 
     members: MemberTable
     config: ConfigHolder
@@ -35,7 +35,7 @@
     traces: TraceRing
 
     def add_to(self, app: QuartTrio) -> None:
-        """Add the pages to an application."""
+        """Register the routes of the pages in an application."""
         app.add_url_rule(STATUS_PATH, view_func=self._status)
         app.add_url_rule(CONFIG_PATH, view_func=self._config)
         app.add_url_rule(METRICS_PATH, view_func=self._metrics)
--- a/catkinslip/control/paths.py
+++ b/catkinslip/control/paths.py
@@ -1,4 +1,4 @@
-"""Paths and headers of the control surface, for both of its sides."""
+"""Paths and headers of the control API, for the server and its clients."""
 
 SECRET_HEADER = 'Catkinslip-Secret'
 STATUS_PATH = '/v1/status'
