--- a/catkinslip/wiring/__init__.py
+++ b/catkinslip/wiring/__init__.py
@@ -1,1 +1,1 @@
-"""Build the parts of one daemon from its settings and connect them."""
+"""Construction of the components of a daemon or instance from its settings."""
--- a/catkinslip/wiring/callers.py
+++ b/catkinslip/wiring/callers.py
@@ -1,4 +1,4 @@
-"""Build the request path: callers, at most once, limits, forwarding."""
+"""Construction of the request path: caller connections, at-most-once, forwarding."""
 
 from catkinslip.addresses.answers import AddressPages, AddressResolver
 from catkinslip.addresses.home import HomeSetLimits
@@ -30,7 +30,7 @@
     shared: Shared,
     hedges: HedgeTimer,
 ) -> CallerServer:
-    """Build the request path: callers, at most once, limits, forwarding."""
+    """Build the caller server with the forwarders and limits behind it."""
     ticket_clock = AnchoredClock(environment.clock)
     addresses = make_address_book(settings, shared, ticket_clock)
     forwarder = Forwarder(
@@ -66,7 +66,7 @@
 def make_address_book(
     settings: DaemonSettings, shared: Shared, clock: AnchoredClock
 ) -> AddressResolver:
-    """Return what answers which addresses to use."""
+    """Return the resolver of the addresses that callers send requests to."""
     return AddressResolver(
         shared.members,
         settings.zone,
@@ -80,7 +80,7 @@
 def make_table(
     settings: DaemonSettings, own: Member, clock: AnchoredClock
 ) -> TicketTable:
-    """Return the table of the keys whose home is this instance."""
+    """Return the table of the ticket keys whose home is this instance."""
     return TicketTable(
         own.member_id,
         own.incarnation,
@@ -91,7 +91,7 @@
 
 
 def make_limit_settings(settings: DaemonSettings) -> LimitSettings:
-    """Return the limits that every service has."""
+    """Return the limits that apply to every service."""
     return LimitSettings(
         queue_depth=settings.queue_depth,
         deadline_margin=settings.deadline_margin,
@@ -103,7 +103,7 @@
 
 
 def caller_limits(settings: DaemonSettings) -> CallerLimits:
-    """Return what callers may ask for."""
+    """Return the timeouts and size limits that apply to callers."""
     return CallerLimits(
         request_timeout=settings.request_timeout,
         head_timeout=settings.head_timeout,
--- a/catkinslip/wiring/daemon.py
+++ b/catkinslip/wiring/daemon.py
@@ -1,4 +1,4 @@
-"""Build a daemon and connect its parts."""
+"""Construction of a daemon from its settings."""
 
 from collections.abc import Awaitable, Callable
 from functools import partial
@@ -31,7 +31,7 @@
 
 @define
 class Daemon:
-    """The connected parts of one daemon."""
+    """The connected components of one daemon."""
 
     settings: DaemonSettings
     members: MemberTable
@@ -49,7 +49,7 @@
     metrics: Metrics
 
     def tasks(self) -> tuple[Callable[[], Awaitable[None]], ...]:
-        """Return what runs beside the requests until the daemon ends."""
+        """Return the background tasks that run until the daemon stops."""
         return (
             self.watcher.run,
             self.callers.watch.run,
@@ -65,7 +65,7 @@
 
 
 def wire(settings: DaemonSettings, own: Member, outside: Outside) -> Daemon:
-    """Build the parts of one daemon and connect them."""
+    """Build the components of one daemon and connect them."""
     environment = outside.environment
     shared = wire_shared(settings, own, outside)
     hedges = HedgeTimer()
@@ -96,7 +96,7 @@
 def wire_peers(
     settings: DaemonSettings, outside: Outside, shared: Shared
 ) -> PeerExchange:
-    """Build the exchange with peers and the topics that it carries."""
+    """Build the peer exchange and its topics."""
     members = shared.members
     config_topic = ConfigTopic(
         shared.config, members.own.member_id, lambda: len(members.live()) - 1
@@ -121,7 +121,7 @@
 def wire_control(
     settings: DaemonSettings, shared: Shared, peers: PeerExchange
 ) -> ControlSurface:
-    """Build what peers and operators ask over HTTP."""
+    """Build the HTTP interface for peers and operators."""
     metrics, health = shared.metrics, shared.health
     sources = (
         *metrics.sources,
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -1,4 +1,4 @@
-"""Build an instance that an outside store tells of rules and backend servers."""
+"""Construction of an instance that gets rules and backend servers from the platform."""
 
 from collections import deque
 from collections.abc import Awaitable, Callable, Mapping
@@ -66,50 +66,56 @@
 from catkinslip.warmup.gate import ColdGate
 from catkinslip.warmup.quotas import Sender, divide
 
-#: Second sends stay so far below what all instances share, as a few may be
-#: unknown to each other.
+#: Fraction of the shared resend limit that the instances use together; the rest is a
+#: margin, because a few instances may not be in each other's membership view.
 RESEND_MARGIN = 0.8
-#: A restart doubles half of an instance's share of the reserve.
+#: Fraction of the shared resend reserve that is used; the rest is a margin, because a
+#: restart doubles half of an instance's share of the reserve.
 SLACK_MARGIN = 0.6
 MAX_TRACES = 200
-#: A request to another availability zone costs bytes, as much as so many seconds.
+#: Cost of a request to another availability zone, which transfers bytes between
+#: zones, expressed as seconds of delay.
 ZONE_HOP_SECONDS = 0.01
-#: Servers slow down when they are nearly full.
+#: Share of its capacity from which a server counts as nearly full, and the factor of
+#: its slowdown from there on.
 NEARLY_FULL_SHARE = 0.8
 NEARLY_FULL_SLOWNESS = 1.8
-#: Calls are held or refused by their targets, not by the length of queues.
+#: No practical limit: target latencies, not queue lengths, decide whether calls are
+#: queued or refused.
 NO_QUEUE_LIMIT = 1e6
-#: Calls without a target are hedged after this share of the latencies, in percent.
+#: Percentile of the latencies after which a call without a target latency is hedged.
 HEDGE_PERCENTILE = 95.0
-#: Longer than any route's own timeout, which bounds a request.
+#: Longer than the timeout of any route, so that the route's timeout limits a request.
 REQUEST_TIMEOUT_SECONDS = 60.0
 
 
 @frozen
 class EntrySettings:
-    """What an instance is told about itself and its share; durations in seconds."""
+    """Identity of an instance and the limits that it enforces; durations in seconds."""
 
     own: InstanceEntry
     seeds: tuple[Address, ...]
     address_lifetime: float
-    #: Time between being told to stop and the end.
+    #: Time from the stop request to the exit of the process.
     stop_seconds: float
-    #: Probes of one backend server per second, from all instances.
+    #: Load probes per second of one backend server, from all instances together.
     probes_per_second: float
-    #: Second sends of all instances: a share of a service's requests and so many more.
+    #: Limit of resends of all instances together: this share of a service's requests
+    #: plus `resend_slack` more.
     resend_share: float
     resend_slack: float
-    #: All availability zones of the system, and the region of each.
+    #: Region of each availability zone of the system.
     region_by_zone: dict[str, str]
-    #: Requests to a cold server in any second, from all instances: so many times what
-    #: it bears in one, and so many more; None where there is no bound.
+    #: Limit of requests per second to a cold server, from all instances together: this
+    #: multiple of the rate that it can handle, plus `cold_slack` more; None for no
+    #: limit.
     cold_excess: float | None
     cold_slack: float
 
 
 @frozen
 class Outside:
-    """What an instance reaches beyond itself."""
+    """External dependencies of an instance: environment, store sources and logs."""
 
     environment: Environment
     dialect: Dialect
@@ -121,13 +127,13 @@
     crash_store: CrashStore
     evacuations: Source[ZoneEvacuation]
     log_buffer: LogBuffer
-    #: What else the metrics page shows.
+    #: Additional sources of the metrics page.
     sources: tuple[MetricSource, ...] = ()
 
 
 @define
 class Entry:
-    """The connected parts of one instance."""
+    """The connected components of one instance."""
 
     settings: EntrySettings
     config: ConfigHolder
@@ -152,16 +158,16 @@
 
     @property
     def knows_enough(self) -> bool:
-        """Tell whether rules, servers and evacuated zones are known."""
+        """Return whether rules, backend servers and evacuations have been received."""
         return self.assembler.is_ready and self.evacuations.is_known
 
     @property
     def book(self) -> CrashBook:
-        """Return what is known of requests that end servers."""
+        """Return the registry of requests that crash servers."""
         return self.guard.book
 
     def tasks(self) -> tuple[Callable[[], Awaitable[None]], ...]:
-        """Return what runs beside the requests until the instance ends."""
+        """Return the background tasks that run until the instance stops."""
         return (
             self.assembler.rules.run,
             self.assembler.backends.run,
@@ -182,7 +188,7 @@
 
 
 def apply_settings(entry: Entry, settings: EntrySettings) -> None:
-    """Take over settings that changed; addresses stay until the next start."""
+    """Apply changed settings; addresses take effect only at the next start."""
     entry.settings = evolve(settings, own=entry.settings.own)
     entry.addresses.lifetime = settings.address_lifetime
     entry.sampler.probes_per_second = settings.probes_per_second
@@ -190,7 +196,7 @@
 
 
 def wire_entry(settings: EntrySettings, outside: Outside) -> Entry:
-    """Build the parts of one instance and connect them."""
+    """Build the components of one instance and connect them."""
     environment = outside.environment
     clock, random = environment.clock, environment.random
     config = ConfigHolder()
@@ -357,7 +363,7 @@
 def make_directory(
     settings: EntrySettings, environment: Environment, instances: InstanceTable
 ) -> Directory:
-    """Return the routers of all services, yet without servers."""
+    """Return the directory of service routers, which contains no servers yet."""
     random, zone = environment.random, settings.own.zone
 
     def divide_bound(load: BackendLoad, bound: float) -> Mapping[Sender, int]:
@@ -386,7 +392,10 @@
 
 
 def cold_bound(settings: EntrySettings) -> Callable[[float], float]:
-    """Return what tells how many requests a cold server gets in any second."""
+    """Return a function that maps the rate of a cold server to its request limit.
+
+    Both are in requests per second; the rate is what the server can handle while cold.
+    """
     excess = settings.cold_excess
     if excess is None:
         return no_bound
@@ -394,7 +403,7 @@
 
 
 def limit_settings(settings: EntrySettings) -> LimitSettings:
-    """Return the limits of every service."""
+    """Return the limits that apply to every service."""
     return LimitSettings(
         queue_depth=NO_QUEUE_LIMIT,
         extra_share=settings.resend_share * RESEND_MARGIN,
--- a/catkinslip/wiring/shared.py
+++ b/catkinslip/wiring/shared.py
@@ -1,4 +1,4 @@
-"""Build the parts that most others look at."""
+"""Construction of the components that most other components of a daemon use."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -34,7 +34,7 @@
 
 @frozen
 class Clients:
-    """HTTP clients of the platform and of peers."""
+    """HTTP clients for the platform and for peers."""
 
     platform: httpx.AsyncClient
     peers: httpx.AsyncClient
@@ -42,7 +42,7 @@
 
 @frozen
 class Outside:
-    """What the parts reach beyond the daemon."""
+    """External dependencies of a daemon: environment, HTTP clients and logs."""
 
     environment: Environment
     clients: Clients
@@ -51,7 +51,7 @@
 
 @frozen
 class Shared:
-    """The parts that most others look at; each follows the configuration."""
+    """Components that most other components of a daemon use."""
 
     store: CountedStore
     members: MemberTable
@@ -63,18 +63,18 @@
     metrics: Metrics
 
     def is_reader(self) -> bool:
-        """Tell whether this instance reads the platform for its zone."""
+        """Return whether this instance reads the platform for its availability zone."""
         return is_watcher(self.members.own, self.members.live())
 
 
 @asynccontextmanager
 async def open_clients(settings: DaemonSettings) -> AsyncIterator[Clients]:
-    """Open the clients of the platform and of peers."""
+    """Open the HTTP clients for the platform and for peers."""
     secret = {SECRET_HEADER: settings.shared_secret}
     caller = {CALLER_HEADER: settings.instance_id}
     async with (
         httpx.AsyncClient(base_url=settings.platform_url, headers=caller) as platform,
-        # Peers speak plain HTTP: loading the machine's certificates would be in vain.
+        # Peers use plain HTTP, so the machine's certificates need not be loaded.
         httpx.AsyncClient(
             headers=secret, timeout=PEER_TIMEOUT_SECONDS, verify=False
         ) as peers,
@@ -83,7 +83,7 @@
 
 
 def wire_shared(settings: DaemonSettings, own: Member, outside: Outside) -> Shared:
-    """Build what most parts look at, and let it follow the configuration."""
+    """Build the shared components and subscribe them to configuration changes."""
     environment = outside.environment
     clock, random = environment.clock, environment.random
     members = MemberTable(own)
@@ -117,7 +117,7 @@
 def make_store(
     settings: DaemonSettings, outside: Outside, members: MemberTable
 ) -> ObjectStore:
-    """Return the platform's store, or an embedded one when there is no platform."""
+    """Return a store on the platform, or an embedded one if no platform URL is set."""
     if not settings.platform_url:
         return EmbeddedStore()
     return BudgetedStore(
