--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,4 +1,4 @@
-"""Run all tests and end with a line that counts them."""
+"""Test runner whose last output line counts the results."""
 
 import sys
 import unittest
@@ -8,7 +8,7 @@
 
 
 def main() -> int:
-    """Run all tests; return 0 when none failed."""
+    """Run all tests; return 0 if some ran and none failed, except known failures."""
     pattern = sys.argv[1] if len(sys.argv) > 1 else 'test_*.py'
     suite = unittest.defaultTestLoader.discover(
         str(HERE), pattern, top_level_dir=str(HERE.parent)
@@ -29,7 +29,7 @@
 
 
 def known_red() -> list[str]:
-    """Return the tests that KNOWN-RED.txt lists, one a line before the comma."""
+    """Return the test names in KNOWN-RED.txt, one per line up to a comma."""
     path = HERE.parent / 'KNOWN-RED.txt'
     if not path.exists():
         return []
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -23,7 +23,7 @@
 
 
 def backend_plain(service: str, address: str, zone: str = 'zone-a') -> dict:
-    """Return a backend server of the register as plain data."""
+    """Return a registered backend server as plain data."""
     parsed = Address.parse(address)
     return {
         'service': service,
@@ -36,7 +36,7 @@
 def document_plain(
     address_by_backend: dict[str, str], service: str = 'limits', **fields: object
 ) -> dict:
-    """Return a document with one service as plain data."""
+    """Return a configuration document with one service as plain data."""
     backends = {
         name: backend_plain(service, address)
         for name, address in address_by_backend.items()
@@ -48,13 +48,13 @@
 def ticket_key(
     name: str = 'a', expiry: int = 100, incarnation: int = 7, member_id: str = 'entry-1'
 ) -> TicketKey:
-    """Return a key whose home is an instance."""
+    """Return a ticket key whose home is the given member."""
     text = f'{KEY_SCHEME}.{member_id}.{incarnation}.{expiry}.{name}'
     return TicketKey(text, member_id, incarnation, expiry)
 
 
 def document_of(plain: dict) -> Document:
-    """Return the document of plain data."""
+    """Return the document that the given plain data describes."""
     return read_document(plain).unwrap()
 
 
@@ -67,7 +67,7 @@
 
 @define
 class OneBackendForwarder:
-    """Send every call to one backend server, once."""
+    """Forwarder that sends every call once, to one backend server."""
 
     address: Address
     pool: BackendPool
@@ -81,7 +81,7 @@
 
 
 def caller_server(forwarder, **limits: object) -> CallerServer:
-    """Return a server of callers' connections before a forwarder."""
+    """Return a caller server that passes calls to a forwarder."""
     environment = Environment(clock=forwarder.clock, random=Random(1))
     own = Member('entry-1', 1, 'zone-a', '127.0.0.1:1', '127.0.0.1:2')
     issuer = KeyIssuer(AnchoredClock(Environment().clock), 300.0)
@@ -98,7 +98,7 @@
 
 
 def member(name: str, zone: str = 'zone-a', **fields) -> Member:
-    """Return a member whose addresses follow from its name."""
+    """Return a member whose addresses are derived from its name."""
     fields = {'incarnation': 1, 'region': 'region-1', **fields}
     return Member(
         member_id=name,
--- a/tests/small_fleet.py
+++ b/tests/small_fleet.py
@@ -1,4 +1,4 @@
-"""Start a small fleet of processes and load it."""
+"""Helpers that start a small fleet of processes and load it."""
 
 import json
 import tempfile
@@ -17,7 +17,7 @@
 
 
 def new_process_group(test: unittest.TestCase) -> ProcessGroup:
-    """Return a group of processes that ends with a test."""
+    """Return a process group that is stopped at the end of a test."""
     folder = tempfile.TemporaryDirectory()
     test.addCleanup(folder.cleanup)
     group = ProcessGroup(Path(folder.name))
@@ -28,7 +28,7 @@
 def start_small_fleet(
     group: ProcessGroup, zones: tuple[str, ...], backend=(), **settings: object
 ) -> list[Process]:
-    """Start a platform, two backend servers and one daemon a zone; wait for all."""
+    """Start a platform, two backend servers and one daemon per zone; wait for all."""
     platform_url = f'http://{group.start_platform().address}'
     backends = [group.start_backend(f'limits-{n}', **dict(backend)) for n in (1, 2)]
     apply_document(
@@ -45,7 +45,7 @@
 
 
 def apply_document(group: ProcessGroup, plain: dict) -> None:
-    """Apply a document with the operators' tool."""
+    """Apply a configuration document with the command-line tool."""
     path = group.folder / 'document.json'
     path.write_text(json.dumps(plain))
     platform_url = f'http://{group.process_by_name["platform"].address}'
@@ -55,19 +55,19 @@
 
 
 def asked_addresses(daemon: Process, service: str = 'limits') -> list[str]:
-    """Return the addresses that a daemon answers for a service."""
+    """Return the addresses that a daemon returns for a service."""
     url = f'http://{daemon.address}/.well-known/catkinslip/addresses/{service}'
     return httpx.get(url, timeout=10).json().get('addresses', [])
 
 
 def is_serving(daemon: Process) -> bool:
-    """Tell whether a daemon forwards requests."""
+    """Return whether a daemon forwards requests."""
     url = f'http://{daemon.address}/'
     return httpx.get(url, headers={'Host': 'limits'}, timeout=10).status_code == 200
 
 
 async def load_while(daemons: list[Process], hurt, lifetime: float) -> Tally:
-    """Load the daemons while one of them is hurt and for a while after."""
+    """Load the daemons during a failure and for some time after it."""
     tally = Tally()
     async with trio.open_nursery() as nursery:
         for number in range(LOAD_CALLERS):
@@ -87,7 +87,7 @@
 
 
 async def wait_for_answers(tally: Tally) -> None:
-    """Wait until each caller got several more answers."""
+    """Wait until callers got ten more right answers each on average."""
     wanted = tally.right + 10 * LOAD_CALLERS
     while tally.right < wanted:
         await trio.sleep(0.01)
--- a/tests/test_docs_examples.py
+++ b/tests/test_docs_examples.py
@@ -1,4 +1,4 @@
-"""The examples of README and OPERATING, run as they stand there."""
+"""Runs the examples of README.md and docs/OPERATING.md as written."""
 
 import contextlib
 import os
@@ -31,7 +31,7 @@
 
 
 class ExamplesTest(unittest.TestCase):
-    """Each block ends well and shows what the text says."""
+    """Each block succeeds and prints the documented output."""
 
     def test_examples_run_as_written(self):
         *first, last = blocks(ROOT / 'README.md')
@@ -64,7 +64,7 @@
 
 
 class PagesTest(unittest.TestCase):
-    """Operators find each refusal, field and series."""
+    """The pages document each refusal reason, document field and metric series."""
 
     def test_each_refusal_is_in_the_operators_page(self):
         text = (ROOT / 'docs' / 'OPERATING.md').read_text()
@@ -100,17 +100,17 @@
 
 
 def slugs(row: str) -> list[str]:
-    """Return the words in code letters in the first cell of a row."""
+    """Return the names in code formatting in the first cell of a table row."""
     return re.findall('`([a-z-]+)`', row.split('|')[1])
 
 
 def blocks(path: Path) -> list[str]:
-    """Return the runnable blocks of a page."""
+    """Return the runnable code blocks of a page."""
     return BLOCK.findall(path.read_text())
 
 
 def with_free_ports(found: list[str]) -> list[str]:
-    """Put ports of a range that the kernel never chooses from itself."""
+    """Replace the ports by free ones below the kernel's ephemeral range."""
     ports = sorted({port for block in found for port in PORT.findall(block)})
     port_by_written = dict(zip(ports, free_ports(), strict=False))
     return [
@@ -127,12 +127,12 @@
 
 
 def path_of_tests() -> str:
-    """Return a search path on which `python` is the one that runs the tests."""
+    """Return a search path on which `python` is the interpreter of the tests."""
     return f'{Path(sys.executable).parent}{os.pathsep}{os.environ["PATH"]}'
 
 
 def run_script(script: str) -> str:
-    """Run a script in a folder of its own; end all that it started."""
+    """Run a script in a temporary folder, kill its processes and return its output."""
     with tempfile.TemporaryDirectory() as folder:
         output_path = Path(folder) / 'output.log'
         with output_path.open('w') as output:
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Zones that operators evacuate: who learns of it, and what is sent there."""
+"""Evacuated availability zones: propagation to instances and effect on routing."""
 
 import unittest
 from random import Random
@@ -25,18 +25,19 @@
 )
 
 NOW = 100.0
-#: Operators are promised less in normal times; the bound at the slowest is 5 s.
+#: Limit of the propagation time in normal operation; the limit in the worst case is
+#: 5 s.
 NORMAL_SECONDS = 1.0
 EVACUATED = ZoneEvacuation('zone-a')
 
 
 def follower() -> Follower[ZoneEvacuation]:
-    """Return a follower of evacuations that reads nothing by itself."""
+    """Return a follower of evacuations with a scripted source."""
     return Follower('evacuations', ScriptedSource(), Random(1))
 
 
 class OrderTest(unittest.TestCase):
-    """An old answer neither empties a zone again nor fills it early."""
+    """An old answer neither evacuates a zone again nor ends an evacuation early."""
 
     def test_old_listing_and_old_news_change_nothing(self):
         known = follower()
@@ -73,7 +74,7 @@
 
 
 class ChoiceTest(unittest.TestCase):
-    """The servers of an evacuated zone are not chosen; the others are all the room."""
+    """Only servers outside evacuated zones are chosen."""
 
     def setUp(self):
         trio.run(self.prepare)
@@ -139,7 +140,7 @@
 
 
 class DocumentTest(unittest.TestCase):
-    """The product's own rules name evacuated zones."""
+    """Evacuated zones in the configuration document of the native dialect."""
 
     def test_unknown_zone_is_refused(self):
         plain = document_plain({'limits-1': '127.0.0.1:80'})
@@ -158,7 +159,7 @@
 
 
 async def two_zones(platform: SmallPlatform, instances: int = 1) -> tuple:
-    """Start a server in each of two zones, and instances; return the servers."""
+    """Start a server in each of two zones and the instances; return the servers."""
     await platform.add_worker('i-1')
     await platform.add_worker('i-2', zone='zone-b')
     for _ in range(instances):
@@ -167,7 +168,7 @@
 
 
 async def ask_all(platform: SmallPlatform, entry: int = 0, count: int = 6) -> set[int]:
-    """Send some requests one after another; return the statuses."""
+    """Send requests one after another; return the set of their statuses."""
     answers = [
         await platform.ask('POST', '/p/x', entry, request_id=f'r{number}')
         for number in range(count)
@@ -176,12 +177,12 @@
 
 
 def knows(platform: SmallPlatform, zones: set[str]) -> bool:
-    """Tell whether all instances know just these zones as evacuated."""
+    """Return whether exactly these zones are evacuated on all instances."""
     return all(entry.assembler.evacuated_zones == zones for entry in platform.entries)
 
 
 class PathTest(unittest.TestCase):
-    """What servers see of an evacuation that stands in the store."""
+    """Requests that servers get during an evacuation that is in the store."""
 
     def test_zone_gets_nothing_until_it_is_taken_back(self):
         async def check(platform):
@@ -219,7 +220,7 @@
 
     def test_work_in_flight_there_ends_by_itself(self):
         async def check(platform):
-            # Calls that a slow start piles up must not be refused for their target.
+            # Calls queued in a slow start must not be refused for their target latency.
             patient = config_spec(timeout=GENEROUS_SECONDS, target=GENEROUS_SECONDS)
             platform.store.put('config', 'main', patient)
             platform.deadline_ms = int(GENEROUS_SECONDS * 1000)
@@ -255,7 +256,7 @@
             near, _ = await two_zones(platform, instances=2)
             second = platform.entries[1]
             await wait_for(lambda: len(second.instances.peer_by_id) == 1)
-            # What it asks of the store is not answered any more.
+            # From here on the store refuses the reads of this instance.
             second.evacuations.source = second.assembler.backends.source = Turned()
             second.evacuations.doubt()
             platform.store.put('evacuations', 'zone-a', {})
@@ -285,7 +286,7 @@
 
 
 class Turned(ScriptedSource):
-    """A store that turns this instance away."""
+    """Source that fails as if the store refused this instance."""
 
     async def read_all(self, *, may_be_stale: bool = False):
         await trio.sleep(0)
--- a/tests/test_failures_combined.py
+++ b/tests/test_failures_combined.py
@@ -1,4 +1,4 @@
-"""Two failures at once on real processes: what was told against what ran."""
+"""Two simultaneous failures of real processes: answers compared with server ledgers."""
 
 import json
 import signal
@@ -28,18 +28,20 @@
     'record': 'platform',
 }
 REQUEST_SECONDS = 0.5
-#: Longer than a request may take, so that who loses it is past the deadline.
+#: Timeout of callers; longer than a request may take, so that a caller that gives up
+#: is past the deadline.
 PATIENCE_SECONDS = 1.0
 ADDRESS_SECONDS = 2.0
 CALLERS_OF_A_KIND = 8
-#: Long enough that requests of each kind are in flight whenever a failure begins.
+#: Service time; long enough that requests of each kind are in flight when a failure
+#: begins.
 SERVICE_SECONDS = 0.1
 MORE = 100
 LOST_ANSWERS = 1000
 
 
 class CombinedFailuresTest(unittest.TestCase):
-    """Three instances, three backend servers, callers of each kind."""
+    """Three instances, three backend servers and callers of four kinds."""
 
     @classmethod
     def setUpClass(cls):
@@ -94,7 +96,7 @@
         httpx.post(f'{self.url}/standin/faults', json=faults).raise_for_status()
 
     def run_under_load(self, hurt) -> None:
-        """Load the system while it is hurt, then compare words and ledgers."""
+        """Load the system during a failure, then compare answers with the ledgers."""
         trio.run(self.load, hurt)
         for name in BACKENDS:
             process = self.process(name)
@@ -139,7 +141,7 @@
         await caller.disconnect()
 
     async def more(self, outcome: str, count: int = MORE) -> None:
-        """Wait until callers were told an outcome some times more."""
+        """Wait until callers got `count` more answers with an outcome."""
         tallies = self.tallies
         end = sum(getattr(tally, outcome) for tally in tallies) + count
         with trio.fail_after(30):
