--- a/benchmarks/logs.py
+++ b/benchmarks/logs.py
@@ -86,7 +86,7 @@
     direct.addHandler(direct_handler)
 
     def flush() -> None:
-        while text := buffer.take(formatter, 100):
+        while text := buffer.pop_lines(formatter, 100):
             os.write(sink.fileno(), text.encode())
 
     return (
--- a/catkinslip/logs/buffer.py
+++ b/catkinslip/logs/buffer.py
@@ -15,22 +15,22 @@
 
     limit: int = MAX_LINES
     records: deque[logging.LogRecord] = Factory(deque)
-    taken: int = 0
-    lost: int = 0
-    told: int = 0
+    accepted: int = 0
+    dropped: int = 0
+    reported: int = 0
     #: Event that is set while there may be records to write.
-    has_news: trio.Event = Factory(trio.Event)
+    has_records: trio.Event = Factory(trio.Event)
 
     def add(self, record: logging.LogRecord) -> None:
         """Add a record, or count it as dropped if the buffer is full."""
-        self.has_news.set()
+        self.has_records.set()
         if len(self.records) >= self.limit:
-            self.lost += 1
+            self.dropped += 1
             return
-        self.taken += 1
+        self.accepted += 1
         self.records.append(record)
 
-    def take(self, formatter: logging.Formatter, count: int) -> str:
+    def pop_lines(self, formatter: logging.Formatter, count: int) -> str:
         """Remove and return at most `count` formatted lines.
 
         A further line reports the records dropped since the last report, if any.
@@ -38,9 +38,11 @@
         lines = []
         while self.records and len(lines) < count:
             lines.append(formatter.format(self.records.popleft()))
-        if self.lost > self.told:
-            lines.append(f'logs: buffer full, lines_dropped={self.lost - self.told}.')
-            self.told = self.lost
+        if self.dropped > self.reported:
+            lines.append(
+                f'logs: buffer full, lines_dropped={self.dropped - self.reported}.'
+            )
+            self.reported = self.dropped
         return ''.join(f'{line}\n' for line in lines)
 
 
--- a/catkinslip/logs/flush.py
+++ b/catkinslip/logs/flush.py
@@ -27,8 +27,8 @@
         """Write new lines at intervals until cancelled, then the remaining lines."""
         try:
             while True:
-                await self.buffer.has_news.wait()
-                self.buffer.has_news = trio.Event()
+                await self.buffer.has_records.wait()
+                self.buffer.has_records = trio.Event()
                 await self.flush()
                 await trio.sleep(FLUSH_SECONDS)
         finally:
@@ -47,5 +47,5 @@
 
     def _next_chunk(self) -> bytes:
         if not self.pending:
-            self.pending = self.buffer.take(self.formatter, LINES_AT_ONCE).encode()
+            self.pending = self.buffer.pop_lines(self.formatter, LINES_AT_ONCE).encode()
         return self.pending
--- a/catkinslip/metrics/instance.py
+++ b/catkinslip/metrics/instance.py
@@ -85,6 +85,6 @@
         lines = counter(
             'catkinslip_log_lines_total', 'Log lines by what became of them.', 'state'
         )
-        lines.add(self.buffer.taken, 'taken')
-        lines.add(self.buffer.lost, 'lost')
+        lines.add(self.buffer.accepted, 'taken')
+        lines.add(self.buffer.dropped, 'lost')
         yield lines
--- a/tests/test_logs_buffer.py
+++ b/tests/test_logs_buffer.py
@@ -16,12 +16,12 @@
     """Writer that accepts a few bytes at once, and none while it has no room."""
 
     def __init__(self):
-        self.taken = b''
+        self.written = b''
         self.has_room = True
 
     def write(self, data: bytes) -> int:
         part = data[:7] if self.has_room else b''
-        self.taken += part
+        self.written += part
         return len(part)
 
     async def wait_for_room(self) -> None:
@@ -35,11 +35,11 @@
 class CountingBuffer(LogBuffer):
     """Buffer that counts how often lines are requested."""
 
-    looks = 0
+    reads = 0
 
-    def take(self, formatter: logging.Formatter, count: int) -> str:
-        self.looks += 1
-        return super().take(formatter, count)
+    def pop_lines(self, formatter: logging.Formatter, count: int) -> str:
+        self.reads += 1
+        return super().pop_lines(formatter, count)
 
 
 def new_logger(buffer: LogBuffer) -> logging.Logger:
@@ -56,12 +56,12 @@
         logger = new_logger(buffer)
         for number in range(5):
             logger.info('part: line %d.', number)
-        self.assertEqual((buffer.taken, buffer.lost), (2, 3))
-        text = buffer.take(logging.Formatter(), 10)
+        self.assertEqual((buffer.accepted, buffer.dropped), (2, 3))
+        text = buffer.pop_lines(logging.Formatter(), 10)
         self.assertEqual(
             text, 'part: line 0.\npart: line 1.\nlogs: buffer full, lines_dropped=3.\n'
         )
-        self.assertEqual(buffer.take(logging.Formatter(), 10), '')
+        self.assertEqual(buffer.pop_lines(logging.Formatter(), 10), '')
 
     def test_all_lines_are_written_whole_and_in_order_at_the_end(self):
         buffer, writer = LogBuffer(), SlowWriter()
@@ -80,7 +80,7 @@
                 nursery.cancel_scope.cancel()
 
         trio.run(main)
-        self.assertEqual(writer.taken.decode(), expected)
+        self.assertEqual(writer.written.decode(), expected)
 
     def test_no_line_wakes_nobody_and_the_first_one_is_written_at_once(self):
         buffer, writer = CountingBuffer(), SlowWriter()
@@ -90,10 +90,10 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(flusher.run)
                 await trio.sleep(100)
-                self.assertEqual(buffer.looks, 0)
+                self.assertEqual(buffer.reads, 0)
                 new_logger(buffer).info('part: a line.')
                 await trio.sleep(0.001)
-                self.assertEqual(writer.taken, b'part: a line.\n')
+                self.assertEqual(writer.written, b'part: a line.\n')
                 nursery.cancel_scope.cancel()
 
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
@@ -109,7 +109,7 @@
                 flusher = LogFlusher(buffer, open_writer(stream), logging.Formatter())
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(flusher.run)
-                    while not buffer.lost:
+                    while not buffer.dropped:
                         logger.info('part: %s.', 'x' * 1000)
                         await trio.lowlevel.checkpoint()
                     nursery.cancel_scope.cancel()
@@ -117,4 +117,4 @@
 
         clock = trio.testing.MockClock(autojump_threshold=0)
         self.assertTrue(trio.run(main, clock=clock))
-        self.assertGreater(buffer.lost, 0)
+        self.assertGreater(buffer.dropped, 0)
