--- a/catkinslip/logs/flush.py
+++ b/catkinslip/logs/flush.py
@@ -9,9 +9,9 @@
 from catkinslip.logs.format import LineFormatter
 from catkinslip.logs.writers import LogWriter
 
-FLUSH_SECONDS = 0.1
-STOP_SECONDS = 2.0
-LINES_AT_ONCE = 100
+FLUSH_INTERVAL_SECONDS = 0.1
+STOP_TIMEOUT_SECONDS = 2.0
+MAX_CHUNK_LINES = 100
 
 
 @define
@@ -30,9 +30,9 @@
                 await self.buffer.has_records.wait()
                 self.buffer.has_records = trio.Event()
                 await self.flush()
-                await trio.sleep(FLUSH_SECONDS)
+                await trio.sleep(FLUSH_INTERVAL_SECONDS)
         finally:
-            with trio.move_on_after(STOP_SECONDS, shield=True):
+            with trio.move_on_after(STOP_TIMEOUT_SECONDS, shield=True):
                 await self.flush()
             self.writer.close()
 
@@ -42,10 +42,12 @@
             written = self.writer.write(self.pending)
             self.pending = self.pending[written:]
             if not written:
-                await self.writer.wait_for_room()
+                await self.writer.wait_writable()
             await trio.lowlevel.checkpoint()
 
     def _next_chunk(self) -> bytes:
         if not self.pending:
-            self.pending = self.buffer.pop_lines(self.formatter, LINES_AT_ONCE).encode()
+            self.pending = self.buffer.pop_lines(
+                self.formatter, MAX_CHUNK_LINES
+            ).encode()
         return self.pending
--- a/catkinslip/logs/writers.py
+++ b/catkinslip/logs/writers.py
@@ -17,7 +17,7 @@
         """Write data; return the number of bytes written, 0 if the stream is full."""
 
     @abstractmethod
-    async def wait_for_room(self) -> None:
+    async def wait_writable(self) -> None:
         """Wait until more bytes can be written."""
 
     @abstractmethod
@@ -39,7 +39,7 @@
         except BlockingIOError:
             return 0
 
-    async def wait_for_room(self) -> None:
+    async def wait_writable(self) -> None:
         """Wait until more bytes can be written."""
         await trio.lowlevel.wait_writable(self.descriptor)
 
@@ -59,7 +59,7 @@
         self.stream.write(data.decode())
         return len(data)
 
-    async def wait_for_room(self) -> None:
+    async def wait_writable(self) -> None:
         """Wait until more bytes can be written."""
         await trio.lowlevel.checkpoint()
 
--- a/tests/test_logs_buffer.py
+++ b/tests/test_logs_buffer.py
@@ -24,7 +24,7 @@
         self.written += part
         return len(part)
 
-    async def wait_for_room(self) -> None:
+    async def wait_writable(self) -> None:
         while not self.has_room:
             await trio.lowlevel.checkpoint()
 
