--- a/catkinslip/cli/metrics.py
+++ b/catkinslip/cli/metrics.py
@@ -10,7 +10,7 @@
 from catkinslip.cli.output import table
 from catkinslip.control.paths import METRICS_PATH
 from catkinslip.metrics.base import Family, SummarySample
-from catkinslip.metrics.requests import SHED_WORD
+from catkinslip.metrics.requests import SHED_LABEL
 from catkinslip.status import ExitStatus
 
 MILLISECONDS = 1000
@@ -79,7 +79,7 @@
         name = each.labels[0]
         by_outcome = counts.get(name, {})
         cells = common_cells(each, by_outcome)
-        sheds = int(by_outcome.get(SHED_WORD, 0))
+        sheds = int(by_outcome.get(SHED_LABEL, 0))
         rows.append((name, *cells, sheds, int(in_flight.get(name, 0))))
     return table(('backend', *HEADS, 'sheds', 'in flight'), rows)
 
--- a/catkinslip/metrics/requests.py
+++ b/catkinslip/metrics/requests.py
@@ -33,8 +33,8 @@
 
     def count(self, outcome: Outcome, seconds: float, now: float) -> None:
         """Record the outcome and the duration in seconds of one request or attempt."""
-        word = outcome_word(outcome)
-        self.count_by_outcome[word] = self.count_by_outcome.get(word, 0) + 1
+        label = outcome_label(outcome)
+        self.count_by_outcome[label] = self.count_by_outcome.get(label, 0) + 1
         self.durations.record(seconds, now)
 
 
@@ -158,7 +158,7 @@
             del self.tally_by_backend[backend_id]
 
 
-def outcome_word(outcome: Outcome) -> str:
+def outcome_label(outcome: Outcome) -> str:
     """Return the metric label of an outcome, for example not-run-shed."""
     if isinstance(outcome, Answered):
         return f'answered-{outcome.status // 100}xx'
@@ -166,4 +166,4 @@
     return f'{kind}-{outcome.reason.slug}'
 
 
-SHED_WORD = f'not-run-{Reason.SHED.slug}'
+SHED_LABEL = f'not-run-{Reason.SHED.slug}'
