--- a/catkinslip/metrics/durations.py
+++ b/catkinslip/metrics/durations.py
@@ -40,7 +40,7 @@
     precision: Precision
     count: int = 0
     sum: float = 0.0
-    window_ends: float = 0.0
+    window_end: float = 0.0
     current: HdrHistogram = field(
         default=Factory(lambda self: self.precision.new_histogram(), takes_self=True)
     )
@@ -48,8 +48,8 @@
 
     def record(self, seconds: float, now: float) -> None:
         """Record one duration in seconds at a monotonic time in seconds."""
-        if now >= self.window_ends:
-            self._turn(now)
+        if now >= self.window_end:
+            self._start_window(now)
         self.count += 1
         self.sum += seconds
         microseconds = int(seconds * MICROSECONDS)
@@ -57,8 +57,8 @@
 
     def summarize(self, now: float, *labels: str) -> SummarySample:
         """Return count and sum since the start and recent quantiles, in seconds."""
-        if now >= self.window_ends:
-            self._turn(now)
+        if now >= self.window_end:
+            self._start_window(now)
         merged = self.current
         if self.previous is not None and self.previous.total_count:
             merged = self.precision.new_histogram()
@@ -74,11 +74,11 @@
             }
         return SummarySample(labels, self.count, self.sum, value_by_quantile)
 
-    def _turn(self, now: float) -> None:
+    def _start_window(self, now: float) -> None:
         """Start a new window; creating a histogram is cheaper than resetting one."""
-        is_recent = now < self.window_ends + WINDOW_SECONDS
+        is_recent = now < self.window_end + WINDOW_SECONDS
         used = self.current.total_count > 0
         self.previous = self.current if is_recent and used else None
         if used:
             self.current = self.precision.new_histogram()
-        self.window_ends = now + WINDOW_SECONDS
+        self.window_end = now + WINDOW_SECONDS
--- a/catkinslip/metrics/health.py
+++ b/catkinslip/metrics/health.py
@@ -63,7 +63,7 @@
 
     def _throttling(self) -> Iterable[Family]:
         """Return the families of throttled servers and of rate events."""
-        named = gauge(
+        throttled = gauge(
             'catkinslip_throttled_backends',
             'Servers that name the rate that they take.',
             'service',
@@ -76,9 +76,9 @@
         count_by_event = Counter()
         routers = self.health.directory.router_by_service
         for service, router in sorted(routers.items()):
-            named.add(len(router.throttle.registry.active_rates()), service)
+            throttled.add(len(router.throttle.registry.active_rates()), service)
             count_by_event.update(router.throttle.registry.events)
         for event, count in sorted(count_by_event.items()):
             events.add(count, event)
-        yield named
+        yield throttled
         yield events
--- a/catkinslip/metrics/requests.py
+++ b/catkinslip/metrics/requests.py
@@ -73,7 +73,7 @@
 
     def families(self) -> Iterable[Family]:
         """Return the current metric families."""
-        self._forget_removed()
+        self._drop_removed()
         yield from self._latencies()
         yield self._outcomes('service', self.tally_by_service)
         yield self._outcomes('backend', self.tally_by_backend)
@@ -147,7 +147,7 @@
             self.tally_by_service[service] = tally
         return tally
 
-    def _forget_removed(self) -> None:
+    def _drop_removed(self) -> None:
         """Drop the counts of services and servers that are no longer registered."""
         services = {*self.directory.router_by_service, UNKNOWN_SERVICE}
         for service in set(self.tally_by_service) - services:
--- a/catkinslip/metrics/traces.py
+++ b/catkinslip/metrics/traces.py
@@ -29,7 +29,7 @@
             'backend_id': self.backend_id,
             'reason': str(self.reason),
             'candidates': self.candidates,
-            'outcome': text_of(self.outcome),
+            'outcome': outcome_text(self.outcome),
             'seconds': self.seconds,
         }
 
@@ -58,7 +58,7 @@
             'repeatable': self.repeatable,
             'began_at': self.began_at,
             'attempts': [attempt.to_plain() for attempt in self.attempts],
-            'outcome': text_of(self.outcome),
+            'outcome': outcome_text(self.outcome),
             'seconds': self.seconds,
         }
 
@@ -77,7 +77,7 @@
         """Add an attempt on the chosen backend server to the trace of its request."""
         trace = self.trace_by_call.get(id(call))
         if trace is None:
-            trace = self._begin(call)
+            trace = self._new_trace(call)
             self.trace_by_call[id(call)] = trace
         router = self.directory.router_by_service.get(call.service)
         candidates = len(router.load_by_id) if router else 0
@@ -98,7 +98,7 @@
 
     def on_request_ended(self, call: Call, outcome: Outcome, seconds: float) -> None:
         """Record the outcome that the caller got and the duration in seconds."""
-        trace = self.trace_by_call.pop(id(call), None) or self._begin(call)
+        trace = self.trace_by_call.pop(id(call), None) or self._new_trace(call)
         trace.outcome = outcome
         trace.seconds = seconds
         self.ended_traces.append(trace)
@@ -112,7 +112,7 @@
             if trace.request_id == request_id
         ]
 
-    def _begin(self, call: Call) -> RequestTrace:
+    def _new_trace(self, call: Call) -> RequestTrace:
         return RequestTrace(
             call.request_id,
             call.service,
@@ -123,6 +123,6 @@
         )
 
 
-def text_of(outcome: Outcome | None) -> str:
+def outcome_text(outcome: Outcome | None) -> str:
     """Return an outcome as text, or an empty text if there is none yet."""
     return '' if outcome is None else str(outcome)
--- a/catkinslip/metrics/wiring.py
+++ b/catkinslip/metrics/wiring.py
@@ -46,11 +46,11 @@
         requests = RequestMetrics(clock, directory)
         traces = TraceRing(instance_id, clock, directory, deque(maxlen=MAX_TRACES))
         lag = LoopLag(clock)
-        versions = ConfigMetrics(clock, config)
-        config.listeners.append(versions.took)
+        config_metrics = ConfigMetrics(clock, config)
+        config.listeners.append(config_metrics.took)
         sources = (
             requests,
-            versions,
+            config_metrics,
             MemberMetrics(members),
             lag,
             LogMetrics(log_buffer),
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -316,8 +316,8 @@
         KIND_PATH: answers.kind,
     }
     lag = LoopLag(clock)
-    versions = ConfigMetrics(clock, config)
-    config.listeners.append(versions.took)
+    config_metrics = ConfigMetrics(clock, config)
+    config.listeners.append(config_metrics.took)
     return Entry(
         settings=settings,
         config=config,
@@ -349,7 +349,7 @@
         rate_teller=rate_teller,
         sources=(
             requests,
-            versions,
+            config_metrics,
             lag,
             LogMetrics(outside.log_buffer),
             HealthMetrics(health),
