--- a/catkinslip/metrics/instance.py
+++ b/catkinslip/metrics/instance.py
@@ -50,7 +50,7 @@
         default=Factory(lambda self: self.clock.monotonic(), takes_self=True)
     )
 
-    def took(self, _: AcceptedConfig) -> None:
+    def record_change(self, _: AcceptedConfig) -> None:
         """Record the time at which another configuration became active."""
         self.in_force_since = self.clock.monotonic()
 
--- a/catkinslip/metrics/wiring.py
+++ b/catkinslip/metrics/wiring.py
@@ -47,7 +47,7 @@
         traces = TraceRing(instance_id, clock, directory, deque(maxlen=MAX_TRACES))
         lag = LoopLag(clock)
         config_metrics = ConfigMetrics(clock, config)
-        config.listeners.append(config_metrics.took)
+        config.listeners.append(config_metrics.record_change)
         sources = (
             requests,
             config_metrics,
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -317,7 +317,7 @@
     }
     lag = LoopLag(clock)
     config_metrics = ConfigMetrics(clock, config)
-    config.listeners.append(config_metrics.took)
+    config.listeners.append(config_metrics.record_change)
     return Entry(
         settings=settings,
         config=config,
