--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -12,7 +12,7 @@
 
 from catkinslip.config.holder import ConfigHolder
 from catkinslip.config.topic import ConfigTopic
-from catkinslip.control.app import SECRET_HEADER, ControlSurface
+from catkinslip.control.app import SECRET_HEADER, ControlApi
 from catkinslip.core import serve_control
 from catkinslip.membership.exchange import PeerExchange
 from catkinslip.membership.members import Member, MemberTable
@@ -103,8 +103,8 @@
         first = make_exchange(client, 0, size)
         second = make_exchange(client, 1, size)
         sock = await listen()
-        surface = ControlSurface(second, ConfigHolder(), SECRET)
-        nursery.start_soon(serve_control, surface, sock)
+        api = ControlApi(second, ConfigHolder(), SECRET)
+        nursery.start_soon(serve_control, api, sock)
         port = sock.getsockname()[1]
         wire = Wire(port)
         relays = await nursery.start(trio.serve_tcp, wire.serve, 0)
--- a/catkinslip/control/app.py
+++ b/catkinslip/control/app.py
@@ -34,7 +34,7 @@
 
 
 @define
-class ControlSurface:
+class ControlApi:
     """HTTP control API, protected by a shared secret."""
 
     peers: PeerExchange
--- a/catkinslip/listeners.py
+++ b/catkinslip/listeners.py
@@ -8,7 +8,7 @@
 from hypercorn.config import Config as HypercornConfig
 from hypercorn.trio import serve as serve_asgi
 
-from catkinslip.control.app import ControlSurface
+from catkinslip.control.app import ControlApi
 from catkinslip.models import Address
 from catkinslip.settings.daemon import DaemonSettings
 
@@ -72,9 +72,9 @@
     return sock
 
 
-async def serve_control(surface: ControlSurface, sock: trio.socket.SocketType) -> None:
+async def serve_control(api: ControlApi, sock: trio.socket.SocketType) -> None:
     """Serve the control surface on a bound socket."""
     config = HypercornConfig()
     config.bind = [f'fd://{sock.fileno()}']
     config.loglevel = 'WARNING'
-    await serve_asgi(surface.make_app(), config, shutdown_trigger=trio.sleep_forever)
+    await serve_asgi(api.make_app(), config, shutdown_trigger=trio.sleep_forever)
--- a/catkinslip/wiring/daemon.py
+++ b/catkinslip/wiring/daemon.py
@@ -7,7 +7,7 @@
 
 from catkinslip.config.topic import ConfigTopic
 from catkinslip.config.watcher import ConfigWatcher
-from catkinslip.control.app import ControlSurface
+from catkinslip.control.app import ControlApi
 from catkinslip.control.operators import OperatorPages
 from catkinslip.crashes.keeper import CrashKeeper
 from catkinslip.crashes.topic import CrashTopic
@@ -39,7 +39,7 @@
     peers: PeerExchange
     watcher: ConfigWatcher
     callers: CallerServer
-    control: ControlSurface
+    control: ControlApi
     pool: BackendPool
     prober: Prober
     spreader: DrainGossip
@@ -120,7 +120,7 @@
 
 def wire_control(
     settings: DaemonSettings, shared: Shared, peers: PeerExchange
-) -> ControlSurface:
+) -> ControlApi:
     """Build the HTTP interface for peers and operators."""
     metrics, health = shared.metrics, shared.health
     sources = (
@@ -132,4 +132,4 @@
     operators = OperatorPages(
         shared.members, shared.config, health, sources, metrics.traces
     )
-    return ControlSurface(peers, operators, settings.shared_secret)
+    return ControlApi(peers, operators, settings.shared_secret)
