--- a/catkinslip/core.py
+++ b/catkinslip/core.py
@@ -13,7 +13,7 @@
 from catkinslip.membership.members import Member
 from catkinslip.settings.daemon import DaemonSettings
 from catkinslip.wiring.daemon import Daemon, wire
-from catkinslip.wiring.shared import Outside, open_clients
+from catkinslip.wiring.shared import Dependencies, open_clients
 
 
 async def serve(
@@ -23,7 +23,7 @@
     listeners = await open_listeners(settings)
     own = own_member(settings, environment, listeners)
     async with open_clients(settings) as clients:
-        daemon = wire(settings, own, Outside(environment, clients, log_buffer))
+        daemon = wire(settings, own, Dependencies(environment, clients, log_buffer))
         await run(daemon, listeners, environment)
         await daemon.pool.close()
 
--- a/catkinslip/platform/program.py
+++ b/catkinslip/platform/program.py
@@ -35,9 +35,9 @@
 from catkinslip.platform.settings import PlatformSettings, read_settings_file
 from catkinslip.status import ExitStatus
 from catkinslip.wiring.entry import (
+    Dependencies,
     Entry,
     EntrySettings,
-    Outside,
     apply_settings,
     wire_entry,
 )
@@ -103,7 +103,7 @@
     buffer: LogBuffer,
 ) -> Entry:
     """Return the parts of this instance, which read the platform's store."""
-    outside = Outside(
+    dependencies = Dependencies(
         environment=environment,
         dialect=PlatformDialect(),
         rules=KindSource(client, names.CONFIG_KIND, decode_rules, names.MAIN_NAME),
@@ -118,7 +118,7 @@
     )
     return wire_entry(
         entry_settings(settings),
-        outside,
+        dependencies,
     )
 
 
--- a/catkinslip/wiring/daemon.py
+++ b/catkinslip/wiring/daemon.py
@@ -26,7 +26,12 @@
 from catkinslip.proxy.pool import BackendPool
 from catkinslip.settings.daemon import DaemonSettings
 from catkinslip.wiring.callers import wire_callers
-from catkinslip.wiring.shared import PEER_TIMEOUT_SECONDS, Outside, Shared, wire_shared
+from catkinslip.wiring.shared import (
+    PEER_TIMEOUT_SECONDS,
+    Dependencies,
+    Shared,
+    wire_shared,
+)
 
 
 @define
@@ -64,13 +69,13 @@
         )
 
 
-def wire(settings: DaemonSettings, own: Member, outside: Outside) -> Daemon:
+def wire(settings: DaemonSettings, own: Member, dependencies: Dependencies) -> Daemon:
     """Build the components of one daemon and connect them."""
-    environment = outside.environment
-    shared = wire_shared(settings, own, outside)
+    environment = dependencies.environment
+    shared = wire_shared(settings, own, dependencies)
     hedges = HedgeTimer()
     callers = wire_callers(settings, environment, shared, hedges)
-    peers = wire_peers(settings, outside, shared)
+    peers = wire_peers(settings, dependencies, shared)
     shared.config.listeners.append(lambda _: peers.gossip_soon())
     health, members, store = shared.health, shared.members, shared.store
     return Daemon(
@@ -94,22 +99,24 @@
 
 
 def wire_peers(
-    settings: DaemonSettings, outside: Outside, shared: Shared
+    settings: DaemonSettings, dependencies: Dependencies, shared: Shared
 ) -> PeerExchange:
     """Build the peer exchange and its topics."""
     members = shared.members
     config_topic = ConfigTopic(
         shared.config, members.own.member_id, lambda: len(members.live()) - 1
     )
-    crash_topic = CrashTopic(shared.guard.book, outside.environment.clock.monotonic)
+    crash_topic = CrashTopic(
+        shared.guard.book, dependencies.environment.clock.monotonic
+    )
     topics = (config_topic, crash_topic, *health_topics(shared.health))
     peers = PeerExchange(
         members,
         {topic.name: topic for topic in topics},
-        outside.clients.peers,
-        outside.environment.random,
+        dependencies.clients.peers,
+        dependencies.environment.random,
         settings.seeds,
-        outside.environment.clock,
+        dependencies.environment.clock,
         settings.peer_interval,
         PEER_TIMEOUT_SECONDS,
     )
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -114,7 +114,7 @@
 
 
 @frozen
-class Outside:
+class Dependencies:
     """External dependencies of an instance: environment, store sources and logs."""
 
     environment: Environment
@@ -195,9 +195,9 @@
     entry.limits.apply_settings(limit_settings(settings))
 
 
-def wire_entry(settings: EntrySettings, outside: Outside) -> Entry:
+def wire_entry(settings: EntrySettings, dependencies: Dependencies) -> Entry:
     """Build the components of one instance and connect them."""
-    environment = outside.environment
+    environment = dependencies.environment
     clock, random = environment.clock, environment.random
     config = ConfigHolder()
     instances = InstanceTable(
@@ -215,8 +215,8 @@
     )
     assembler = Assembler(
         config,
-        make_follower('rules', outside.rules),
-        make_follower('backends', outside.backends),
+        make_follower('rules', dependencies.rules),
+        make_follower('backends', dependencies.backends),
     )
     assembler.start()
     directory = make_directory(settings, environment, instances)
@@ -227,8 +227,8 @@
         clock,
     )
     directory.on_load_change = sharer.queue_load
-    crashes = make_follower('crashes', outside.crashes)
-    guard = make_guard(clock, outside.crash_store)
+    crashes = make_follower('crashes', dependencies.crashes)
+    guard = make_guard(clock, dependencies.crash_store)
     crashes.restore_listeners.append(guard.book.lost_by_store)
     crashes.listeners.append(
         lambda: guard.book.take_stored(crashes.value_by_name, clock.monotonic())
@@ -277,7 +277,7 @@
         health,
         pool,
         clock,
-        outside.dialect,
+        dependencies.dialect,
         settings.probes_per_second,
         instances.shares,
     )
@@ -289,7 +289,7 @@
         health,
         hedges,
         observer,
-        outside.dialect,
+        dependencies.dialect,
         sampler,
         random,
         guard=guard,
@@ -301,9 +301,9 @@
         None,
         CallerLimits(request_timeout=REQUEST_TIMEOUT_SECONDS, uses_wall_clock=False),
         observer,
-        outside.dialect,
+        dependencies.dialect,
     )
-    evacuations = make_follower('evacuations', outside.evacuations)
+    evacuations = make_follower('evacuations', dependencies.evacuations)
     evacuations.restore_listeners.append(assembler.hold_evacuations)
     evacuations.listeners.append(lambda: assembler.evacuate(evacuations.value_by_name))
     kinds = share(
@@ -332,8 +332,8 @@
             PageClient(),
             random,
             settings.seeds,
-            outside.instances,
-            Registration(outside.book, settings.own),
+            dependencies.instances,
+            Registration(dependencies.book, settings.own),
         ),
         peer_pages=PageServer(makers),
         pool=pool,
@@ -351,11 +351,11 @@
             requests,
             config_metrics,
             lag,
-            LogMetrics(outside.log_buffer),
+            LogMetrics(dependencies.log_buffer),
             HealthMetrics(health),
             DiscoveryMetrics(instances, sampler, sharer),
             CrashMetrics(guard),
-            *outside.sources,
+            *dependencies.sources,
         ),
     )
 
--- a/catkinslip/wiring/shared.py
+++ b/catkinslip/wiring/shared.py
@@ -41,7 +41,7 @@
 
 
 @frozen
-class Outside:
+class Dependencies:
     """External dependencies of a daemon: environment, HTTP clients and logs."""
 
     environment: Environment
@@ -82,9 +82,11 @@
         yield Clients(platform, peers)
 
 
-def wire_shared(settings: DaemonSettings, own: Member, outside: Outside) -> Shared:
+def wire_shared(
+    settings: DaemonSettings, own: Member, dependencies: Dependencies
+) -> Shared:
     """Build the shared components and subscribe them to configuration changes."""
-    environment = outside.environment
+    environment = dependencies.environment
     clock, random = environment.clock, environment.random
     members = MemberTable(own)
     config = ConfigHolder()
@@ -95,7 +97,7 @@
     )
     health = make_tracker(directory, clock, random, settings.max_instances)
     pool = BackendPool()
-    store = CountedStore(make_store(settings, outside, members))
+    store = CountedStore(make_store(settings, dependencies, members))
     guard = make_guard(clock, ObjectCrashes(store))
     config.listeners.extend(
         (directory.update, health.update, pool.update, guard.update)
@@ -109,20 +111,25 @@
         pool=pool,
         guard=guard,
         metrics=Metrics.wire(
-            settings.instance_id, clock, directory, config, members, outside.log_buffer
+            settings.instance_id,
+            clock,
+            directory,
+            config,
+            members,
+            dependencies.log_buffer,
         ),
     )
 
 
 def make_store(
-    settings: DaemonSettings, outside: Outside, members: MemberTable
+    settings: DaemonSettings, dependencies: Dependencies, members: MemberTable
 ) -> ObjectStore:
     """Return a store on the platform, or an embedded one if no platform URL is set."""
     if not settings.platform_url:
         return EmbeddedStore()
     return BudgetedStore(
-        HttpStore(outside.clients.platform, settings.platform_timeout),
-        outside.environment.clock,
+        HttpStore(dependencies.clients.platform, settings.platform_timeout),
+        dependencies.environment.clock,
         settings.platform_budget,
         settings.max_instances,
         lambda: len(members.live()),
