--- a/catkinslip/wiring/daemon.py
+++ b/catkinslip/wiring/daemon.py
@@ -47,10 +47,10 @@
     control: ControlApi
     pool: BackendPool
     prober: Prober
-    spreader: DrainGossip
-    lister: InstanceListReader
+    drain_gossip: DrainGossip
+    instance_list_reader: InstanceListReader
     hedges: HedgeTimer
-    crash_keeper: CrashKeeper
+    crash_record_writer: CrashKeeper
     metrics: Metrics
 
     def tasks(self) -> tuple[Callable[[], Awaitable[None]], ...]:
@@ -62,9 +62,9 @@
             self.hedges.run,
             partial(self.peers.run, self.instances.read),
             self.prober.run,
-            self.spreader.run,
-            self.lister.run,
-            self.crash_keeper.run,
+            self.drain_gossip.run,
+            self.instance_list_reader.run,
+            self.crash_record_writer.run,
             self.metrics.lag.run,
         )
 
@@ -90,10 +90,10 @@
         control=wire_control(settings, shared, peers),
         pool=shared.pool,
         prober=Prober(health, members, shared.pool, environment.clock),
-        spreader=DrainGossip(health, peers, environment.random),
-        lister=InstanceListReader(store, health, shared.is_reader),
+        drain_gossip=DrainGossip(health, peers, environment.random),
+        instance_list_reader=InstanceListReader(store, health, shared.is_reader),
         hedges=hedges,
-        crash_keeper=shared.guard.keeper,
+        crash_record_writer=shared.guard.keeper,
         metrics=shared.metrics,
     )
 
