--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -152,8 +152,8 @@
     crashes: Follower[CrashRecord]
     evacuations: Follower[ZoneEvacuation]
     guard: CrashGuard
-    teller: CrashTeller
-    rate_teller: RateGossip
+    crash_gossip: CrashTeller
+    rate_gossip: RateGossip
     sources: tuple[MetricSource, ...]
 
     @property
@@ -182,8 +182,8 @@
             self.crashes.run,
             self.evacuations.run,
             self.guard.keeper.run,
-            self.teller.run,
-            self.rate_teller.run,
+            self.crash_gossip.run,
+            self.rate_gossip.run,
         )
 
 
@@ -237,15 +237,15 @@
     def serving_addresses() -> list[Address]:
         return [Address.parse(each.report_address) for each in instances.serving()]
 
-    teller = CrashTeller(
+    crash_gossip = CrashTeller(
         settings.own.instance_id,
         guard.book,
         clock,
         serving_addresses,
         sharer.send_datagram,
     )
-    guard.listeners.append(teller)
-    rate_teller = RateGossip(
+    guard.listeners.append(crash_gossip)
+    rate_gossip = RateGossip(
         settings.own.instance_id,
         directory,
         clock,
@@ -254,11 +254,11 @@
         instances.report_address,
         sharer.send_datagram,
     )
-    directory.on_rate_seen = rate_teller.record_observation
+    directory.on_rate_seen = rate_gossip.record_observation
     sharer.handler_by_topic = {
-        'ends': teller.take,
-        'rates': rate_teller.receive_rates,
-        'doubts': rate_teller.receive_queries,
+        'ends': crash_gossip.take,
+        'rates': rate_gossip.receive_rates,
+        'doubts': rate_gossip.receive_queries,
     }
     health = make_tracker(
         directory, clock, random, max_instances=1, counts_closes=False
@@ -345,8 +345,8 @@
         crashes=crashes,
         evacuations=evacuations,
         guard=guard,
-        teller=teller,
-        rate_teller=rate_teller,
+        crash_gossip=crash_gossip,
+        rate_gossip=rate_gossip,
         sources=(
             requests,
             config_metrics,
--- a/tests/test_crashes_incident.py
+++ b/tests/test_crashes_incident.py
@@ -186,7 +186,7 @@
         async def check(platform):
             await patient_fleet(platform)
             for entry in platform.entries:
-                entry.teller.targets = list
+                entry.crash_gossip.targets = list
             await crash(platform, 3)
             self.assertTrue(await all_know(platform, 2 * WINDOW_SECONDS))
             for entry in range(1, INSTANCES):
