--- a/catkinslip/entry.py
+++ b/catkinslip/entry.py
@@ -122,7 +122,7 @@
 
 async def become_ready(entry: Entry) -> None:
     """Take callers as soon as rules, servers and evacuated zones are known."""
-    while not entry.knows_enough:
+    while not entry.has_startup_data:
         await trio.sleep(READY_CHECK_SECONDS)
     if entry.callers.drain.is_closing:
         return
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -157,7 +157,7 @@
     sources: tuple[MetricSource, ...]
 
     @property
-    def knows_enough(self) -> bool:
+    def has_startup_data(self) -> bool:
         """Return whether rules, backend servers and evacuations have been received."""
         return self.assembler.is_ready and self.evacuations.is_known
 
