--- a/catkinslip/metrics/calls.py
+++ b/catkinslip/metrics/calls.py
@@ -9,7 +9,7 @@
 ANSWERED = 'answered'
 
 
-def outcome_label_of(result: Result) -> str:
+def call_outcome(result: Result) -> str:
     """Return the outcome label of a platform call: answered or its error type."""
     failed = isinstance(result, Failure)
     return type(result.failure()).__name__ if failed else ANSWERED
--- a/catkinslip/metrics/platform.py
+++ b/catkinslip/metrics/platform.py
@@ -6,7 +6,7 @@
 from returns.result import Result
 
 from catkinslip.metrics.base import Family, MetricSource
-from catkinslip.metrics.calls import calls_family, outcome_label_of
+from catkinslip.metrics.calls import call_outcome, calls_family
 from catkinslip.store.base import PlatformError
 from catkinslip.store.wrapped import Answer, Send, WrappedStore
 
@@ -25,6 +25,6 @@
         self, operation: str, send: Send[Answer]
     ) -> Result[Answer, PlatformError]:
         result = await send()
-        call = (operation, outcome_label_of(result))
+        call = (operation, call_outcome(result))
         self.count_by_call[call] = self.count_by_call.get(call, 0) + 1
         return result
--- a/catkinslip/platform/client.py
+++ b/catkinslip/platform/client.py
@@ -28,7 +28,7 @@
 )
 from catkinslip.discovery.revisions import era_of, number_of, ordered
 from catkinslip.metrics.base import Family, MetricSource, counter, gauge
-from catkinslip.metrics.calls import calls_family, outcome_label_of
+from catkinslip.metrics.calls import call_outcome, calls_family
 from catkinslip.models import Address
 from catkinslip.page_client import PageClient, Reply
 from catkinslip.platform.decoding import DECODE_ERRORS, decode_crash
@@ -125,7 +125,7 @@
             case _:
                 result = self._judge(reply)
         operation = 'watch' if wait else OPERATION_BY_METHOD[method]
-        self.count_by_call[operation, outcome_label_of(result)] += 1
+        self.count_by_call[operation, call_outcome(result)] += 1
         return result
 
     def _judge(self, reply: Reply) -> Result[StoreAnswer, PlatformError]:
