--- a/catkinslip/platform/program.py
+++ b/catkinslip/platform/program.py
@@ -109,7 +109,7 @@
         rules=KindSource(client, names.CONFIG_KIND, decode_rules, names.MAIN_NAME),
         backends=KindSource(client, names.SERVERS_KIND, decode_backend),
         instances=KindSource(client, names.INSTANCES_KIND, decode_instance),
-        book=StoredInstances(client),
+        instance_registry=StoredInstances(client),
         crashes=KindSource(client, names.CRASHES_KIND, decode_crash),
         crash_store=StoredCrashes(client),
         evacuations=KindSource(client, names.EVACUATIONS_KIND, decode_evacuation),
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -122,7 +122,7 @@
     rules: Source[RuleSet]
     backends: Source[BackendEntry]
     instances: Source[InstanceEntry]
-    book: InstanceBook
+    instance_registry: InstanceBook
     crashes: Source[CrashRecord]
     crash_store: CrashStore
     evacuations: Source[ZoneEvacuation]
@@ -333,7 +333,7 @@
             random,
             settings.seeds,
             dependencies.instances,
-            Registration(dependencies.book, settings.own),
+            Registration(dependencies.instance_registry, settings.own),
         ),
         peer_pages=PageServer(makers),
         pool=pool,
