--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -162,7 +162,7 @@
         return self.assembler.is_ready and self.evacuations.is_known
 
     @property
-    def book(self) -> CrashBook:
+    def crash_registry(self) -> CrashBook:
         """Return the registry of requests that crash servers."""
         return self.guard.book
 
--- a/tests/test_crashes_incident.py
+++ b/tests/test_crashes_incident.py
@@ -229,7 +229,9 @@
             for name in stored_names(platform):
                 platform.store.remove('crashes', name)
             await wait_for(
-                lambda: all(not each.book.suspect_by_key for each in platform.entries)
+                lambda: all(
+                    not each.crash_registry.suspect_by_key for each in platform.entries
+                )
             )
             # Some turns of the split go to a service without servers.
             while (await platform.get(CRASHING, 1)).status_code != 200:
@@ -323,12 +325,14 @@
 
 def knows(entry: Entry) -> bool:
     """Tell whether an instance knows of a request that ended three servers."""
-    return any(each.servers >= 3 for each in entry.book.suspect_by_key.values())
+    return any(
+        each.servers >= 3 for each in entry.crash_registry.suspect_by_key.values()
+    )
 
 
 def is_settled(entry: Entry) -> bool:
     """Tell whether an instance knows of three servers and the store holds them."""
-    suspects = entry.book.suspect_by_key.values()
+    suspects = entry.crash_registry.suspect_by_key.values()
     return any(
         each.record.revision and each.servers >= 3 and not each.unsaved
         for each in suspects
--- a/tests/test_crashes_unseen.py
+++ b/tests/test_crashes_unseen.py
@@ -90,7 +90,7 @@
             for worker in workers:
                 worker.fault = Fault.NONE
             for entry in platform.entries:
-                self.assertEqual(entry.book.suspect_by_key, {})
+                self.assertEqual(entry.crash_registry.suspect_by_key, {})
             answer = await platform.get('/q/a', request_id='after')
             self.assertEqual(answer.status_code, 200)
 
@@ -134,7 +134,7 @@
                 store.put('servers', name, born, {**item['status'], 'state': 'ready'})
             await wait_for(lambda: not any(map(knows_leaving, entries)))
             for entry in entries:
-                self.assertEqual(entry.book.suspect_by_key, {})
+                self.assertEqual(entry.crash_registry.suspect_by_key, {})
 
         on_platform(check)
 
--- a/tests/test_warmup_path.py
+++ b/tests/test_warmup_path.py
@@ -191,7 +191,7 @@
                 )
             # Later copies of the request go to no cold server, and none gets a verdict.
             self.assertEqual(ended, [1, 1, 1, 1])
-            self.assertEqual(entry.book.verdicts, 0)
+            self.assertEqual(entry.crash_registry.verdicts, 0)
 
         on_platform(check)
 
