--- a/catkinslip/wiring/callers.py
+++ b/catkinslip/wiring/callers.py
@@ -1,7 +1,7 @@
 """Construction of the request path: caller connections, at-most-once, forwarding."""
 
-from catkinslip.addresses.answers import AddressPages, AddressResolver
-from catkinslip.addresses.home import HomeSetLimits
+from catkinslip.address_resolver.answers import AddressPages, AddressResolver
+from catkinslip.address_resolver.home import HomeSetLimits
 from catkinslip.environment import Environment
 from catkinslip.limits.base import LimitSettings
 from catkinslip.limits.service import (
@@ -12,7 +12,7 @@
 from catkinslip.proxy.forwarder import Forwarder
 from catkinslip.proxy.hedges import HedgeTimer
 from catkinslip.settings.daemon import DaemonSettings
-from catkinslip.tickets.gate import (
+from catkinslip.tickets.at_most_once_forwarder import (
     AtMostOnceForwarder,
 )
 from catkinslip.tickets.keys import AnchoredClock, KeyIssuer
@@ -32,21 +32,23 @@
 ) -> CallerServer:
     """Build the caller server with the forwarders and limits behind it."""
     ticket_clock = AnchoredClock(environment.clock)
-    addresses = make_address_book(settings, shared, ticket_clock)
+    address_resolver = make_address_resolver(settings, shared, ticket_clock)
     forwarder = Forwarder(
         shared.directory,
         shared.pool,
         environment.clock,
-        LimitRegistry(make_limit_settings(settings), addresses.count_home_instances),
+        LimitRegistry(
+            make_limit_settings(settings), address_resolver.count_home_instances
+        ),
         shared.health,
         hedges,
         shared.metrics.observer,
         guard=shared.guard,
     )
     own = shared.members.own
-    gate = AtMostOnceForwarder(
+    at_most_once_forwarder = AtMostOnceForwarder(
         forwarder=forwarder,
-        table=make_table(settings, own, ticket_clock),
+        table=make_ticket_table(settings, own, ticket_clock),
         records=PlatformRecords(shared.store, environment.random),
         home_forwarder=HomeForwarder(own.member_id, shared.pool, environment.clock),
         config=shared.config,
@@ -56,14 +58,14 @@
     return CallerServer(
         environment,
         shared.config,
-        gate,
-        AddressPages(addresses),
-        caller_limits(settings),
+        at_most_once_forwarder,
+        AddressPages(address_resolver),
+        make_caller_limits(settings),
         shared.metrics.observer,
     )
 
 
-def make_address_book(
+def make_address_resolver(
     settings: DaemonSettings, shared: Shared, clock: AnchoredClock
 ) -> AddressResolver:
     """Return the resolver of the addresses that callers send requests to."""
@@ -77,7 +79,7 @@
     )
 
 
-def make_table(
+def make_ticket_table(
     settings: DaemonSettings, own: Member, clock: AnchoredClock
 ) -> TicketTable:
     """Return the table of the ticket keys whose home is this instance."""
@@ -102,7 +104,7 @@
     )
 
 
-def caller_limits(settings: DaemonSettings) -> CallerLimits:
+def make_caller_limits(settings: DaemonSettings) -> CallerLimits:
     """Return the timeouts and size limits that apply to callers."""
     return CallerLimits(
         request_timeout=settings.request_timeout,
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -192,7 +192,7 @@
     entry.settings = evolve(settings, own=entry.settings.own)
     entry.addresses.lifetime = settings.address_lifetime
     entry.sampler.probes_per_second = settings.probes_per_second
-    entry.limits.apply_settings(limit_settings(settings))
+    entry.limits.apply_settings(make_limit_settings(settings))
 
 
 def wire_entry(settings: EntrySettings, dependencies: Dependencies) -> Entry:
@@ -272,7 +272,7 @@
     traces = TraceRing(instance_id, clock, directory, deque(maxlen=MAX_TRACES))
     observer = ObserverGroup((requests, traces))
     hedges = HedgeTimer()
-    limits = LimitRegistry(limit_settings(settings), lambda _: instances.shares())
+    limits = LimitRegistry(make_limit_settings(settings), lambda _: instances.shares())
     sampler = LoadSampler(
         health,
         pool,
@@ -370,7 +370,9 @@
         zones = sorted(settings.region_by_zone)
         return divide(bound, load.backend_id, load.zone, zones)
 
-    def divide_named(load: BackendLoad, per_second: float) -> Mapping[Sender, float]:
+    def divide_advertised(
+        load: BackendLoad, per_second: float
+    ) -> Mapping[Sender, float]:
         zones = sorted(settings.region_by_zone)
         return divide_rate(per_second, load.backend_id, load.zone, zones)
 
@@ -384,14 +386,14 @@
         ),
         make_sample=lambda: Sample(random, zone),
         make_cold_gate=lambda: ColdGate(divide_bound, instances.sender),
-        make_throttle=lambda: ThrottleGate(divide_named, instances.sender_place),
-        cold_bound=cold_bound(settings),
+        make_throttle=lambda: ThrottleGate(divide_advertised, instances.sender_place),
+        cold_bound=make_cold_bound(settings),
         region_by_zone=lambda: settings.region_by_zone,
         clock=environment.clock,
     )
 
 
-def cold_bound(settings: EntrySettings) -> Callable[[float], float]:
+def make_cold_bound(settings: EntrySettings) -> Callable[[float], float]:
     """Return a function that maps the rate of a cold server to its request limit.
 
     Both are in requests per second; the rate is what the server can handle while cold.
@@ -402,7 +404,7 @@
     return lambda per_second: per_second * excess + settings.cold_slack
 
 
-def limit_settings(settings: EntrySettings) -> LimitSettings:
+def make_limit_settings(settings: EntrySettings) -> LimitSettings:
     """Return the limits that apply to every service."""
     return LimitSettings(
         queue_depth=NO_QUEUE_LIMIT,
