--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -39,7 +39,7 @@
 class OrderTest(unittest.TestCase):
     """An old answer neither evacuates a zone again nor ends an evacuation early."""
 
-    def test_old_listing_and_old_news_change_nothing(self):
+    def test_old_listing_and_old_changes_have_no_effect(self):
         known = follower()
         known.offer(Listing({}, 5), 'store')
         self.assertFalse(known.offer(Listing({'zone-a': EVACUATED}, 4), 'peer'))
@@ -48,20 +48,20 @@
         self.assertFalse(known.learn(News((('zone-a', None),), 6), 5))
         self.assertEqual(known.value_by_name, {'zone-a': EVACUATED})
 
-    def test_peer_tells_of_an_evacuation_and_of_its_end(self):
-        teller, asker = (
+    def test_peer_sends_an_evacuation_and_its_end(self):
+        sender, receiver = (
             share(SharedKind(ZoneEvacuation, follower())) for _ in range(2)
         )
-        known = teller.kind_by_name['evacuations'].follower
+        known = sender.kind_by_name['evacuations'].follower
         for at, listing in ((5, {'zone-a': EVACUATED}), (9, {})):
             known.offer(Listing(listing, at), 'store')
-            (kind,) = asker.behind(teller.revisions())
+            (kind,) = receiver.behind(sender.revisions())
             since = kind.follower.revision
-            kind.take(teller.newer(f'evacuations.{since}'), since, 'peer')
+            kind.take(sender.newer(f'evacuations.{since}'), since, 'peer')
             self.assertEqual(kind.follower.value_by_name, listing)
-            self.assertEqual(asker.behind(teller.revisions()), [])
+            self.assertEqual(receiver.behind(sender.revisions()), [])
 
-    def test_malformed_question_or_answer_changes_nothing(self):
+    def test_malformed_query_or_answer_has_no_effect(self):
         kinds = share(SharedKind(ZoneEvacuation, follower()))
         for query in ('', 'evacuations', 'evacuations.x', 'other.1', 'a.b.c'):
             self.assertIsNone(kinds.newer(query))
@@ -106,7 +106,7 @@
         self.assertEqual([e.load.backend_id for e in self.router.rank(NOW)], ['i-3'])
         self.assertFalse(self.router.is_evacuated)
 
-    def test_all_zones_evacuated_is_told_apart_from_no_servers(self):
+    def test_all_zones_evacuated_is_distinguished_from_no_servers(self):
         self.assembler.evacuate({'zone-a', 'zone-b'})
         self.assertIsNone(self.router.choose(NOW))
         self.assertTrue(self.router.is_evacuated)
@@ -119,20 +119,20 @@
         self.assembler.evacuate(set())
         self.assertTrue(self.router.accepts_requests(load))
 
-    def test_what_comes_in_the_meantime_stays_out_of_use(self):
+    def test_server_added_during_an_evacuation_is_not_chosen(self):
         self.assembler.evacuate({'zone-a'})
         entry = BackendEntry('i-4', 'limits', 'zone-a', '10.0.0.1', 90, 2)
 
-        async def learn():
+        async def apply_changes():
             self.assembler.backends.learn(News((('i-4', entry),), 2), 1)
 
-        trio.run(learn)
+        trio.run(apply_changes)
         self.assembler.offer_rules(rule_set(2))
         self.assertEqual(self.router.choose(NOW).backend_id, 'i-3')
         self.assembler.evacuate(set())
         self.assertIn('i-4', [e.load.backend_id for e in self.router.rank(NOW)])
 
-    def test_unknown_zone_empties_nothing_and_is_told(self):
+    def test_unknown_zone_evacuates_nothing_and_is_logged(self):
         with self.assertLogs('discovery', 'WARNING') as logs:
             self.assembler.evacuate({'nowhere'})
         self.assertIn('nowhere', logs.output[0])
@@ -158,7 +158,7 @@
         self.assertEqual(document_of(plain).rules.evacuated_zones, ('zone-a',))
 
 
-async def two_zones(platform: SmallPlatform, instances: int = 1) -> tuple:
+async def start_two_zones(platform: SmallPlatform, instances: int = 1) -> tuple:
     """Start a server in each of two zones and the instances; return the servers."""
     await platform.add_worker('i-1')
     await platform.add_worker('i-2', zone='zone-b')
@@ -167,7 +167,9 @@
     return platform.worker_by_id['i-1'], platform.worker_by_id['i-2']
 
 
-async def ask_all(platform: SmallPlatform, entry: int = 0, count: int = 6) -> set[int]:
+async def send_requests(
+    platform: SmallPlatform, entry: int = 0, count: int = 6
+) -> set[int]:
     """Send requests one after another; return the set of their statuses."""
     answers = [
         await platform.ask('POST', '/p/x', entry, request_id=f'r{number}')
@@ -176,7 +178,7 @@
     return {answer.status_code for answer in answers}
 
 
-def knows(platform: SmallPlatform, zones: set[str]) -> bool:
+def have_evacuated(platform: SmallPlatform, zones: set[str]) -> bool:
     """Return whether exactly these zones are evacuated on all instances."""
     return all(entry.assembler.evacuated_zones == zones for entry in platform.entries)
 
@@ -184,32 +186,34 @@
 class PathTest(unittest.TestCase):
     """Requests that servers get during an evacuation that is in the store."""
 
-    def test_zone_gets_nothing_until_it_is_taken_back(self):
+    def test_zone_gets_nothing_until_the_evacuation_ends(self):
         async def check(platform):
-            near, far = await two_zones(platform, instances=2)
-            self.assertEqual(await ask_all(platform), {200})
+            near, far = await start_two_zones(platform, instances=2)
+            self.assertEqual(await send_requests(platform), {200})
             platform.store.put('evacuations', 'zone-a', {})
             self.assertTrue(
-                await wait_at_most(NORMAL_SECONDS, lambda: knows(platform, {'zone-a'}))
+                await wait_at_most(
+                    NORMAL_SECONDS, lambda: have_evacuated(platform, {'zone-a'})
+                )
             )
             for worker in (near, far):
                 worker.heads.clear()
             for entry in range(2):
-                self.assertEqual(await ask_all(platform, entry), {200})
+                self.assertEqual(await send_requests(platform, entry), {200})
             self.assertEqual((len(near.heads), len(far.heads)), (0, 12))
             platform.store.remove('evacuations', 'zone-a')
-            await wait_for(lambda: knows(platform, set()))
-            self.assertEqual(await ask_all(platform), {200})
+            await wait_for(lambda: have_evacuated(platform, set()))
+            self.assertEqual(await send_requests(platform), {200})
             self.assertTrue(near.heads)
 
         on_platform(check)
 
     def test_all_zones_evacuated_is_refused_at_once_and_has_not_run(self):
         async def check(platform):
-            workers = await two_zones(platform)
+            workers = await start_two_zones(platform)
             for zone in ('zone-a', 'zone-b'):
                 platform.store.put('evacuations', zone, {})
-            await wait_for(lambda: knows(platform, {'zone-a', 'zone-b'}))
+            await wait_for(lambda: have_evacuated(platform, {'zone-a', 'zone-b'}))
             answer = await platform.ask('POST', '/p/x')
             self.assertEqual(answer.status_code, 503)
             self.assertIn('evacuated', answer.text)
@@ -218,13 +222,15 @@
 
         on_platform(check)
 
-    def test_work_in_flight_there_ends_by_itself(self):
+    def test_requests_in_flight_in_the_zone_finish(self):
         async def check(platform):
             # Calls queued in a slow start must not be refused for their target latency.
-            patient = config_spec(timeout=GENEROUS_SECONDS, target=GENEROUS_SECONDS)
-            platform.store.put('config', 'main', patient)
+            long_timeouts = config_spec(
+                timeout=GENEROUS_SECONDS, target=GENEROUS_SECONDS
+            )
+            platform.store.put('config', 'main', long_timeouts)
             platform.deadline_ms = int(GENEROUS_SECONDS * 1000)
-            near, _ = await two_zones(platform)
+            near, _ = await start_two_zones(platform)
             near.work_seconds = 0.5
             answers = []
 
@@ -236,56 +242,58 @@
                     nursery.start_soon(ask)
                     await trio.sleep(0.05)
                 platform.store.put('evacuations', 'zone-a', {})
-                await wait_for(lambda: knows(platform, {'zone-a'}))
+                await wait_for(lambda: have_evacuated(platform, {'zone-a'}))
             self.assertEqual({answer.status_code for answer in answers}, {200})
             self.assertEqual(near.cancelled, [])
 
         on_platform(check)
 
-    def test_instance_that_starts_in_an_evacuation_knows_before_it_serves(self):
+    def test_instance_that_starts_in_an_evacuation_applies_it_first(self):
         async def check(platform):
             platform.store.put('evacuations', 'zone-a', {})
-            near, _ = await two_zones(platform)
-            self.assertEqual(await ask_all(platform), {200})
+            near, _ = await start_two_zones(platform)
+            self.assertEqual(await send_requests(platform), {200})
             self.assertEqual(near.heads, [])
 
         on_platform(check)
 
-    def test_instance_that_the_store_turns_away_learns_from_a_peer(self):
+    def test_instance_that_the_store_refuses_uses_a_peer(self):
         async def check(platform):
-            near, _ = await two_zones(platform, instances=2)
+            near, _ = await start_two_zones(platform, instances=2)
             second = platform.entries[1]
             await wait_for(lambda: len(second.instances.peer_by_id) == 1)
             # From here on the store refuses the reads of this instance.
-            second.evacuations.source = second.assembler.backends.source = Turned()
+            second.evacuations.source = second.assembler.backends.source = (
+                RefusingSource()
+            )
             second.evacuations.doubt()
             platform.store.put('evacuations', 'zone-a', {})
             self.assertTrue(
-                await wait_at_most(5.0, lambda: knows(platform, {'zone-a'}))
+                await wait_at_most(5.0, lambda: have_evacuated(platform, {'zone-a'}))
             )
-            self.assertEqual(await ask_all(platform, entry=1), {200})
+            self.assertEqual(await send_requests(platform, entry=1), {200})
             self.assertEqual(near.heads, [])
 
         on_platform(check)
 
     def test_outage_of_the_store_changes_nothing(self):
         async def check(platform):
-            near, _ = await two_zones(platform)
+            near, _ = await start_two_zones(platform)
             platform.store.put('evacuations', 'zone-a', {})
-            await wait_for(lambda: knows(platform, {'zone-a'}))
+            await wait_for(lambda: have_evacuated(platform, {'zone-a'}))
             platform.store.faults.refuse_with = 503
             platform.store.forget_history()
             await wait_for(lambda: platform.entries[0].evacuations.is_lost)
-            self.assertEqual(await ask_all(platform), {200})
+            self.assertEqual(await send_requests(platform), {200})
             self.assertEqual(near.heads, [])
             platform.store.remove('evacuations', 'zone-a')
             platform.store.faults.refuse_with = 0
-            await wait_for(lambda: knows(platform, set()))
+            await wait_for(lambda: have_evacuated(platform, set()))
 
         on_platform(check)
 
 
-class Turned(ScriptedSource):
+class RefusingSource(ScriptedSource):
     """Source that fails as if the store refused this instance."""
 
     async def read_all(self, *, may_be_stale: bool = False):
