--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -14,21 +14,23 @@
         str(HERE), pattern, top_level_dir=str(HERE.parent)
     )
     result = unittest.TextTestRunner(verbosity=2, stream=sys.stdout).run(suite)
-    red = known_red()
-    broken = [test.id() for test, _ in (*result.failures, *result.errors)]
-    passed_over = {each for each in broken if any(name in each for name in red)}
-    for each in sorted(passed_over):
+    known_failures = read_known_failures()
+    failed_ids = [test.id() for test, _ in (*result.failures, *result.errors)]
+    ignored = {
+        each for each in failed_ids if any(name in each for name in known_failures)
+    }
+    for each in sorted(ignored):
         print(f'known red: {each}')
-    failed = sum(each not in passed_over for each in broken)
+    failed = sum(each not in ignored for each in failed_ids)
     failed += len(result.unexpectedSuccesses)
     skipped = len(result.skipped)
-    passed = result.testsRun - len(broken) - skipped
+    passed = result.testsRun - len(failed_ids) - skipped
     passed -= len(result.unexpectedSuccesses)
     print(f'{passed} passed, {failed} failed' + f', {skipped} skipped' * bool(skipped))
     return 1 if failed or not passed else 0
 
 
-def known_red() -> list[str]:
+def read_known_failures() -> list[str]:
     """Return the test names in KNOWN-RED.txt, one per line up to a comma."""
     path = HERE.parent / 'KNOWN-RED.txt'
     if not path.exists():
--- a/tests/small_fleet.py
+++ b/tests/small_fleet.py
@@ -39,7 +39,7 @@
         for n, zone in enumerate(zones)
     ]
     for daemon in daemons:
-        wait_until(lambda each=daemon: len(asked_addresses(each)) == len(daemons))
+        wait_until(lambda each=daemon: len(fetch_addresses(each)) == len(daemons))
         wait_until(lambda each=daemon: is_serving(each))
     return daemons
 
@@ -54,7 +54,7 @@
         raise RuntimeError(f'apply ended with {status}')
 
 
-def asked_addresses(daemon: Process, service: str = 'limits') -> list[str]:
+def fetch_addresses(daemon: Process, service: str = 'limits') -> list[str]:
     """Return the addresses that a daemon returns for a service."""
     url = f'http://{daemon.address}/.well-known/catkinslip/addresses/{service}'
     return httpx.get(url, timeout=10).json().get('addresses', [])
@@ -66,7 +66,9 @@
     return httpx.get(url, headers={'Host': 'limits'}, timeout=10).status_code == 200
 
 
-async def load_while(daemons: list[Process], hurt, lifetime: float) -> Tally:
+async def load_during_failure(
+    daemons: list[Process], cause_failure, lifetime: float
+) -> Tally:
     """Load the daemons during a failure and for some time after it."""
     tally = Tally()
     async with trio.open_nursery() as nursery:
@@ -80,7 +82,7 @@
             )
             nursery.start_soon(caller.run, 60)
         await wait_for_answers(tally)
-        await trio.to_thread.run_sync(hurt)
+        await trio.to_thread.run_sync(cause_failure)
         await wait_for_answers(tally)
         nursery.cancel_scope.cancel()
     return tally
@@ -88,6 +90,6 @@
 
 async def wait_for_answers(tally: Tally) -> None:
     """Wait until callers got ten more right answers each on average."""
-    wanted = tally.right + 10 * LOAD_CALLERS
-    while tally.right < wanted:
+    target = tally.right + 10 * LOAD_CALLERS
+    while tally.right < target:
         await trio.sleep(0.01)
--- a/tests/test_docs_examples.py
+++ b/tests/test_docs_examples.py
@@ -126,7 +126,7 @@
             yield str(port)
 
 
-def path_of_tests() -> str:
+def search_path() -> str:
     """Return a search path on which `python` is the interpreter of the tests."""
     return f'{Path(sys.executable).parent}{os.pathsep}{os.environ["PATH"]}'
 
@@ -139,7 +139,7 @@
             popen = subprocess.Popen(
                 ['bash', '-c', script],
                 cwd=folder,
-                env={**os.environ, 'PYTHONPATH': str(ROOT), 'PATH': path_of_tests()},
+                env={**os.environ, 'PYTHONPATH': str(ROOT), 'PATH': search_path()},
                 stdin=subprocess.DEVNULL,
                 stdout=output,
                 stderr=subprocess.STDOUT,
--- a/tests/test_failures_combined.py
+++ b/tests/test_failures_combined.py
@@ -30,13 +30,13 @@
 REQUEST_SECONDS = 0.5
 #: Timeout of callers; longer than a request may take, so that a caller that gives up
 #: is past the deadline.
-PATIENCE_SECONDS = 1.0
+CALLER_TIMEOUT_SECONDS = 1.0
 ADDRESS_SECONDS = 2.0
 CALLERS_OF_A_KIND = 8
 #: Service time; long enough that requests of each kind are in flight when a failure
 #: begins.
 SERVICE_SECONDS = 0.1
-MORE = 100
+OUTCOMES_PER_PHASE = 100
 LOST_ANSWERS = 1000
 
 
@@ -92,12 +92,12 @@
     def process(self, name: str) -> Process:
         return self.group.process_by_name[name]
 
-    def order(self, **faults: object) -> None:
+    def set_faults(self, **faults: object) -> None:
         httpx.post(f'{self.url}/standin/faults', json=faults).raise_for_status()
 
-    def run_under_load(self, hurt) -> None:
+    def run_under_load(self, cause_failure) -> None:
         """Load the system during a failure, then compare answers with the ledgers."""
-        trio.run(self.load, hurt)
+        trio.run(self.load, cause_failure)
         for name in BACKENDS:
             process = self.process(name)
             if process.popen.poll() is None:
@@ -107,29 +107,36 @@
         sendings = [each for tally in self.tallies for each in tally.sendings]
         self.assertEqual(find_lies(sendings, runs), [])
 
-    async def load(self, hurt) -> None:
+    async def load(self, cause_failure) -> None:
         async with trio.open_nursery() as nursery:
             for caller in self.callers():
                 nursery.start_soon(self.run_caller, caller)
             try:
-                await self.more('right')
-                await hurt()
-                await self.more('right')
+                await self.wait_for_outcomes('right')
+                await cause_failure()
+                await self.wait_for_outcomes('right')
             finally:
                 self.done.set()
 
     def callers(self) -> list[LoadCaller]:
-        ask = [self.process(name).address for name in INSTANCES]
+        instance_addresses = [self.process(name).address for name in INSTANCES]
         kinds = (
             ('get', LoadCaller, {}),
             ('post', LoadCaller, {'method': 'POST'}),
             ('keyed', ResendingCaller, {}),
             ('recorded', ResendingCaller, {'has_own_keys': True}),
         )
-        waits = {'patience': PATIENCE_SECONDS, 'lifetime': ADDRESS_SECONDS}
+        waits = {'patience': CALLER_TIMEOUT_SECONDS, 'lifetime': ADDRESS_SECONDS}
         test = self._testMethodName
         return [
-            kind(f'{name}-{number}-{test}', SERVICE, ask, tally, **waits, **arguments)
+            kind(
+                f'{name}-{number}-{test}',
+                SERVICE,
+                instance_addresses,
+                tally,
+                **waits,
+                **arguments,
+            )
             for (name, kind, arguments), tally in zip(kinds, self.tallies, strict=True)
             for number in range(CALLERS_OF_A_KIND)
         ]
@@ -140,7 +147,9 @@
             await trio.sleep(0.002)
         await caller.disconnect()
 
-    async def more(self, outcome: str, count: int = MORE) -> None:
+    async def wait_for_outcomes(
+        self, outcome: str, count: int = OUTCOMES_PER_PHASE
+    ) -> None:
         """Wait until callers got `count` more answers with an outcome."""
         tallies = self.tallies
         end = sum(getattr(tally, outcome) for tally in tallies) + count
@@ -148,57 +157,57 @@
             while sum(getattr(tally, outcome) for tally in tallies) < end:
                 await trio.sleep(0.01)
 
-    def changes(self) -> int:
+    def change_count(self) -> int:
         return len(self.tool('changes', '--json').json)
 
     def test_platform_stopped_and_an_instance_killed(self):
-        async def hurt():
+        async def cause_failure():
             self.process('platform').send_signal(signal.SIGSTOP)
-            await self.more('unknown', 1)
+            await self.wait_for_outcomes('unknown', 1)
             self.process('entry-1').kill()
-            await self.more('cut', 1)
-            await self.more('right')
+            await self.wait_for_outcomes('cut', 1)
+            await self.wait_for_outcomes('right')
             self.process('platform').send_signal(signal.SIGCONT)
 
         self.addCleanup(self.start_daemon, 'entry-1')
-        self.run_under_load(hurt)
+        self.run_under_load(cause_failure)
 
     def test_backend_stopped_while_the_platform_loses_answers_to_an_operator(self):
-        async def hurt():
-            self.order(lose_answers=LOST_ANSWERS)
+        async def cause_failure():
+            self.set_faults(lose_answers=LOST_ANSWERS)
             self.process('claims-1').send_signal(signal.SIGSTOP)
-            await self.more('unknown', 1)
+            await self.wait_for_outcomes('unknown', 1)
             self.drained = await trio.to_thread.run_sync(self.tool, 'drain', 'claims-2')
-            await self.more('right')
-            self.order(lose_answers=0)
+            await self.wait_for_outcomes('right')
+            self.set_faults(lose_answers=0)
             self.process('claims-1').send_signal(signal.SIGCONT)
 
         self.addCleanup(self.tool, 'undrain', 'claims-2')
-        before = self.changes()
-        self.run_under_load(hurt)
-        told = self.drained.status
-        self.assertIn(told, (ExitStatus.SUCCESS, ExitStatus.UNKNOWN))
-        made = self.changes() - before
-        self.assertLessEqual(made, 1)
-        if told == ExitStatus.SUCCESS:
-            self.assertEqual(made, 1)
+        before = self.change_count()
+        self.run_under_load(cause_failure)
+        drain_status = self.drained.status
+        self.assertIn(drain_status, (ExitStatus.SUCCESS, ExitStatus.UNKNOWN))
+        changes_made = self.change_count() - before
+        self.assertLessEqual(changes_made, 1)
+        if drain_status == ExitStatus.SUCCESS:
+            self.assertEqual(changes_made, 1)
             for process in map(self.process, INSTANCES):
                 wait_until(
                     lambda p=process: 'claims-2' in status(p)['leaving_backends']
                 )
 
     def test_instance_stopped_past_deadlines_while_a_backend_is_killed(self):
-        async def hurt():
+        async def cause_failure():
             self.process('entry-1').send_signal(signal.SIGSTOP)
-            await self.more('cut', 1)
-            await self.more('right')
+            await self.wait_for_outcomes('cut', 1)
+            await self.wait_for_outcomes('right')
             self.process('claims-3').kill()
-            await self.more('right')
+            await self.wait_for_outcomes('right')
             self.process('entry-1').send_signal(signal.SIGCONT)
 
         port = self.process('claims-3').address.rpartition(':')[2]
         self.addCleanup(self.start_backend, 'claims-3', port)
-        self.run_under_load(hurt)
+        self.run_under_load(cause_failure)
 
 
 def is_ready(daemon: Process) -> bool:
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -12,8 +12,8 @@
 from standins.load import Tally
 from standins.processes import Process, ProcessGroup, wait_until
 from tests.small_fleet import (
-    asked_addresses,
-    load_while,
+    fetch_addresses,
+    load_during_failure,
     new_process_group,
     start_small_fleet,
 )
@@ -39,7 +39,7 @@
     def check(self, tally: Tally, daemons: list[Process]) -> None:
         self.assertEqual((tally.cut, tally.wrong, tally.unknown), (0, 0, 0))
         self.assertEqual(daemons[0].popen.returncode, 0)
-        self.assertEqual(asked_addresses(daemons[1]), [daemons[1].address])
+        self.assertEqual(fetch_addresses(daemons[1]), [daemons[1].address])
         self.assertIn('asks for no secret', daemons[0].log_path.read_text())
 
     def test_no_request_is_cut_by_a_stop(self):
@@ -49,22 +49,24 @@
             daemons[0].send_signal(signal.SIGTERM)
             # Both leave it out while it still serves.
             for daemon in daemons:
-                wait_until(lambda d=daemon: len(asked_addresses(d)) == 1)
+                wait_until(lambda d=daemon: len(fetch_addresses(d)) == 1)
             self.assertIsNone(daemons[0].popen.poll())
             daemons[0].wait()
 
-        self.check(trio.run(load_while, daemons, stop, LIFETIME_SECONDS), daemons)
+        self.check(
+            trio.run(load_during_failure, daemons, stop, LIFETIME_SECONDS), daemons
+        )
 
     def test_second_signal_ends_sooner_and_cuts_no_request(self):
         daemons = self.start()
 
         def stop():
             daemons[0].send_signal(signal.SIGTERM)
-            wait_until(lambda: len(asked_addresses(daemons[0])) == 1)
+            wait_until(lambda: len(fetch_addresses(daemons[0])) == 1)
             daemons[0].send_signal(signal.SIGTERM)
             daemons[0].wait()
 
-        tally = trio.run(load_while, daemons, stop, LIFETIME_SECONDS)
+        tally = trio.run(load_during_failure, daemons, stop, LIFETIME_SECONDS)
         self.assertEqual((tally.wrong, tally.unknown), (0, 0))
         self.assertEqual(daemons[0].popen.returncode, 0)
         # A connection refused is no harm; a request that ran must be answered.
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -8,8 +8,8 @@
 
 from standins.processes import wait_until
 from tests.small_fleet import (
-    asked_addresses,
-    load_while,
+    fetch_addresses,
+    load_during_failure,
     new_process_group,
     start_small_fleet,
 )
@@ -34,7 +34,7 @@
 
     def wait_for_answers_of(self, others, count: int) -> None:
         for daemon in others:
-            wait_until(lambda each=daemon: len(asked_addresses(each)) == count)
+            wait_until(lambda each=daemon: len(fetch_addresses(each)) == count)
 
     def test_paused_and_killed_instances_are_left_out(self):
         first, second, third = self.daemons
@@ -47,10 +47,12 @@
             second.kill()
             self.wait_for_answers_of((first, third), 2)
 
-        tally = trio.run(load_while, self.daemons, pause_then_kill, LIFETIME_SECONDS)
+        tally = trio.run(
+            load_during_failure, self.daemons, pause_then_kill, LIFETIME_SECONDS
+        )
         self.assertEqual(tally.wrong, 0)
         self.assertGreater(tally.right, 0)
-        self.assertNotIn(second.address, asked_addresses(third))
+        self.assertNotIn(second.address, fetch_addresses(third))
 
     def test_control_surface_refuses_invalid_messages(self):
         daemon = self.daemons[0]
@@ -68,7 +70,7 @@
         for path in ('/v1/exchange', '/v1/status', '/v1/probe'):
             reached = httpx.get(f'http://{daemon.address}{path}', headers=good)
             self.assertEqual(reached.json()['status'], reached.status_code)
-        self.assertEqual(len(asked_addresses(daemon)), 3)
+        self.assertEqual(len(fetch_addresses(daemon)), 3)
         self.assertIsNone(daemon.popen.poll())
         self.assertNotIn(SECRET, daemon.log_path.read_text())
         self.assertNotIn('asks for no secret', daemon.log_path.read_text())
