--- a/tests/test_logs_buffer.py
+++ b/tests/test_logs_buffer.py
@@ -51,7 +51,7 @@
 class LogBufferTest(unittest.TestCase):
     """The buffer is bounded; dropped lines are counted and reported."""
 
-    def test_lines_without_room_are_counted_and_told_once(self):
+    def test_dropped_lines_are_counted_and_reported_once(self):
         buffer = LogBuffer(limit=2)
         logger = new_logger(buffer)
         for number in range(5):
@@ -82,7 +82,7 @@
         trio.run(main)
         self.assertEqual(writer.written.decode(), expected)
 
-    def test_no_line_wakes_nobody_and_the_first_one_is_written_at_once(self):
+    def test_idle_flusher_sleeps_and_writes_the_first_line_at_once(self):
         buffer, writer = CountingBuffer(), SlowWriter()
 
         async def main():
@@ -98,7 +98,7 @@
 
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def test_pipe_that_nobody_reads_holds_neither_the_loop_nor_the_end(self):
+    def test_unread_pipe_blocks_neither_the_loop_nor_the_shutdown(self):
         buffer = LogBuffer(limit=1000)
         logger = new_logger(buffer)
         reading, writing = os.pipe()
--- a/tests/test_metrics_discovery.py
+++ b/tests/test_metrics_discovery.py
@@ -9,7 +9,7 @@
 class PageTest(unittest.TestCase):
     """Content of the metrics page."""
 
-    def test_calls_probes_reports_and_peers_are_told(self):
+    def test_calls_probes_reports_and_peers_are_shown(self):
         async def check(platform):
             await platform.add_worker('i-1')
             await platform.add_entry()
--- a/tests/test_metrics_requests.py
+++ b/tests/test_metrics_requests.py
@@ -98,7 +98,7 @@
             {(UNKNOWN_SERVICE, 'not-run-unknown-service'): 100},
         )
 
-    def test_backend_that_left_the_register_is_forgotten(self):
+    def test_counts_of_an_unregistered_backend_are_dropped(self):
         self.metrics.on_attempt_ended(plain_call('limits'), 'a', Answered(200), 0.001)
         self.metrics.directory = directory_of(b='127.0.0.1:2')
         self.assertEqual(self.values('catkinslip_backend_outcomes_total'), {})
@@ -107,7 +107,7 @@
 class TraceRingTest(unittest.TestCase):
     """The ring buffer is bounded and includes requests in flight."""
 
-    def test_oldest_ended_trace_makes_room_and_none_in_flight_leaks(self):
+    def test_oldest_ended_trace_is_dropped_and_none_in_flight_leaks(self):
         directory = directory_of(a='127.0.0.1:1')
         ring = TraceRing('entry-1', FixedClock(), directory, deque(maxlen=2))
         calls = [plain_call('limits', request_id=f'r{number}') for number in range(3)]
