--- a/catkinslip/wiring/callers.py
+++ b/catkinslip/wiring/callers.py
@@ -1,7 +1,7 @@
 """Construction of the request path: caller connections, at-most-once, forwarding."""
 
-from catkinslip.address_resolver.answers import AddressPages, AddressResolver
-from catkinslip.address_resolver.home import HomeSetLimits
+from catkinslip.addresses.answers import AddressPages, AddressResolver
+from catkinslip.addresses.home import HomeSetLimits
 from catkinslip.environment import Environment
 from catkinslip.limits.base import LimitSettings
 from catkinslip.limits.service import (
@@ -12,7 +12,7 @@
 from catkinslip.proxy.forwarder import Forwarder
 from catkinslip.proxy.hedges import HedgeTimer
 from catkinslip.settings.daemon import DaemonSettings
-from catkinslip.tickets.at_most_once_forwarder import (
+from catkinslip.tickets.gate import (
     AtMostOnceForwarder,
 )
 from catkinslip.tickets.keys import AnchoredClock, KeyIssuer
