--- a/catkinslip/metrics/traces.py
+++ b/catkinslip/metrics/traces.py
@@ -74,7 +74,10 @@
     trace_by_call: dict[int, RequestTrace] = Factory(dict)
 
     def on_server_chosen(self, call: Call, choice: Choice, number: int) -> None:
-        """Add an attempt on the chosen backend server to the trace of its request."""
+        """Add an attempt on the chosen backend server to the trace of its request.
+
+        The attempt number, which starts at 1, is not recorded.
+        """
         trace = self.trace_by_call.get(id(call))
         if trace is None:
             trace = self._new_trace(call)
