--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -76,8 +76,8 @@
 #: Cost of a request to another availability zone, which transfers bytes between
 #: zones, expressed as seconds of delay.
 ZONE_HOP_SECONDS = 0.01
-#: Share of its capacity from which a server counts as nearly full, and the factor of
-#: its slowdown from there on.
+#: Share of slots in use above which a server counts as nearly full and slows down; the
+#: expected delay is multiplied by NEARLY_FULL_SLOWNESS from there on.
 NEARLY_FULL_SHARE = 0.8
 NEARLY_FULL_SLOWNESS = 1.8
 #: No practical limit: target latencies, not queue lengths, decide whether calls are
