--- a/catkinslip/entry.py
+++ b/catkinslip/entry.py
@@ -129,7 +129,7 @@
 
 async def become_ready(entry: Entry) -> None:
     """Mark this instance ready once it has rules, servers and evacuated zones."""
-    while not entry.knows_enough:
+    while not entry.has_startup_data:
         await trio.sleep(READY_CHECK_SECONDS)
     if entry.callers.drain.is_closing:
         return
--- a/catkinslip/logs/flush.py
+++ b/catkinslip/logs/flush.py
@@ -1,4 +1,4 @@
-"""Write buffered log lines without holding the loop."""
+"""Background writer of buffered log lines that does not block the event loop."""
 
 import logging
 
@@ -9,14 +9,14 @@
 from catkinslip.logs.format import LineFormatter
 from catkinslip.logs.writers import LogWriter
 
-FLUSH_SECONDS = 0.1
-STOP_SECONDS = 2.0
-LINES_AT_ONCE = 100
+FLUSH_INTERVAL_SECONDS = 0.1
+STOP_TIMEOUT_SECONDS = 2.0
+MAX_CHUNK_LINES = 100
 
 
 @define
 class LogFlusher:
-    """Write the lines of a buffer; a reader that is stuck stops only this task."""
+    """Writer of buffered lines; a blocked reader of the log delays only this task."""
 
     buffer: LogBuffer
     writer: LogWriter
@@ -24,28 +24,30 @@
     pending: bytes = b''
 
     async def run(self) -> None:
-        """Write what comes, now and then, until cancelled; then what is left."""
+        """Write new lines at intervals until cancelled, then the remaining lines."""
         try:
             while True:
-                await self.buffer.has_news.wait()
-                self.buffer.has_news = trio.Event()
+                await self.buffer.has_records.wait()
+                self.buffer.has_records = trio.Event()
                 await self.flush()
-                await trio.sleep(FLUSH_SECONDS)
+                await trio.sleep(FLUSH_INTERVAL_SECONDS)
         finally:
-            with trio.move_on_after(STOP_SECONDS, shield=True):
+            with trio.move_on_after(STOP_TIMEOUT_SECONDS, shield=True):
                 await self.flush()
             self.writer.close()
 
     async def flush(self) -> None:
-        """Write all lines, and let other tasks run in between."""
+        """Write all buffered lines and yield to other tasks between chunks."""
         while self._next_chunk():
             written = self.writer.write(self.pending)
             self.pending = self.pending[written:]
             if not written:
-                await self.writer.wait_for_room()
+                await self.writer.wait_writable()
             await trio.lowlevel.checkpoint()
 
     def _next_chunk(self) -> bytes:
         if not self.pending:
-            self.pending = self.buffer.take(self.formatter, LINES_AT_ONCE).encode()
+            self.pending = self.buffer.pop_lines(
+                self.formatter, MAX_CHUNK_LINES
+            ).encode()
         return self.pending
--- a/catkinslip/metrics/crashes.py
+++ b/catkinslip/metrics/crashes.py
@@ -1,22 +1,24 @@
-"""Tell what is known of requests that end servers."""
+"""Metrics of requests that crash servers."""
 
 from collections.abc import Iterable
 
 from attrs import define
 
 from catkinslip.crashes.guard import CrashGuard
-from catkinslip.crashes.suspect import count_refused
+from catkinslip.crashes.suspect import (
+    count_refused,
+)
 from catkinslip.metrics.base import Family, MetricSource, counter, gauge
 
 
 @define
 class CrashMetrics(MetricSource):
-    """Count servers that ended under requests, verdicts and refusals."""
+    """Source of the counts of server crashes, verdicts and refused calls."""
 
     guard: CrashGuard
 
     def families(self) -> Iterable[Family]:
-        """Return the measured values of now."""
+        """Return the current metric families."""
         book = self.guard.registry
         events = counter(
             'catkinslip_crashes_total',
--- a/catkinslip/metrics/durations.py
+++ b/catkinslip/metrics/durations.py
@@ -1,7 +1,7 @@
 """Durations of recent requests in bounded memory.
 
-A histogram of HdrHistogram holds a fixed array of counts. Its size depends on
-the range and on the number of exact digits: see docs/OPERATING.md.
+HdrHistogram stores a fixed array of counts. The size of the array depends on the
+range and on the number of exact digits: see docs/OPERATING.md.
 """
 
 from attrs import Factory, define, field, frozen
@@ -16,7 +16,7 @@
 
 @frozen
 class Precision:
-    """Range and exact digits of a histogram of microseconds."""
+    """Range in microseconds and number of exact digits of a histogram."""
 
     lowest: int
     highest: int
@@ -27,38 +27,38 @@
         return HdrHistogram(self.lowest, self.highest, self.digits)
 
 
-#: Steps of 1 %, for the few services.
+#: Resolution of 1 %, for services, which are few.
 FINE = Precision(1, 60 * MICROSECONDS, 2)
-#: Steps of 10 % from 0.1 ms on, for the many backend servers.
+#: Resolution of 10 % from 0.1 ms on, for backend servers, which are many.
 COARSE = Precision(100, 60 * MICROSECONDS, 1)
 
 
 @define
 class Durations:
-    """Count durations; keep quantiles of the last one to two windows."""
+    """Count and sum of durations, and a histogram of the last one to two windows."""
 
     precision: Precision
     count: int = 0
     sum: float = 0.0
-    window_ends: float = 0.0
+    window_end: float = 0.0
     current: HdrHistogram = field(
         default=Factory(lambda self: self.precision.new_histogram(), takes_self=True)
     )
     previous: HdrHistogram | None = None
 
     def record(self, seconds: float, now: float) -> None:
-        """Count one duration."""
-        if now >= self.window_ends:
-            self._turn(now)
+        """Record one duration in seconds at a monotonic time in seconds."""
+        if now >= self.window_end:
+            self._start_window(now)
         self.count += 1
         self.sum += seconds
         microseconds = int(seconds * MICROSECONDS)
         self.current.record_value(min(microseconds, self.precision.highest))
 
     def summarize(self, now: float, *labels: str) -> SummarySample:
-        """Return count and sum since the start and recent quantiles in seconds."""
-        if now >= self.window_ends:
-            self._turn(now)
+        """Return count and sum since the start and recent quantiles, in seconds."""
+        if now >= self.window_end:
+            self._start_window(now)
         merged = self.current
         if self.previous is not None and self.previous.total_count:
             merged = self.precision.new_histogram()
@@ -74,11 +74,11 @@
             }
         return SummarySample(labels, self.count, self.sum, value_by_quantile)
 
-    def _turn(self, now: float) -> None:
-        """Start a new window; a new histogram is cheaper than a reset one."""
-        is_recent = now < self.window_ends + WINDOW_SECONDS
+    def _start_window(self, now: float) -> None:
+        """Start a new window; creating a histogram is cheaper than resetting one."""
+        is_recent = now < self.window_end + WINDOW_SECONDS
         used = self.current.total_count > 0
         self.previous = self.current if is_recent and used else None
         if used:
             self.current = self.precision.new_histogram()
-        self.window_ends = now + WINDOW_SECONDS
+        self.window_end = now + WINDOW_SECONDS
--- a/catkinslip/metrics/platform.py
+++ b/catkinslip/metrics/platform.py
@@ -1,4 +1,4 @@
-"""Count the calls of the platform, a waiting watch as one."""
+"""Count of calls to the platform; a pending watch counts as one call."""
 
 from collections.abc import Iterable
 
@@ -6,25 +6,25 @@
 from returns.result import Result
 
 from catkinslip.metrics.base import Family, MetricSource
-from catkinslip.metrics.calls import calls_family, outcome_of
+from catkinslip.metrics.calls import call_outcome, calls_family
 from catkinslip.store.base import PlatformError
 from catkinslip.store.wrapped import Answer, Send, WrappedStore
 
 
 @define
 class CountedStore(WrappedStore, MetricSource):
-    """Pass calls on to a store and count them by operation and outcome."""
+    """Store that forwards calls to another store and counts them."""
 
     count_by_call: dict[tuple[str, str], int] = Factory(dict)
 
     def families(self) -> Iterable[Family]:
-        """Return the measured values of now."""
+        """Return the current metric families."""
         yield calls_family(self.count_by_call)
 
     async def _call(
         self, operation: str, send: Send[Answer]
     ) -> Result[Answer, PlatformError]:
         result = await send()
-        counted = (operation, outcome_of(result))
-        self.count_by_call[counted] = self.count_by_call.get(counted, 0) + 1
+        call = (operation, call_outcome(result))
+        self.count_by_call[call] = self.count_by_call.get(call, 0) + 1
         return result
--- a/catkinslip/platform/client.py
+++ b/catkinslip/platform/client.py
@@ -32,7 +32,10 @@
     revision_of,
 )
 from catkinslip.metrics.base import Family, MetricSource, counter, gauge
-from catkinslip.metrics.calls import calls_family, outcome_of
+from catkinslip.metrics.calls import (
+    call_outcome,
+    calls_family,
+)
 from catkinslip.models import Address
 from catkinslip.page_client import PageClient, Reply
 from catkinslip.platform.decoding import DECODE_ERRORS, decode_crash
@@ -134,7 +137,7 @@
             case _:
                 result = self._check_answer(reply)
         operation = 'watch' if wait else OPERATION_BY_METHOD[method]
-        self.count_by_call[operation, outcome_of(result)] += 1
+        self.count_by_call[operation, call_outcome(result)] += 1
         return result
 
     def _check_answer(self, reply: Reply) -> Result[StoreAnswer, PlatformError]:
--- a/catkinslip/platform/program.py
+++ b/catkinslip/platform/program.py
@@ -35,9 +35,9 @@
 from catkinslip.platform.settings import PlatformSettings, read_settings_file
 from catkinslip.status import ExitStatus
 from catkinslip.wiring.entry import (
+    Dependencies,
     Entry,
     EntrySettings,
-    Outside,
     apply_settings,
     wire_entry,
 )
@@ -104,13 +104,13 @@
     buffer: LogBuffer,
 ) -> Entry:
     """Return the components of this instance, connected to the platform's store."""
-    outside = Outside(
+    dependencies = Dependencies(
         environment=environment,
         dialect=PlatformDialect(),
         rules=KindSource(client, names.CONFIG_KIND, decode_rules, names.MAIN_NAME),
         backends=KindSource(client, names.SERVERS_KIND, decode_backend),
         instances=KindSource(client, names.INSTANCES_KIND, decode_instance),
-        book=StoredInstances(client),
+        instance_registry=StoredInstances(client),
         crashes=KindSource(client, names.CRASHES_KIND, decode_crash),
         crash_store=StoredCrashes(client),
         evacuations=KindSource(client, names.EVACUATIONS_KIND, decode_evacuation),
@@ -119,7 +119,7 @@
     )
     return wire_entry(
         entry_settings(settings),
-        outside,
+        dependencies,
     )
 
 
--- a/catkinslip/wiring/callers.py
+++ b/catkinslip/wiring/callers.py
@@ -1,4 +1,4 @@
-"""Build the request path: callers, at most once, limits, forwarding."""
+"""Construction of the request path: caller connections, at-most-once, forwarding."""
 
 from catkinslip.addresses.answers import AddressPages, AddressResolver
 from catkinslip.addresses.home import HomeSetLimits
@@ -30,23 +30,25 @@
     shared: Shared,
     hedges: HedgeTimer,
 ) -> CallerServer:
-    """Build the request path: callers, at most once, limits, forwarding."""
+    """Build the caller server with the forwarders and limits behind it."""
     ticket_clock = AnchoredClock(environment.clock)
-    addresses = make_address_book(settings, shared, ticket_clock)
+    address_resolver = make_address_resolver(settings, shared, ticket_clock)
     forwarder = Forwarder(
         shared.directory,
         shared.pool,
         environment.clock,
-        LimitRegistry(make_limit_settings(settings), addresses.count_home_instances),
+        LimitRegistry(
+            make_limit_settings(settings), address_resolver.count_home_instances
+        ),
         shared.health,
         hedges,
         shared.metrics.observer,
         guard=shared.guard,
     )
     own = shared.members.own
-    gate = AtMostOnceForwarder(
+    at_most_once_forwarder = AtMostOnceForwarder(
         forwarder=forwarder,
-        table=make_table(settings, own, ticket_clock),
+        table=make_ticket_table(settings, own, ticket_clock),
         records=PlatformRecords(shared.store, environment.random),
         home_forwarder=HomeForwarder(own.member_id, shared.pool, environment.clock),
         config=shared.config,
@@ -56,17 +58,17 @@
     return CallerServer(
         environment,
         shared.config,
-        gate,
-        AddressPages(addresses),
-        caller_limits(settings),
+        at_most_once_forwarder,
+        AddressPages(address_resolver),
+        make_caller_limits(settings),
         shared.metrics.observer,
     )
 
 
-def make_address_book(
+def make_address_resolver(
     settings: DaemonSettings, shared: Shared, clock: AnchoredClock
 ) -> AddressResolver:
-    """Return what answers which addresses to use."""
+    """Return the resolver of the addresses that callers send requests to."""
     return AddressResolver(
         shared.members,
         settings.zone,
@@ -77,10 +79,10 @@
     )
 
 
-def make_table(
+def make_ticket_table(
     settings: DaemonSettings, own: Member, clock: AnchoredClock
 ) -> TicketTable:
-    """Return the table of the keys whose home is this instance."""
+    """Return the table of the ticket keys whose home is this instance."""
     return TicketTable(
         own.member_id,
         own.incarnation,
@@ -91,7 +93,7 @@
 
 
 def make_limit_settings(settings: DaemonSettings) -> LimitSettings:
-    """Return the limits that every service has."""
+    """Return the limits that apply to every service."""
     return LimitSettings(
         queue_depth=settings.queue_depth,
         deadline_margin=settings.deadline_margin,
@@ -102,8 +104,8 @@
     )
 
 
-def caller_limits(settings: DaemonSettings) -> CallerLimits:
-    """Return what callers may ask for."""
+def make_caller_limits(settings: DaemonSettings) -> CallerLimits:
+    """Return the timeouts and size limits that apply to callers."""
     return CallerLimits(
         request_timeout=settings.request_timeout,
         head_timeout=settings.head_timeout,
--- a/catkinslip/wiring/daemon.py
+++ b/catkinslip/wiring/daemon.py
@@ -1,4 +1,4 @@
-"""Build a daemon and connect its parts."""
+"""Construction of a daemon from its settings."""
 
 from collections.abc import Awaitable, Callable
 from functools import partial
@@ -7,7 +7,7 @@
 
 from catkinslip.config.topic import ConfigTopic
 from catkinslip.config.watcher import ConfigWatcher
-from catkinslip.control.app import ControlSurface
+from catkinslip.control.app import ControlApi
 from catkinslip.control.operators import OperatorPages
 from catkinslip.crashes.synchronizer import (
     CrashSynchronizer,
@@ -28,12 +28,17 @@
 from catkinslip.proxy.pool import BackendPool
 from catkinslip.settings.daemon import DaemonSettings
 from catkinslip.wiring.callers import wire_callers
-from catkinslip.wiring.shared import PEER_TIMEOUT_SECONDS, Outside, Shared, wire_shared
+from catkinslip.wiring.shared import (
+    PEER_TIMEOUT_SECONDS,
+    Dependencies,
+    Shared,
+    wire_shared,
+)
 
 
 @define
 class Daemon:
-    """The connected parts of one daemon."""
+    """The connected components of one daemon."""
 
     settings: DaemonSettings
     members: MemberTable
@@ -41,17 +46,17 @@
     peers: PeerExchange
     watcher: ConfigWatcher
     callers: CallerServer
-    control: ControlSurface
+    control: ControlApi
     pool: BackendPool
     prober: Prober
-    spreader: DrainGossip
-    lister: InstanceListReader
+    drain_gossip: DrainGossip
+    instance_list_reader: InstanceListReader
     hedges: HedgeTimer
-    crash_keeper: CrashSynchronizer
+    crash_record_writer: CrashSynchronizer
     metrics: Metrics
 
     def tasks(self) -> tuple[Callable[[], Awaitable[None]], ...]:
-        """Return what runs beside the requests until the daemon ends."""
+        """Return the background tasks that run until the daemon stops."""
         return (
             self.watcher.run,
             self.callers.watch.run,
@@ -59,20 +64,20 @@
             self.hedges.run,
             partial(self.peers.run, self.instances.read),
             self.prober.run,
-            self.spreader.run,
-            self.lister.run,
-            self.crash_keeper.run,
+            self.drain_gossip.run,
+            self.instance_list_reader.run,
+            self.crash_record_writer.run,
             self.metrics.lag.run,
         )
 
 
-def wire(settings: DaemonSettings, own: Member, outside: Outside) -> Daemon:
-    """Build the parts of one daemon and connect them."""
-    environment = outside.environment
-    shared = wire_shared(settings, own, outside)
+def wire(settings: DaemonSettings, own: Member, dependencies: Dependencies) -> Daemon:
+    """Build the components of one daemon and connect them."""
+    environment = dependencies.environment
+    shared = wire_shared(settings, own, dependencies)
     hedges = HedgeTimer()
     callers = wire_callers(settings, environment, shared, hedges)
-    peers = wire_peers(settings, outside, shared)
+    peers = wire_peers(settings, dependencies, shared)
     shared.config.listeners.append(lambda _: peers.gossip_soon())
     health, members, store = shared.health, shared.members, shared.store
     return Daemon(
@@ -87,31 +92,33 @@
         control=wire_control(settings, shared, peers),
         pool=shared.pool,
         prober=Prober(health, members, shared.pool, environment.clock),
-        spreader=DrainGossip(health, peers, environment.random),
-        lister=InstanceListReader(store, health, shared.is_reader),
+        drain_gossip=DrainGossip(health, peers, environment.random),
+        instance_list_reader=InstanceListReader(store, health, shared.is_reader),
         hedges=hedges,
-        crash_keeper=shared.guard.synchronizer,
+        crash_record_writer=shared.guard.synchronizer,
         metrics=shared.metrics,
     )
 
 
 def wire_peers(
-    settings: DaemonSettings, outside: Outside, shared: Shared
+    settings: DaemonSettings, dependencies: Dependencies, shared: Shared
 ) -> PeerExchange:
-    """Build the exchange with peers and the topics that it carries."""
+    """Build the peer exchange and its topics."""
     members = shared.members
     config_topic = ConfigTopic(
         shared.config, members.own.member_id, lambda: len(members.live()) - 1
     )
-    crash_topic = CrashTopic(shared.guard.registry, outside.environment.clock.monotonic)
+    crash_topic = CrashTopic(
+        shared.guard.registry, dependencies.environment.clock.monotonic
+    )
     topics = (config_topic, crash_topic, *health_topics(shared.health))
     peers = PeerExchange(
         members,
         {topic.name: topic for topic in topics},
-        outside.clients.peers,
-        outside.environment.random,
+        dependencies.clients.peers,
+        dependencies.environment.random,
         settings.seeds,
-        outside.environment.clock,
+        dependencies.environment.clock,
         settings.peer_interval,
         PEER_TIMEOUT_SECONDS,
     )
@@ -122,8 +129,8 @@
 
 def wire_control(
     settings: DaemonSettings, shared: Shared, peers: PeerExchange
-) -> ControlSurface:
-    """Build what peers and operators ask over HTTP."""
+) -> ControlApi:
+    """Build the HTTP interface for peers and operators."""
     metrics, health = shared.metrics, shared.health
     sources = (
         *metrics.sources,
@@ -134,4 +141,4 @@
     operators = OperatorPages(
         shared.members, shared.config, health, sources, metrics.traces
     )
-    return ControlSurface(peers, operators, settings.shared_secret)
+    return ControlApi(peers, operators, settings.shared_secret)
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -1,4 +1,4 @@
-"""Build an instance that an outside store tells of rules and backend servers."""
+"""Construction of an instance that gets rules and backend servers from the platform."""
 
 from collections import deque
 from collections.abc import Awaitable, Callable, Mapping
@@ -80,68 +80,74 @@
 from catkinslip.warmup.gate import ColdGate
 from catkinslip.warmup.quotas import Sender, divide
 
-#: Second sends stay so far below what all instances share, as a few may be
-#: unknown to each other.
+#: Fraction of the shared resend limit that the instances use together; the rest is a
+#: margin, because a few instances may not be in each other's membership view.
 RESEND_MARGIN = 0.8
-#: A restart doubles half of an instance's share of the reserve.
+#: Fraction of the shared resend reserve that is used; the rest is a margin, because a
+#: restart doubles half of an instance's share of the reserve.
 SLACK_MARGIN = 0.6
 MAX_TRACES = 200
-#: A request to another availability zone costs bytes, as much as so many seconds.
+#: Cost of a request to another availability zone, which transfers bytes between
+#: zones, expressed as seconds of delay.
 ZONE_HOP_SECONDS = 0.01
-#: Servers slow down when they are nearly full.
+#: Share of slots in use above which a server counts as nearly full and slows down; the
+#: expected delay is multiplied by NEARLY_FULL_SLOWNESS from there on.
 NEARLY_FULL_SHARE = 0.8
 NEARLY_FULL_SLOWNESS = 1.8
-#: Calls are held or refused by their targets, not by the length of queues.
+#: No practical limit: target latencies, not queue lengths, decide whether calls are
+#: queued or refused.
 NO_QUEUE_LIMIT = 1e6
-#: Calls without a target are hedged after this share of the latencies, in percent.
+#: Percentile of the latencies after which a call without a target latency is hedged.
 HEDGE_PERCENTILE = 95.0
-#: Longer than any route's own timeout, which bounds a request.
+#: Longer than the timeout of any route, so that the route's timeout limits a request.
 REQUEST_TIMEOUT_SECONDS = 60.0
 
 
 @frozen
 class EntrySettings:
-    """What an instance is told about itself and its share; durations in seconds."""
+    """Identity of an instance and the limits that it enforces; durations in seconds."""
 
     own: InstanceEntry
     seeds: tuple[Address, ...]
     address_lifetime: float
-    #: Time between being told to stop and the end.
+    #: Time from the stop request to the exit of the process.
     stop_seconds: float
-    #: Probes of one backend server per second, from all instances.
+    #: Load probes per second of one backend server, from all instances together.
     probes_per_second: float
-    #: Second sends of all instances: a share of a service's requests and so many more.
+    #: Limit of resends of all instances together: this share of a service's requests
+    #: plus `resend_slack` more.
     resend_share: float
     resend_slack: float
-    #: All availability zones of the system, and the region of each.
+    #: Region of each availability zone of the system.
     region_by_zone: dict[str, str]
-    #: Requests to a cold server in any second, from all instances: so many times what
-    #: it bears in one, and so many more; None where there is no bound.
+    #: Limit of requests per second to a cold server, from all instances together: this
+    #: multiple of the rate that it can handle, plus `cold_slack` more; None for no
+    #: limit.
     cold_excess: float | None
     cold_slack: float
 
 
 @frozen
-class Outside:
-    """What an instance reaches beyond itself."""
+class Dependencies:
+    """External dependencies of an instance: environment, store sources and logs."""
 
     environment: Environment
     dialect: Dialect
     rules: Source[RuleSet]
     backends: Source[BackendEntry]
     instances: Source[InstanceEntry]
-    book: InstanceRegistry
+    instance_registry: InstanceRegistry
     crashes: Source[CrashRecord]
     crash_store: CrashStore
     evacuations: Source[ZoneEvacuation]
     log_buffer: LogBuffer
-    #: What else the metrics page shows.
+    #: Additional sources of the metrics page.
     sources: tuple[MetricSource, ...] = ()
 
 
 @define
 class Entry:
-    """The connected parts of one instance."""
+    """The connected components of one instance."""
 
     settings: EntrySettings
     config: ConfigHolder
@@ -160,22 +166,22 @@
     crashes: Follower[CrashRecord]
     evacuations: Follower[ZoneEvacuation]
     guard: CrashGuard
-    teller: CrashPublisher
-    rate_teller: RateGossip
+    crash_gossip: CrashPublisher
+    rate_gossip: RateGossip
     sources: tuple[MetricSource, ...]
 
     @property
-    def knows_enough(self) -> bool:
-        """Tell whether rules, servers and evacuated zones are known."""
+    def has_startup_data(self) -> bool:
+        """Return whether rules, backend servers and evacuations have been received."""
         return self.assembler.is_ready and self.evacuations.is_known
 
     @property
-    def book(self) -> CrashRegistry:
-        """Return what is known of requests that end servers."""
+    def crash_registry(self) -> CrashRegistry:
+        """Return the registry of requests that crash servers."""
         return self.guard.registry
 
     def tasks(self) -> tuple[Callable[[], Awaitable[None]], ...]:
-        """Return what runs beside the requests until the instance ends."""
+        """Return the background tasks that run until the instance stops."""
         return (
             self.assembler.rules.run,
             self.assembler.backends.run,
@@ -190,22 +196,22 @@
             self.crashes.run,
             self.evacuations.run,
             self.guard.synchronizer.run,
-            self.teller.run,
-            self.rate_teller.run,
+            self.crash_gossip.run,
+            self.rate_gossip.run,
         )
 
 
 def apply_settings(entry: Entry, settings: EntrySettings) -> None:
-    """Take over settings that changed; addresses stay until the next start."""
+    """Apply changed settings; addresses take effect only at the next start."""
     entry.settings = evolve(settings, own=entry.settings.own)
     entry.addresses.lifetime = settings.address_lifetime
     entry.sampler.probes_per_second = settings.probes_per_second
-    entry.limits.apply_settings(limit_settings(settings))
+    entry.limits.apply_settings(make_limit_settings(settings))
 
 
-def wire_entry(settings: EntrySettings, outside: Outside) -> Entry:
-    """Build the parts of one instance and connect them."""
-    environment = outside.environment
+def wire_entry(settings: EntrySettings, dependencies: Dependencies) -> Entry:
+    """Build the components of one instance and connect them."""
+    environment = dependencies.environment
     clock, random = environment.clock, environment.random
     config = ConfigHolder()
     instances = InstanceTable(
@@ -223,8 +229,8 @@
     )
     assembler = Assembler(
         config,
-        make_follower('rules', outside.rules),
-        make_follower('backends', outside.backends),
+        make_follower('rules', dependencies.rules),
+        make_follower('backends', dependencies.backends),
     )
     assembler.start()
     directory = make_directory(settings, environment, instances)
@@ -235,8 +241,8 @@
         clock,
     )
     directory.on_load_change = sharer.queue_load
-    crashes = make_follower('crashes', outside.crashes)
-    guard = make_guard(clock, outside.crash_store)
+    crashes = make_follower('crashes', dependencies.crashes)
+    guard = make_guard(clock, dependencies.crash_store)
     crashes.restore_listeners.append(guard.registry.mark_records_unsaved)
     crashes.listeners.append(
         lambda: guard.registry.apply_listing(crashes.value_by_name, clock.monotonic())
@@ -247,15 +253,15 @@
             Address.parse(each.report_address) for each in instances.serving_peers()
         ]
 
-    teller = CrashPublisher(
+    crash_gossip = CrashPublisher(
         settings.own.instance_id,
         guard.registry,
         clock,
         serving_addresses,
         sharer.send_datagram,
     )
-    guard.listeners.append(teller)
-    rate_teller = RateGossip(
+    guard.listeners.append(crash_gossip)
+    rate_gossip = RateGossip(
         settings.own.instance_id,
         directory,
         clock,
@@ -264,11 +270,11 @@
         instances.report_address,
         sharer.send_datagram,
     )
-    directory.on_rate_seen = rate_teller.record_observation
+    directory.on_rate_seen = rate_gossip.record_observation
     sharer.handler_by_topic = {
-        'ends': teller.apply_datagram,
-        'rates': rate_teller.receive_rates,
-        'doubts': rate_teller.receive_queries,
+        'ends': crash_gossip.apply_datagram,
+        'rates': rate_gossip.receive_rates,
+        'doubts': rate_gossip.receive_queries,
     }
     health = make_tracker(
         directory, clock, random, max_instances=1, counts_closes=False
@@ -283,13 +289,13 @@
     observer = ObserverGroup((requests, traces))
     hedges = HedgeTimer()
     limits = LimitRegistry(
-        limit_settings(settings), lambda _: instances.budget_divisor()
+        make_limit_settings(settings), lambda _: instances.budget_divisor()
     )
     sampler = LoadSampler(
         health,
         pool,
         clock,
-        outside.dialect,
+        dependencies.dialect,
         settings.probes_per_second,
         instances.budget_divisor,
     )
@@ -301,7 +307,7 @@
         health,
         hedges,
         observer,
-        outside.dialect,
+        dependencies.dialect,
         sampler,
         random,
         guard=guard,
@@ -313,9 +319,9 @@
         None,
         CallerLimits(request_timeout=REQUEST_TIMEOUT_SECONDS, uses_wall_clock=False),
         observer,
-        outside.dialect,
+        dependencies.dialect,
     )
-    evacuations = make_follower('evacuations', outside.evacuations)
+    evacuations = make_follower('evacuations', dependencies.evacuations)
     evacuations.restore_listeners.append(assembler.hold_evacuations)
     evacuations.listeners.append(lambda: assembler.evacuate(evacuations.value_by_name))
     kinds = shared_kinds(
@@ -328,8 +334,8 @@
         KIND_PATH: answers.kind,
     }
     lag = LoopLag(clock)
-    versions = ConfigMetrics(clock, config)
-    config.listeners.append(versions.took)
+    config_metrics = ConfigMetrics(clock, config)
+    config.listeners.append(config_metrics.record_change)
     return Entry(
         settings=settings,
         config=config,
@@ -344,8 +350,8 @@
             PageClient(),
             random,
             settings.seeds,
-            outside.instances,
-            Registration(outside.book, settings.own),
+            dependencies.instances,
+            Registration(dependencies.instance_registry, settings.own),
         ),
         peer_pages=PageServer(makers),
         pool=pool,
@@ -357,17 +363,17 @@
         crashes=crashes,
         evacuations=evacuations,
         guard=guard,
-        teller=teller,
-        rate_teller=rate_teller,
+        crash_gossip=crash_gossip,
+        rate_gossip=rate_gossip,
         sources=(
             requests,
-            versions,
+            config_metrics,
             lag,
-            LogMetrics(outside.log_buffer),
+            LogMetrics(dependencies.log_buffer),
             HealthMetrics(health),
             DiscoveryMetrics(instances, sampler, sharer),
             CrashMetrics(guard),
-            *outside.sources,
+            *dependencies.sources,
         ),
     )
 
@@ -375,14 +381,16 @@
 def make_directory(
     settings: EntrySettings, environment: Environment, instances: InstanceTable
 ) -> Directory:
-    """Return the routers of all services, yet without servers."""
+    """Return the directory of service routers, which contains no servers yet."""
     random, zone = environment.random, settings.own.zone
 
     def divide_bound(load: BackendLoad, bound: float) -> Mapping[Sender, int]:
         zones = sorted(settings.region_by_zone)
         return divide(bound, load.backend_id, load.zone, zones)
 
-    def divide_named(load: BackendLoad, per_second: float) -> Mapping[Sender, float]:
+    def divide_advertised(
+        load: BackendLoad, per_second: float
+    ) -> Mapping[Sender, float]:
         zones = sorted(settings.region_by_zone)
         return divide_rate(per_second, load.backend_id, load.zone, zones)
 
@@ -396,23 +404,28 @@
         ),
         make_sample=lambda: Sample(random, zone),
         make_cold_gate=lambda: ColdGate(divide_bound, instances.sender),
-        make_throttle=lambda: ThrottleGate(divide_named, instances.sender_position),
-        cold_bound=cold_bound(settings),
+        make_throttle=lambda: ThrottleGate(
+            divide_advertised, instances.sender_position
+        ),
+        cold_bound=make_cold_bound(settings),
         region_by_zone=lambda: settings.region_by_zone,
         clock=environment.clock,
     )
 
 
-def cold_bound(settings: EntrySettings) -> Callable[[float], float]:
-    """Return what tells how many requests a cold server gets in any second."""
+def make_cold_bound(settings: EntrySettings) -> Callable[[float], float]:
+    """Return a function that maps the rate of a cold server to its request limit.
+
+    Both are in requests per second; the rate is what the server can handle while cold.
+    """
     excess = settings.cold_excess
     if excess is None:
         return no_bound
     return lambda per_second: per_second * excess + settings.cold_slack
 
 
-def limit_settings(settings: EntrySettings) -> LimitSettings:
-    """Return the limits of every service."""
+def make_limit_settings(settings: EntrySettings) -> LimitSettings:
+    """Return the limits that apply to every service."""
     return LimitSettings(
         queue_depth=NO_QUEUE_LIMIT,
         extra_share=settings.resend_share * RESEND_MARGIN,
--- a/catkinslip/wiring/shared.py
+++ b/catkinslip/wiring/shared.py
@@ -1,4 +1,4 @@
-"""Build the parts that most others look at."""
+"""Construction of the components that most other components of a daemon use."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -36,15 +36,15 @@
 
 @frozen
 class Clients:
-    """HTTP clients of the platform and of peers."""
+    """HTTP clients for the platform and for peers."""
 
     platform: httpx.AsyncClient
     peers: httpx.AsyncClient
 
 
 @frozen
-class Outside:
-    """What the parts reach beyond the daemon."""
+class Dependencies:
+    """External dependencies of a daemon: environment, HTTP clients and logs."""
 
     environment: Environment
     clients: Clients
@@ -53,7 +53,7 @@
 
 @frozen
 class Shared:
-    """The parts that most others look at; each follows the configuration."""
+    """Components that most other components of a daemon use."""
 
     store: CountedStore
     members: MemberTable
@@ -65,18 +65,18 @@
     metrics: Metrics
 
     def is_reader(self) -> bool:
-        """Tell whether this instance reads the platform for its zone."""
+        """Return whether this instance reads the platform for its availability zone."""
         return is_watcher(self.members.own, self.members.live())
 
 
 @asynccontextmanager
 async def open_clients(settings: DaemonSettings) -> AsyncIterator[Clients]:
-    """Open the clients of the platform and of peers."""
+    """Open the HTTP clients for the platform and for peers."""
     secret = {SECRET_HEADER: settings.shared_secret}
     caller = {CALLER_HEADER: settings.instance_id}
     async with (
         httpx.AsyncClient(base_url=settings.platform_url, headers=caller) as platform,
-        # Peers speak plain HTTP: loading the machine's certificates would be in vain.
+        # Peers use plain HTTP, so the machine's certificates need not be loaded.
         httpx.AsyncClient(
             headers=secret, timeout=PEER_TIMEOUT_SECONDS, verify=False
         ) as peers,
@@ -84,9 +84,11 @@
         yield Clients(platform, peers)
 
 
-def wire_shared(settings: DaemonSettings, own: Member, outside: Outside) -> Shared:
-    """Build what most parts look at, and let it follow the configuration."""
-    environment = outside.environment
+def wire_shared(
+    settings: DaemonSettings, own: Member, dependencies: Dependencies
+) -> Shared:
+    """Build the shared components and subscribe them to configuration changes."""
+    environment = dependencies.environment
     clock, random = environment.clock, environment.random
     members = MemberTable(own)
     config = ConfigHolder()
@@ -97,7 +99,7 @@
     )
     health = make_tracker(directory, clock, random, settings.max_instances)
     pool = BackendPool()
-    store = CountedStore(make_store(settings, outside, members))
+    store = CountedStore(make_store(settings, dependencies, members))
     guard = make_guard(clock, ObjectCrashStore(store))
     config.listeners.extend(
         (directory.update, health.update, pool.update, guard.update)
@@ -111,20 +113,25 @@
         pool=pool,
         guard=guard,
         metrics=Metrics.wire(
-            settings.instance_id, clock, directory, config, members, outside.log_buffer
+            settings.instance_id,
+            clock,
+            directory,
+            config,
+            members,
+            dependencies.log_buffer,
         ),
     )
 
 
 def make_store(
-    settings: DaemonSettings, outside: Outside, members: MemberTable
+    settings: DaemonSettings, dependencies: Dependencies, members: MemberTable
 ) -> ObjectStore:
-    """Return the platform's store, or an embedded one when there is no platform."""
+    """Return a store on the platform, or an embedded one if no platform URL is set."""
     if not settings.platform_url:
         return EmbeddedStore()
     return BudgetedStore(
-        HttpStore(outside.clients.platform, settings.platform_timeout),
-        outside.environment.clock,
+        HttpStore(dependencies.clients.platform, settings.platform_timeout),
+        dependencies.environment.clock,
         settings.platform_budget,
         settings.max_instances,
         lambda: len(members.live()),
--- a/tests/small_fleet.py
+++ b/tests/small_fleet.py
@@ -1,4 +1,4 @@
-"""Start a small fleet of processes and load it."""
+"""Helpers that start a small fleet of processes and load it."""
 
 import json
 import tempfile
@@ -17,7 +17,7 @@
 
 
 def new_process_group(test: unittest.TestCase) -> ProcessGroup:
-    """Return a group of processes that ends with a test."""
+    """Return a process group that is stopped at the end of a test."""
     folder = tempfile.TemporaryDirectory()
     test.addCleanup(folder.cleanup)
     group = ProcessGroup(Path(folder.name))
@@ -28,7 +28,7 @@
 def start_small_fleet(
     group: ProcessGroup, zones: tuple[str, ...], backend=(), **settings: object
 ) -> list[Process]:
-    """Start a platform, two backend servers and one daemon a zone; wait for all."""
+    """Start a platform, two backend servers and one daemon per zone; wait for all."""
     platform_url = f'http://{group.start_platform().address}'
     backends = [group.start_backend(f'limits-{n}', **dict(backend)) for n in (1, 2)]
     apply_document(
@@ -39,13 +39,13 @@
         for n, zone in enumerate(zones)
     ]
     for daemon in daemons:
-        wait_until(lambda each=daemon: len(asked_addresses(each)) == len(daemons))
+        wait_until(lambda each=daemon: len(fetch_addresses(each)) == len(daemons))
         wait_until(lambda each=daemon: is_serving(each))
     return daemons
 
 
 def apply_document(group: ProcessGroup, plain: dict) -> None:
-    """Apply a document with the operators' tool."""
+    """Apply a configuration document with the command-line tool."""
     path = group.folder / 'document.json'
     path.write_text(json.dumps(plain))
     platform_url = f'http://{group.process_by_name["platform"].address}'
@@ -54,20 +54,22 @@
         raise RuntimeError(f'apply ended with {status}')
 
 
-def asked_addresses(daemon: Process, service: str = 'limits') -> list[str]:
-    """Return the addresses that a daemon answers for a service."""
+def fetch_addresses(daemon: Process, service: str = 'limits') -> list[str]:
+    """Return the addresses that a daemon returns for a service."""
     url = f'http://{daemon.address}/.well-known/catkinslip/addresses/{service}'
     return httpx.get(url, timeout=10).json().get('addresses', [])
 
 
 def is_serving(daemon: Process) -> bool:
-    """Tell whether a daemon forwards requests."""
+    """Return whether a daemon forwards requests."""
     url = f'http://{daemon.address}/'
     return httpx.get(url, headers={'Host': 'limits'}, timeout=10).status_code == 200
 
 
-async def load_while(daemons: list[Process], hurt, lifetime: float) -> Tally:
-    """Load the daemons while one of them is hurt and for a while after."""
+async def load_during_failure(
+    daemons: list[Process], cause_failure, lifetime: float
+) -> Tally:
+    """Load the daemons during a failure and for some time after it."""
     tally = Tally()
     async with trio.open_nursery() as nursery:
         for number in range(LOAD_CALLERS):
@@ -80,14 +82,14 @@
             )
             nursery.start_soon(caller.run, 60)
         await wait_for_answers(tally)
-        await trio.to_thread.run_sync(hurt)
+        await trio.to_thread.run_sync(cause_failure)
         await wait_for_answers(tally)
         nursery.cancel_scope.cancel()
     return tally
 
 
 async def wait_for_answers(tally: Tally) -> None:
-    """Wait until each caller got several more answers."""
-    wanted = tally.right + 10 * LOAD_CALLERS
-    while tally.right < wanted:
+    """Wait until callers got ten more right answers each on average."""
+    target = tally.right + 10 * LOAD_CALLERS
+    while tally.right < target:
         await trio.sleep(0.01)
--- a/tests/test_crashes_incident.py
+++ b/tests/test_crashes_incident.py
@@ -185,7 +185,7 @@
         async def check(platform):
             await fleet_with_long_timeouts(platform)
             for entry in platform.entries:
-                entry.teller.targets = list
+                entry.crash_gossip.targets = list
             await crash(platform, 3)
             self.assertTrue(await all_have_verdict(platform, 2 * WINDOW_SECONDS))
             for entry in range(1, INSTANCES):
@@ -228,7 +228,9 @@
             for name in stored_names(platform):
                 platform.store.remove('crashes', name)
             await wait_for(
-                lambda: all(not each.book.suspect_by_key for each in platform.entries)
+                lambda: all(
+                    not each.crash_registry.suspect_by_key for each in platform.entries
+                )
             )
             # Some requests of the split route go to a service without servers.
             while (await platform.get(CRASHING, 1)).status_code != 200:
@@ -322,12 +324,14 @@
 
 def has_verdict(entry: Entry) -> bool:
     """Return whether an instance recorded a request that crashed three servers."""
-    return any(each.server_count >= 3 for each in entry.book.suspect_by_key.values())
+    return any(
+        each.server_count >= 3 for each in entry.crash_registry.suspect_by_key.values()
+    )
 
 
 def is_verdict_stored(entry: Entry) -> bool:
     """Return whether an instance recorded three crashes and the store has them."""
-    suspects = entry.book.suspect_by_key.values()
+    suspects = entry.crash_registry.suspect_by_key.values()
     return any(
         each.record.revision and each.server_count >= 3 and not each.unsaved
         for each in suspects
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Zones that operators evacuate: who learns of it, and what is sent there."""
+"""Evacuated availability zones: propagation to instances and effect on routing."""
 
 import unittest
 from random import Random
@@ -8,9 +8,17 @@
 from catkinslip.config.checks import read_document
 from catkinslip.config.holder import ConfigHolder
 from catkinslip.discovery.assembly import Assembler
-from catkinslip.discovery.base import BackendEntry, Changes, Listing, ZoneEvacuation
+from catkinslip.discovery.base import (
+    BackendEntry,
+    Changes,
+    Listing,
+    ZoneEvacuation,
+)
 from catkinslip.discovery.follower import Follower
-from catkinslip.discovery.kinds import SharedKind, shared_kinds
+from catkinslip.discovery.kinds import (
+    SharedKind,
+    shared_kinds,
+)
 from catkinslip.routing.directory import Directory
 from catkinslip.routing.policies import LeastInFlight
 from tests.builders import backend_plain, document_of, document_plain
@@ -25,20 +33,21 @@
 )
 
 NOW = 100.0
-#: Operators are promised less in normal times; the bound at the slowest is 5 s.
+#: Limit of the propagation time in normal operation; the limit in the worst case is
+#: 5 s.
 NORMAL_SECONDS = 1.0
 EVACUATED = ZoneEvacuation('zone-a')
 
 
 def follower() -> Follower[ZoneEvacuation]:
-    """Return a follower of evacuations that reads nothing by itself."""
+    """Return a follower of evacuations with a scripted source."""
     return Follower('evacuations', ScriptedSource(), Random(1))
 
 
 class OrderTest(unittest.TestCase):
-    """An old answer neither empties a zone again nor fills it early."""
+    """An old answer neither evacuates a zone again nor ends an evacuation early."""
 
-    def test_old_listing_and_old_news_change_nothing(self):
+    def test_old_listing_and_old_changes_have_no_effect(self):
         known = follower()
         known.offer(Listing({}, 5), 'store')
         self.assertFalse(known.offer(Listing({'zone-a': EVACUATED}, 4), 'peer'))
@@ -47,20 +56,20 @@
         self.assertFalse(known.apply_peer_changes(Changes((('zone-a', None),), 6), 5))
         self.assertEqual(known.value_by_name, {'zone-a': EVACUATED})
 
-    def test_peer_tells_of_an_evacuation_and_of_its_end(self):
-        teller, asker = (
+    def test_peer_sends_an_evacuation_and_its_end(self):
+        sender, receiver = (
             shared_kinds(SharedKind(ZoneEvacuation, follower())) for _ in range(2)
         )
-        known = teller.kind_by_name['evacuations'].follower
+        known = sender.kind_by_name['evacuations'].follower
         for at, listing in ((5, {'zone-a': EVACUATED}), (9, {})):
             known.offer(Listing(listing, at), 'store')
-            (kind,) = asker.kinds_behind(teller.revisions())
+            (kind,) = receiver.kinds_behind(sender.revisions())
             since = kind.follower.revision
-            kind.apply(teller.update_for(f'evacuations.{since}'), since, 'peer')
+            kind.apply(sender.update_for(f'evacuations.{since}'), since, 'peer')
             self.assertEqual(kind.follower.value_by_name, listing)
-            self.assertEqual(asker.kinds_behind(teller.revisions()), [])
+            self.assertEqual(receiver.kinds_behind(sender.revisions()), [])
 
-    def test_malformed_question_or_answer_changes_nothing(self):
+    def test_malformed_query_or_answer_has_no_effect(self):
         kinds = shared_kinds(SharedKind(ZoneEvacuation, follower()))
         for query in ('', 'evacuations', 'evacuations.x', 'other.1', 'a.b.c'):
             self.assertIsNone(kinds.update_for(query))
@@ -73,7 +82,7 @@
 
 
 class ChoiceTest(unittest.TestCase):
-    """The servers of an evacuated zone are not chosen; the others are all the room."""
+    """Only servers outside evacuated zones are chosen."""
 
     def setUp(self):
         trio.run(self.prepare)
@@ -105,7 +114,7 @@
         self.assertEqual([e.load.backend_id for e in self.router.rank(NOW)], ['i-3'])
         self.assertFalse(self.router.is_evacuated)
 
-    def test_all_zones_evacuated_is_told_apart_from_no_servers(self):
+    def test_all_zones_evacuated_is_distinguished_from_no_servers(self):
         self.assembler.evacuate({'zone-a', 'zone-b'})
         self.assertIsNone(self.router.choose(NOW))
         self.assertTrue(self.router.is_evacuated)
@@ -118,20 +127,20 @@
         self.assembler.evacuate(set())
         self.assertTrue(self.router.accepts_requests(load))
 
-    def test_what_comes_in_the_meantime_stays_out_of_use(self):
+    def test_server_added_during_an_evacuation_is_not_chosen(self):
         self.assembler.evacuate({'zone-a'})
         entry = BackendEntry('i-4', 'limits', 'zone-a', '10.0.0.1', 90, 2)
 
-        async def learn():
+        async def apply_changes():
             self.assembler.backends.apply_peer_changes(Changes((('i-4', entry),), 2), 1)
 
-        trio.run(learn)
+        trio.run(apply_changes)
         self.assembler.offer_rules(rule_set(2))
         self.assertEqual(self.router.choose(NOW).backend_id, 'i-3')
         self.assembler.evacuate(set())
         self.assertIn('i-4', [e.load.backend_id for e in self.router.rank(NOW)])
 
-    def test_unknown_zone_empties_nothing_and_is_told(self):
+    def test_unknown_zone_evacuates_nothing_and_is_logged(self):
         with self.assertLogs('discovery', 'WARNING') as logs:
             self.assembler.evacuate({'nowhere'})
         self.assertIn('nowhere', logs.output[0])
@@ -139,7 +148,7 @@
 
 
 class DocumentTest(unittest.TestCase):
-    """The product's own rules name evacuated zones."""
+    """Evacuated zones in the configuration document of the native dialect."""
 
     def test_unknown_zone_is_refused(self):
         plain = document_plain({'limits-1': '127.0.0.1:80'})
@@ -157,8 +166,8 @@
         self.assertEqual(document_of(plain).rules.evacuated_zones, ('zone-a',))
 
 
-async def two_zones(platform: SmallPlatform, instances: int = 1) -> tuple:
-    """Start a server in each of two zones, and instances; return the servers."""
+async def start_two_zones(platform: SmallPlatform, instances: int = 1) -> tuple:
+    """Start a server in each of two zones and the instances; return the servers."""
     await platform.add_worker('i-1')
     await platform.add_worker('i-2', zone='zone-b')
     for _ in range(instances):
@@ -166,8 +175,10 @@
     return platform.worker_by_id['i-1'], platform.worker_by_id['i-2']
 
 
-async def ask_all(platform: SmallPlatform, entry: int = 0, count: int = 6) -> set[int]:
-    """Send some requests one after another; return the statuses."""
+async def send_requests(
+    platform: SmallPlatform, entry: int = 0, count: int = 6
+) -> set[int]:
+    """Send requests one after another; return the set of their statuses."""
     answers = [
         await platform.send('POST', '/p/x', entry, request_id=f'r{number}')
         for number in range(count)
@@ -175,40 +186,42 @@
     return {answer.status_code for answer in answers}
 
 
-def knows(platform: SmallPlatform, zones: set[str]) -> bool:
-    """Tell whether all instances know just these zones as evacuated."""
+def have_evacuated(platform: SmallPlatform, zones: set[str]) -> bool:
+    """Return whether exactly these zones are evacuated on all instances."""
     return all(entry.assembler.evacuated_zones == zones for entry in platform.entries)
 
 
 class PathTest(unittest.TestCase):
-    """What servers see of an evacuation that stands in the store."""
+    """Requests that servers get during an evacuation that is in the store."""
 
-    def test_zone_gets_nothing_until_it_is_taken_back(self):
+    def test_zone_gets_nothing_until_the_evacuation_ends(self):
         async def check(platform):
-            near, far = await two_zones(platform, instances=2)
-            self.assertEqual(await ask_all(platform), {200})
+            near, far = await start_two_zones(platform, instances=2)
+            self.assertEqual(await send_requests(platform), {200})
             platform.store.put('evacuations', 'zone-a', {})
             self.assertTrue(
-                await wait_at_most(NORMAL_SECONDS, lambda: knows(platform, {'zone-a'}))
+                await wait_at_most(
+                    NORMAL_SECONDS, lambda: have_evacuated(platform, {'zone-a'})
+                )
             )
             for worker in (near, far):
                 worker.heads.clear()
             for entry in range(2):
-                self.assertEqual(await ask_all(platform, entry), {200})
+                self.assertEqual(await send_requests(platform, entry), {200})
             self.assertEqual((len(near.heads), len(far.heads)), (0, 12))
             platform.store.remove('evacuations', 'zone-a')
-            await wait_for(lambda: knows(platform, set()))
-            self.assertEqual(await ask_all(platform), {200})
+            await wait_for(lambda: have_evacuated(platform, set()))
+            self.assertEqual(await send_requests(platform), {200})
             self.assertTrue(near.heads)
 
         on_platform(check)
 
     def test_all_zones_evacuated_is_refused_at_once_and_has_not_run(self):
         async def check(platform):
-            workers = await two_zones(platform)
+            workers = await start_two_zones(platform)
             for zone in ('zone-a', 'zone-b'):
                 platform.store.put('evacuations', zone, {})
-            await wait_for(lambda: knows(platform, {'zone-a', 'zone-b'}))
+            await wait_for(lambda: have_evacuated(platform, {'zone-a', 'zone-b'}))
             answer = await platform.send('POST', '/p/x')
             self.assertEqual(answer.status_code, 503)
             self.assertIn('evacuated', answer.text)
@@ -217,13 +230,15 @@
 
         on_platform(check)
 
-    def test_work_in_flight_there_ends_by_itself(self):
+    def test_requests_in_flight_in_the_zone_finish(self):
         async def check(platform):
-            # Calls that a slow start piles up must not be refused for their target.
-            patient = config_spec(timeout=GENEROUS_SECONDS, target=GENEROUS_SECONDS)
-            platform.store.put('config', 'main', patient)
+            # Calls queued in a slow start must not be refused for their target latency.
+            long_timeouts = config_spec(
+                timeout=GENEROUS_SECONDS, target=GENEROUS_SECONDS
+            )
+            platform.store.put('config', 'main', long_timeouts)
             platform.deadline_ms = int(GENEROUS_SECONDS * 1000)
-            near, _ = await two_zones(platform)
+            near, _ = await start_two_zones(platform)
             near.work_seconds = 0.5
             answers = []
 
@@ -235,57 +250,59 @@
                     nursery.start_soon(ask)
                     await trio.sleep(0.05)
                 platform.store.put('evacuations', 'zone-a', {})
-                await wait_for(lambda: knows(platform, {'zone-a'}))
+                await wait_for(lambda: have_evacuated(platform, {'zone-a'}))
             self.assertEqual({answer.status_code for answer in answers}, {200})
             self.assertEqual(near.cancelled, [])
 
         on_platform(check)
 
-    def test_instance_that_starts_in_an_evacuation_knows_before_it_serves(self):
+    def test_instance_that_starts_in_an_evacuation_applies_it_first(self):
         async def check(platform):
             platform.store.put('evacuations', 'zone-a', {})
-            near, _ = await two_zones(platform)
-            self.assertEqual(await ask_all(platform), {200})
+            near, _ = await start_two_zones(platform)
+            self.assertEqual(await send_requests(platform), {200})
             self.assertEqual(near.heads, [])
 
         on_platform(check)
 
-    def test_instance_that_the_store_turns_away_learns_from_a_peer(self):
+    def test_instance_that_the_store_refuses_uses_a_peer(self):
         async def check(platform):
-            near, _ = await two_zones(platform, instances=2)
+            near, _ = await start_two_zones(platform, instances=2)
             second = platform.entries[1]
             await wait_for(lambda: len(second.instances.peer_by_id) == 1)
-            # What it asks of the store is not answered any more.
-            second.evacuations.source = second.assembler.backends.source = Turned()
+            # From here on the store refuses the reads of this instance.
+            second.evacuations.source = second.assembler.backends.source = (
+                RefusingSource()
+            )
             second.evacuations.mark_possibly_stale()
             platform.store.put('evacuations', 'zone-a', {})
             self.assertTrue(
-                await wait_at_most(5.0, lambda: knows(platform, {'zone-a'}))
+                await wait_at_most(5.0, lambda: have_evacuated(platform, {'zone-a'}))
             )
-            self.assertEqual(await ask_all(platform, entry=1), {200})
+            self.assertEqual(await send_requests(platform, entry=1), {200})
             self.assertEqual(near.heads, [])
 
         on_platform(check)
 
     def test_outage_of_the_store_changes_nothing(self):
         async def check(platform):
-            near, _ = await two_zones(platform)
+            near, _ = await start_two_zones(platform)
             platform.store.put('evacuations', 'zone-a', {})
-            await wait_for(lambda: knows(platform, {'zone-a'}))
+            await wait_for(lambda: have_evacuated(platform, {'zone-a'}))
             platform.store.faults.refuse_with = 503
             platform.store.forget_history()
             await wait_for(lambda: platform.entries[0].evacuations.is_lost)
-            self.assertEqual(await ask_all(platform), {200})
+            self.assertEqual(await send_requests(platform), {200})
             self.assertEqual(near.heads, [])
             platform.store.remove('evacuations', 'zone-a')
             platform.store.faults.refuse_with = 0
-            await wait_for(lambda: knows(platform, set()))
+            await wait_for(lambda: have_evacuated(platform, set()))
 
         on_platform(check)
 
 
-class Turned(ScriptedSource):
-    """A store that turns this instance away."""
+class RefusingSource(ScriptedSource):
+    """Source that fails as if the store refused this instance."""
 
     async def read_all(self, *, may_be_stale: bool = False):
         await trio.sleep(0)
--- a/tests/test_logs_buffer.py
+++ b/tests/test_logs_buffer.py
@@ -1,4 +1,4 @@
-"""Log lines are buffered, and none is lost in silence."""
+"""Buffering of log lines, and the report of dropped ones."""
 
 import logging
 import os
@@ -13,18 +13,18 @@
 
 
 class SlowWriter(LogWriter):
-    """Take a few bytes at once, and none until there is room."""
+    """Writer that accepts a few bytes at once, and none while it has no room."""
 
     def __init__(self):
-        self.taken = b''
+        self.written = b''
         self.has_room = True
 
     def write(self, data: bytes) -> int:
         part = data[:7] if self.has_room else b''
-        self.taken += part
+        self.written += part
         return len(part)
 
-    async def wait_for_room(self) -> None:
+    async def wait_writable(self) -> None:
         while not self.has_room:
             await trio.lowlevel.checkpoint()
 
@@ -33,13 +33,13 @@
 
 
 class CountingBuffer(LogBuffer):
-    """Count how often somebody looks for lines."""
+    """Buffer that counts how often lines are requested."""
 
-    looks = 0
+    reads = 0
 
-    def take(self, formatter: logging.Formatter, count: int) -> str:
-        self.looks += 1
-        return super().take(formatter, count)
+    def pop_lines(self, formatter: logging.Formatter, count: int) -> str:
+        self.reads += 1
+        return super().pop_lines(formatter, count)
 
 
 def new_logger(buffer: LogBuffer) -> logging.Logger:
@@ -49,19 +49,19 @@
 
 
 class LogBufferTest(unittest.TestCase):
-    """The buffer is bounded, and what finds no room is counted and told."""
+    """The buffer is bounded; dropped lines are counted and reported."""
 
-    def test_lines_without_room_are_counted_and_told_once(self):
+    def test_dropped_lines_are_counted_and_reported_once(self):
         buffer = LogBuffer(limit=2)
         logger = new_logger(buffer)
         for number in range(5):
             logger.info('part: line %d.', number)
-        self.assertEqual((buffer.taken, buffer.lost), (2, 3))
-        text = buffer.take(logging.Formatter(), 10)
+        self.assertEqual((buffer.accepted, buffer.dropped), (2, 3))
+        text = buffer.pop_lines(logging.Formatter(), 10)
         self.assertEqual(
-            text, 'part: line 0.\npart: line 1.\nlogs: 3 lines were lost, no room.\n'
+            text, 'part: line 0.\npart: line 1.\nlogs: buffer full, lines_dropped=3.\n'
         )
-        self.assertEqual(buffer.take(logging.Formatter(), 10), '')
+        self.assertEqual(buffer.pop_lines(logging.Formatter(), 10), '')
 
     def test_all_lines_are_written_whole_and_in_order_at_the_end(self):
         buffer, writer = LogBuffer(), SlowWriter()
@@ -80,9 +80,9 @@
                 nursery.cancel_scope.cancel()
 
         trio.run(main)
-        self.assertEqual(writer.taken.decode(), expected)
+        self.assertEqual(writer.written.decode(), expected)
 
-    def test_no_line_wakes_nobody_and_the_first_one_is_written_at_once(self):
+    def test_idle_flusher_sleeps_and_writes_the_first_line_at_once(self):
         buffer, writer = CountingBuffer(), SlowWriter()
 
         async def main():
@@ -90,15 +90,15 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(flusher.run)
                 await trio.sleep(100)
-                self.assertEqual(buffer.looks, 0)
+                self.assertEqual(buffer.reads, 0)
                 new_logger(buffer).info('part: a line.')
                 await trio.sleep(0.001)
-                self.assertEqual(writer.taken, b'part: a line.\n')
+                self.assertEqual(writer.written, b'part: a line.\n')
                 nursery.cancel_scope.cancel()
 
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def test_pipe_that_nobody_reads_holds_neither_the_loop_nor_the_end(self):
+    def test_unread_pipe_blocks_neither_the_loop_nor_the_shutdown(self):
         buffer = LogBuffer(limit=1000)
         logger = new_logger(buffer)
         reading, writing = os.pipe()
@@ -109,7 +109,7 @@
                 flusher = LogFlusher(buffer, open_writer(stream), logging.Formatter())
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(flusher.run)
-                    while not buffer.lost:
+                    while not buffer.dropped:
                         logger.info('part: %s.', 'x' * 1000)
                         await trio.lowlevel.checkpoint()
                     nursery.cancel_scope.cancel()
@@ -117,4 +117,4 @@
 
         clock = trio.testing.MockClock(autojump_threshold=0)
         self.assertTrue(trio.run(main, clock=clock))
-        self.assertGreater(buffer.lost, 0)
+        self.assertGreater(buffer.dropped, 0)
