--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: the real programs as processes, with faults from outside them."""
+"""Randomized soak test: instances as processes, with faults injected around them."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Run seeds of the soak: python -m soak --seeds 1 2 3 --seconds 20."""
+"""Run the soak test with seeds: python -m soak --seeds 1 2 3 --seconds 20."""
 
 import argparse
 import shutil
@@ -23,16 +23,16 @@
 WORKERS = 6
 INSTANCES = 3
 CALLERS = 9
-#: After the last fault, until requests must be answered as before.
+#: Seconds from the last fault until requests must be answered as before.
 RECOVERY_SECONDS = 6.0
 CHECKED_SECONDS = 2.0
-#: Requests under way when callers stop have their answers or timeouts by then.
+#: Seconds in which requests in flight when callers stop are answered or time out.
 SETTLE_SECONDS = 3.0
 
 
 @frozen
 class Result:
-    """One run: what was played, how much was asked, what was broken."""
+    """The outcome of one run: fault and request counts, and violations found."""
 
     seed: int
     faults: int
@@ -50,7 +50,7 @@
     has_rests: bool = False,
     has_restores: bool = False,
 ) -> Result:
-    """Run one seed."""
+    """Run the soak test with one seed, and keep the logs if a check failed."""
     random = Random(seed)
     with make_folder() as folder:
         async with trio.open_nursery() as nursery:
@@ -75,7 +75,7 @@
 
 
 async def play(world: World, seed: int, seconds: float) -> Result:
-    """Play faults while callers call, let all heal, and check."""
+    """Inject faults under load, wait for recovery, and run all checks."""
     await world.open(WORKERS, INSTANCES)
     callers = Callers(world, Random(seed))
     player = FaultPlayer(world)
@@ -116,25 +116,25 @@
 
 
 def main() -> int:
-    """Run the seeds that were asked for; return 1 if any broke a promise."""
+    """Run the seeds from the command line; return 1 if a check failed for any."""
     parser = argparse.ArgumentParser(prog='soak', description=__doc__)
     parser.add_argument('--seeds', type=int, nargs='*', help='Seeds to run.')
-    parser.add_argument('--fresh', type=int, default=0, help='How many new seeds.')
+    parser.add_argument('--fresh', type=int, default=0, help='Number of random seeds.')
     parser.add_argument(
-        '--seconds', type=float, default=15.0, help='Faults for so long.'
+        '--seconds', type=float, default=15.0, help='Duration of the faults.'
     )
     parser.add_argument('--keep', type=Path, help='Folder for logs of failed seeds.')
     parser.add_argument(
-        '--zones', action='store_true', help='Empty zones and turn servers cold, too.'
+        '--zones', action='store_true', help='Also evacuate zones and use cold servers.'
     )
     parser.add_argument(
-        '--needs', action='store_true', help='Let servers name rates, too.'
+        '--needs', action='store_true', help='Also let servers advertise rates.'
     )
     parser.add_argument(
-        '--rests', action='store_true', help='Let servers ask for rest, too.'
+        '--rests', action='store_true', help='Also let servers ask for rest periods.'
     )
     parser.add_argument(
-        '--restores', action='store_true', help='Bring the store back from copies, too.'
+        '--restores', action='store_true', help='Also restore the store from backups.'
     )
     arguments = parser.parse_args()
     seeds = list(arguments.seeds or ())
@@ -154,12 +154,12 @@
         failed += bool(result.broken)
         print(
             f'seed {result.seed}: {result.faults} faults, {result.requests} requests, '
-            f'{len(result.broken)} broken',
+            f'{len(result.broken)} violations',
             flush=True,
         )
         for line in result.broken[:10]:
             print(f'  {line}', flush=True)
-    print(f'{len(seeds) - failed} seeds held, {failed} broke a promise', flush=True)
+    print(f'{len(seeds) - failed} seeds passed, {failed} failed', flush=True)
     return 1 if failed else 0
 
 
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep connections until the process is gone, and what they saw."""
+"""Callers with keep-alive connections, and the outcomes of their requests."""
 
 from enum import Enum, auto, unique
 from random import Random
@@ -17,7 +17,7 @@
 
 @unique
 class Told(Enum):
-    """What a caller was told of a request."""
+    """The outcome of a request as its caller observed it."""
 
     ANSWERED = auto()
     NOT_RUN = auto()
@@ -27,7 +27,7 @@
 
 @define
 class Request:
-    """One request as its caller saw it; times are trio's."""
+    """One request as its caller observed it; times are those of the trio clock."""
 
     request_id: str
     is_idempotent: bool
@@ -40,7 +40,7 @@
 
 @define
 class Callers:
-    """Send requests to all instances and keep what came back."""
+    """Load generator that sends requests to all instances and records the outcomes."""
 
     world: World
     random: Random
@@ -49,7 +49,7 @@
     count: int = 0
 
     async def run(self, callers: int) -> None:
-        """Send until cancelled."""
+        """Send requests from a number of callers until cancelled."""
         async with trio.open_nursery() as nursery:
             for number in range(callers):
                 instances = self.world.instances
@@ -94,7 +94,7 @@
             wanted = f'answer to {request.request_id}'.encode()
             if answer.content != wanted:
                 self.violations.append(
-                    f'{request.request_id} got another answer: {answer.content[:60]}'
+                    f'{request.request_id} got a wrong answer: {answer.content[:60]}'
                 )
         elif answer.status_code in PROMISES:
             request.told = Told.NOT_RUN
--- a/soak/demo.py
+++ b/soak/demo.py
@@ -1,4 +1,4 @@
-"""Run instances on a stand-in of the users' platform, hurt them, say what came back.
+"""Demo: run instances on a stand-in platform, inject faults, and print the outcomes.
 
 python -m soak.demo
 """
@@ -24,7 +24,7 @@
 
 
 async def play(folder: Path) -> int:
-    """Serve callers through four changes; return 1 if a promise was broken."""
+    """Run the demo in a folder; return 1 if a guarantee was violated."""
     async with trio.open_nursery() as nursery:
         world = World(folder, nursery, Random(SEED))
         try:
@@ -37,7 +37,7 @@
 
 
 async def show(world: World) -> int:
-    """Print what callers were told after each step."""
+    """Make four changes under load and print the outcomes of requests after each."""
     await world.open(SERVERS, INSTANCES)
     callers = Callers(world, Random(SEED))
     killed = world.instances[-1]
@@ -46,24 +46,24 @@
         await wait_for(lambda: any(each.status == 200 for each in callers.requests))
         await tell(callers, f'{INSTANCES} instances, {SERVERS} servers')
         world.register(LEAVING, 'draining')
-        await tell(callers, f'{LEAVING} leaves')
+        await tell(callers, f'{LEAVING} is leaving')
         world.put_config()
         await tell(callers, 'a newer configuration')
         killed.send(signal.SIGKILL, 'killed')
-        await tell(callers, f'{killed.name} is killed; its callers do not move')
+        await tell(callers, f'{killed.name} is killed; its callers stay with it')
         killed.process.wait()
         killed.start()
-        await tell(callers, f'{killed.name} is back')
+        await tell(callers, f'{killed.name} is restarted')
         nursery.cancel_scope.cancel()
     await trio.sleep(STEP_SECONDS)
     broken = list(find_broken(world, callers))
-    print(f'{len(callers.requests)} requests, {len(broken)} broken promises')
+    print(f'{len(callers.requests)} requests, {len(broken)} violations')
     print('\n'.join(broken))
     return 1 if broken else 0
 
 
 async def tell(callers: Callers, what: str) -> None:
-    """Let callers call for a step and print what they were told."""
+    """Wait for one step and print the outcomes of its requests."""
     first = len(callers.requests)
     await trio.sleep(STEP_SECONDS)
     told = Counter(each.told for each in callers.requests[first:] if each.told)
@@ -72,7 +72,7 @@
 
 
 def main() -> int:
-    """Run the demo; return 0 when everything that must hold held."""
+    """Run the demo; return 0 if all guarantees held."""
     with make_folder() as folder:
         return trio.run(play, Path(folder))
 
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults in series and overlapping, drawn from a seed."""
+"""Sequential and overlapping faults, drawn from a seeded generator."""
 
 import signal
 from collections.abc import Awaitable, Callable
@@ -13,11 +13,13 @@
 
 RESTART_SECONDS = 0.3
 SHORT_SECONDS = (0.2, 2.0)
-#: Before its first line no program can ignore a signal whose default ends it.
+#: Startup time of the interpreter, in seconds. A program cannot ignore a signal that
+#: ends it by default before its first line runs.
 INTERPRETER_SECONDS = 0.05
-#: Faults that run at the same time.
+#: Maximum number of faults that are active at the same time.
 MOST_AT_ONCE = 3
-#: Faults of the store or of an instance's time, which excuse what is late.
+#: Faults that make the store unreachable or slow, or stop an instance. They excuse
+#: late reactions.
 DISTURBING = frozenset(
     {
         'pause',
@@ -29,13 +31,13 @@
         'kill',
     }
 )
-#: Faults after which an instance learns anew what servers named.
+#: Faults after which an instance has to receive the advertised rates of servers again.
 RESTARTING = frozenset({'pause', 'stop', 'kill'})
 
 
 @define
 class FaultPlayer:
-    """Play faults until told to end, then wait until all are over."""
+    """Injector of random faults into links, servers, instances and the store."""
 
     world: World
     played: list[str] = Factory(list)
@@ -43,7 +45,7 @@
     limiter: trio.CapacityLimiter = Factory(lambda: trio.CapacityLimiter(MOST_AT_ONCE))
 
     async def run(self, seconds: float) -> None:
-        """Play faults for some seconds."""
+        """Inject faults for some seconds, then wait until all have ended."""
         end = trio.current_time() + seconds
         async with trio.open_nursery() as nursery:
             while trio.current_time() < end:
@@ -81,37 +83,38 @@
 
     def _instance(self) -> Instance | None:
         free = [each for each in self.world.instances if not each.may_end]
-        # One instance at least goes on.
+        # At least one instance keeps running.
         return self.world.random.choice(free) if len(free) > 1 else None
 
     async def _for_a_while(self) -> None:
         await trio.sleep(self.world.random.uniform(*SHORT_SECONDS))
 
     async def kill(self) -> None:
-        """Kill an instance and start it again."""
+        """Kill an instance with SIGKILL and restart it."""
         instance = self._instance()
         if instance is not None:
             instance.send(signal.SIGKILL, 'killed')
             await self._start_again(instance)
 
     async def stop(self) -> None:
-        """Stop an instance as planned; it must end by itself in time."""
+        """Stop an instance with SIGTERM, check its exit, and restart it."""
         instance = self._instance()
         if instance is None:
             return
         expected = {0, -signal.SIGKILL}
         if not await self._listens(instance):
-            # Nothing was taken on yet, so the signal's default cuts nothing.
+            # The instance has accepted no request yet, so the default action of the
+            # signal interrupts none.
             expected.add(-signal.SIGTERM)
         instance.send(signal.SIGTERM, 'stopped')
         with trio.move_on_after(2 * STOP_SECONDS) as scope:
             await self._wait_for_end(instance)
         if scope.cancelled_caught:
-            self.violations.append(f'{instance.name} did not end after SIGTERM')
+            self.violations.append(f'{instance.name} did not exit after SIGTERM')
             instance.send(signal.SIGKILL)
         elif instance.process.returncode not in expected:
             code = instance.process.returncode
-            self.violations.append(f'{instance.name} ended with {code} after SIGTERM')
+            self.violations.append(f'{instance.name} exited with {code} after SIGTERM')
         await self._start_again(instance)
 
     async def _listens(self, instance: Instance) -> bool:
@@ -134,7 +137,7 @@
         instance.start()
 
     async def pause(self) -> None:
-        """Freeze an instance and let it go on."""
+        """Suspend an instance with SIGSTOP for a while, then resume it."""
         instance = self._instance()
         if instance is None or instance.is_paused:
             return
@@ -145,7 +148,7 @@
         instance.is_paused = False
 
     async def hang_up(self) -> None:
-        """Tell an instance that its settings changed."""
+        """Send SIGHUP to an instance, which makes it reload its settings."""
         instance = self._instance()
         if instance is None or instance.process.poll() is not None:
             return
@@ -159,32 +162,32 @@
         await link.set_fault(LinkFault.NONE)
 
     async def cut_store(self) -> None:
-        """Break the link of one instance to the store."""
+        """Break the link between one instance and the store for a while."""
         await self._break_link(
             self.world.random.choice(self.world.instances).store_link
         )
 
     async def cut_worker(self) -> None:
-        """Break the link of all instances to one server."""
+        """Break the link between all instances and one server for a while."""
         links = list(self.world.link_by_worker.values())
         await self._break_link(self.world.random.choice(links))
 
     async def break_worker(self) -> None:
-        """Let a server shed, reset, cut, mix up or swallow requests."""
+        """Make a server shed, reset, truncate, mix up or drop requests for a while."""
         worker = self.world.random.choice(list(self.world.worker_by_id.values()))
         worker.fault = self.world.random.choice(list(Fault))
         await self._for_a_while()
         worker.fault = Fault.NONE
 
     async def slow_worker(self) -> None:
-        """Let a server take some times as long."""
+        """Slow a server down by a factor of 2, 4 or 20 for a while."""
         worker = self.world.random.choice(list(self.world.worker_by_id.values()))
         worker.percent = self.world.random.choice((200, 400, 2000))
         await self._for_a_while()
         worker.percent = 100
 
     async def drain_worker(self) -> None:
-        """Let a server announce that it leaves, go, and come back as ready."""
+        """Register a server as draining, remove it, and register it as ready again."""
         server_id = self.world.random.choice(list(self.world.worker_by_id))
         self.world.register(server_id, 'draining')
         await self._for_a_while()
@@ -193,22 +196,22 @@
         self.world.register(server_id, 'ready')
 
     async def refuse_store(self) -> None:
-        """Let the store refuse all calls."""
+        """Make the store refuse all calls for a while."""
         faults = self.world.store.faults
         faults.refuse_with = self.world.random.choice((429, 503))
         await self._for_a_while()
         faults.refuse_with = 0
 
     async def slow_store(self) -> None:
-        """Let the store take its time."""
+        """Delay the answers of the store for a while."""
         self.world.store.faults.delay = self.world.random.uniform(0.1, 1.5)
         await self._for_a_while()
         self.world.store.faults.delay = 0.0
 
     async def forget_history(self) -> None:
-        """Let the store drop its history."""
+        """Make the store drop its history."""
         self.world.store.forget_history()
 
     async def change_config(self) -> None:
-        """Write a newer configuration."""
+        """Write a newer configuration into the store."""
         self.world.put_config()
--- a/soak/links.py
+++ b/soak/links.py
@@ -11,40 +11,40 @@
 
 @unique
 class LinkFault(Enum):
-    """What a link does to the bytes of its connections."""
+    """A fault that a link applies to its connections."""
 
     NONE = auto()
-    #: Bytes come late.
+    #: Data is delayed.
     DELAY = auto()
-    #: Connections are reset, open ones too.
+    #: New and open connections are reset.
     RESET = auto()
-    #: Requests arrive and no answer comes back.
+    #: Requests are forwarded, but answers are held back.
     CUT_ANSWERS = auto()
-    #: Nothing arrives on either side.
+    #: Data is held back in both directions.
     SILENCE = auto()
 
 
 @define(eq=False)
 class Link:
-    """One port that leads to another one."""
+    """A proxy that forwards connections from its own port to a target port."""
 
     target_port: int
     port: int = 0
     fault: LinkFault = LinkFault.NONE
     healed: trio.Event = Factory(trio.Event)
-    #: When faults began and ended.
+    #: Start and end times of past faults.
     spans: list[tuple[float, float]] = Factory(list)
     began: float = 0.0
     streams: set[trio.SocketStream] = Factory(set)
 
     async def open(self, nursery: trio.Nursery) -> None:
-        """Listen on a port that the kernel chooses."""
+        """Start to listen on a port that the kernel chooses."""
         listeners = await trio.open_tcp_listeners(0, host='127.0.0.1')
         self.port = listeners[0].socket.getsockname()[1]
         nursery.start_soon(trio.serve_listeners, self._serve, listeners)
 
     async def set_fault(self, fault: LinkFault) -> None:
-        """Play a fault from now on."""
+        """Apply a fault to all connections, or end the current one with `NONE`."""
         now = trio.current_time()
         if self.fault is LinkFault.NONE:
             self.began = now
@@ -59,7 +59,7 @@
                 await trio.aclose_forcefully(stream)
 
     def was_faulty(self, began: float, ended: float) -> bool:
-        """Tell whether bytes may not have come through in a span of time."""
+        """Return whether the link had a fault within a span of time."""
         return any(start < ended and began < end for start, end in self.spans)
 
     async def _serve(self, near: trio.SocketStream) -> None:
@@ -74,7 +74,7 @@
                 await self._pump(far, near, True)
                 nursery.cancel_scope.cancel()
         except* (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
-            # The other side's end is part of the play.
+            # Either side may close or reset the connection as part of a fault.
             pass
         finally:
             self.streams.discard(near)
--- a/soak/needs.py
+++ b/soak/needs.py
@@ -1,4 +1,4 @@
-"""Servers that name the rate that they take, beside all other faults."""
+"""Servers that advertise the request rate that they accept, beside other faults."""
 
 from collections.abc import Iterator
 from random import Random
@@ -10,18 +10,18 @@
 from standins.workers import most_within
 
 WINDOW_SECONDS = 4.0
-#: From so long after the first naming the bound holds.
+#: Seconds after the first advertised rate from which the bound holds.
 STABLE_SECONDS = 3.0
 NEED_SECONDS = (6.0, 12.0)
 PAUSE_SECONDS = (0.3, 1.5)
 RATES = (b'0.1', b'0.5', b'1', b'1.2', b'3')
-#: In need at the same time.
+#: Number of servers that are throttled at the same time.
 MOST_IN_NEED = 3
 
 
 @frozen
 class Need:
-    """A span in which a server named rates; times are those of the loop."""
+    """A span in which a server advertised rates; times are those of the trio clock."""
 
     server_id: str
     began: float
@@ -30,20 +30,20 @@
 
     @property
     def bound(self) -> float:
-        """Return the requests that the server gets in any window."""
+        """Return the maximum number of requests for the server in any window."""
         return 1.5 * self.most_per_second * WINDOW_SECONDS + 5
 
 
 @define
 class NeedPlayer:
-    """Let some servers name rates, change them, and end their need."""
+    """Player that lets some servers advertise rates, change them and withdraw them."""
 
     world: World
     random: Random
     needs: list[Need] = Factory(list)
 
     async def run(self, seconds: float) -> None:
-        """Play for some seconds; all needs end then."""
+        """Throttle servers for some seconds, then withdraw all advertised rates."""
         async with trio.open_nursery() as nursery:
             for _ in range(MOST_IN_NEED):
                 nursery.start_soon(self._play, trio.current_time() + seconds)
@@ -68,16 +68,16 @@
         self.needs.append(Need(server_id, began, trio.current_time(), most))
 
     def broken(self) -> Iterator[str]:
-        """Yield which servers got more than their bound."""
+        """Yield a violation for each server that got more requests than its bound."""
         for need in self.needs:
             worker = self.world.worker_by_id[need.server_id]
             since = need.began + STABLE_SECONDS
             came = [at for at in worker.arrived_at if since <= at < need.ended]
-            # What an instance sends that started or woke just then is excused.
+            # Requests from an instance that has just started or resumed are excused.
             came = [at for at in came if not self.world.was_restarted(at)]
             most = most_within(WINDOW_SECONDS, came)
             if most > need.bound:
                 yield (
                     f'{need.server_id} got {most} requests in {WINDOW_SECONDS:g} s '
-                    f'while it named {need.most_per_second:g} a second at most'
+                    f'while it advertised at most {need.most_per_second:g} a second'
                 )
--- a/soak/restores.py
+++ b/soak/restores.py
@@ -1,4 +1,4 @@
-"""A store that comes back from a copy some seconds old, beside all other faults."""
+"""A store that is restored from a backup some seconds old, beside other faults."""
 
 from random import Random
 
@@ -11,20 +11,21 @@
 PAUSE_SECONDS = (1.0, 3.0)
 COPY_AGE_SECONDS = (0.5, 4.0)
 WRITTEN_AGAIN_SECONDS = (0.1, 1.5)
-#: What operators and servers wrote is written again; the rest is the instances' own.
+#: Kinds of objects that operators and servers write, and write again after a restore.
+#: The instances write the other kinds.
 WRITTEN_AGAIN_KINDS = frozenset({'config', 'evacuations', 'servers'})
 
 
 @define
 class RestorePlayer:
-    """Let the store lose the last seconds, with and without saying so to watches."""
+    """Player that restores backups of the store, with or without notifying watches."""
 
     world: World
     random: Random
     restores: int = 0
 
     async def run(self, seconds: float) -> None:
-        """Play for some seconds; all is written again then."""
+        """Restore backups for some seconds, writing lost objects again after each."""
         end = trio.current_time() + seconds
         store = self.world.store
         store.era = 1
--- a/soak/rests.py
+++ b/soak/rests.py
@@ -1,4 +1,4 @@
-"""Servers that turn all away and ask for rest, beside all other faults."""
+"""Servers that reject all requests and ask for rest periods, beside other faults."""
 
 from collections.abc import Iterator
 from random import Random
@@ -13,21 +13,22 @@
 RESTS = (b'1', b'2', b'3.5')
 SPAN_SECONDS = (2.0, 5.0)
 PAUSE_SECONDS = (0.3, 1.5)
-#: What was on its way as a server asked does not count.
+#: Seconds after the start of a rest period in which requests do not count, because
+#: they were in flight when the server asked for it.
 ON_THE_WAY_SECONDS = 0.5
 MOST_IN_REST = 2
 
 
 @define
 class RestPlayer:
-    """Let one server after the other turn all away for a while, and ask for rest."""
+    """Player that lets servers in turn reject all requests and ask for rest."""
 
     world: World
     random: Random
     callers: Callers
 
     async def run(self, seconds: float) -> None:
-        """Play for some seconds; all servers take requests again then."""
+        """Play rest periods for some seconds; no server rests afterwards."""
         end = trio.current_time() + seconds
         while trio.current_time() < end:
             await trio.sleep(self.random.uniform(*PAUSE_SECONDS))
@@ -37,7 +38,7 @@
             worker.fault, worker.rest = Fault.NONE, None
 
     def broken(self) -> Iterator[str]:
-        """Yield what servers got from instances that they had asked for rest."""
+        """Yield a violation for each rest period in which an instance sent too much."""
         instance_by_id = {it.request_id: it.instance for it in self.callers.requests}
         for server_id, worker in self.world.worker_by_id.items():
             came = [(at, instance_by_id.get(name)) for at, name in worker.arrivals]
@@ -48,10 +49,10 @@
                 since, until = asked.at + ON_THE_WAY_SECONDS, asked.at + asked.seconds
                 most = sum(since < at < until and it == instance for at, it in came)
                 if most > MOST_IN_REST:
-                    yield f'{server_id} got {most} requests in a rest from {instance}'
+                    yield f'{server_id}: {most} requests in a rest from {instance}'
 
     def _is_excused(self, server_id: str, asked: TurnedAway) -> bool:
-        """Tell whether the instance may not have been told, or started since."""
+        """Return whether a lost answer or a restarted instance excuses requests."""
         link = self.world.link_by_worker[server_id]
         until = asked.at + asked.seconds
         return link.was_faulty(asked.at, until) or any(
--- a/soak/world.py
+++ b/soak/world.py
@@ -1,4 +1,4 @@
-"""The soaked system: stand-ins and links in this process, instances as processes."""
+"""The system under test: stand-ins, links, and instances as separate processes."""
 
 import os
 import signal
@@ -21,9 +21,11 @@
 STEP_SECONDS = 0.02
 STOP_SECONDS = 6.0
 MODULE = 'catkinslip.platform'
-#: The split of one route gives the second service a tenth.
+#: Services of the servers, in turn. The traffic split of one route sends a tenth of the
+#: requests to the second service.
 SERVICES = ('one', 'one', 'two')
-#: What a cold server bears in a second, and what all instances may send it.
+#: Requests per second that a cold server can handle. The factor and the offset below
+#: bound how many requests all instances together may send to a cold server.
 COLD_PER_SECOND = 4.0
 COLD_EXCESS = 1.5
 COLD_SLACK = 8.0
@@ -44,13 +46,13 @@
     log_path: Path
     store_link: Link
     process: subprocess.Popen | None = None
-    #: Why the process may end; empty while it must not.
+    #: The reason why the process may exit; empty while it must keep running.
     may_end: str = ''
     is_paused: bool = False
     started_at: float = 0.0
 
     def start(self) -> None:
-        """Start the process; its log goes on in the same file."""
+        """Start the process and append its log to the same file."""
         self.may_end = ''
         self.started_at = trio.current_time()
         with self.log_path.open('ab') as log:
@@ -68,20 +70,20 @@
             )
 
     def send(self, number: signal.Signals, may_end: str = '') -> None:
-        """Send the process a signal."""
+        """Send a signal to the process if it is running."""
         if self.process.poll() is None:
             self.may_end = may_end or self.may_end
             self.process.send_signal(number)
 
     def end(self) -> None:
-        """End the process, which the soak started."""
-        self.send(signal.SIGKILL, 'end of the soak')
+        """Kill the process and wait for its exit."""
+        self.send(signal.SIGKILL, 'end of the soak test')
         self.process.wait()
 
 
 @define
 class World:
-    """Everything of one run."""
+    """All stand-ins, links and instances of one run."""
 
     folder: Path
     nursery: trio.Nursery
@@ -93,21 +95,23 @@
     instances: list[Instance] = Factory(list)
     store_port: int = 0
     version: int = 0x10
-    #: Whether there are two zones, and servers that may be cold.
+    #: Whether the run has two zones, and servers that may be cold.
     has_zones: bool = False
-    #: Whether some servers name the rate that they take.
+    #: Whether some servers advertise the rate that they accept.
     has_needs: bool = False
-    #: Whether some servers turn all away and ask for rest.
+    #: Whether some servers reject all requests and ask for rest periods.
     has_rests: bool = False
-    #: Whether the store comes back from copies.
+    #: Whether the store is restored from backups.
     has_restores: bool = False
-    #: When the store was away or an instance stood still.
+    #: Start and end times of spans in which the store was disturbed or an instance was
+    #: stopped or paused.
     disturbances: list[tuple[float, float]] = Factory(list)
-    #: When an instance was away or stood still, and learned anew what there is.
+    #: Start and end times of spans in which an instance was stopped or paused, and then
+    #: received its state again.
     restarts: list[tuple[float, float]] = Factory(list)
 
     async def open(self, workers: int, instances: int) -> None:
-        """Start everything and wait until an instance answers callers."""
+        """Start the store, the servers and the instances."""
         self.put_config()
         ports: list[int] = []
         self.nursery.start_soon(serve_objects, self.store, ports.append)
@@ -120,7 +124,7 @@
             await self.add_instance(f'edge-{number}')
 
     def put_config(self) -> None:
-        """Write a newer configuration."""
+        """Write a newer configuration into the store."""
         self.version += self.random.randint(1, 9)
         cold_per_s = COLD_PER_SECOND if self.has_zones else None
         spec = config_spec(f'{self.version:08x}', cold_per_s=cold_per_s)
@@ -139,7 +143,7 @@
         self.register(server_id, 'ready')
 
     def register(self, server_id: str, state: str) -> None:
-        """Write a server's entry into the store."""
+        """Write the registration of a server into the store."""
         port = self.link_by_worker[server_id].port
         service = self.service_by_worker[server_id]
         zone = self.zone_of(server_id)
@@ -147,29 +151,29 @@
         self.store.put('servers', server_id, item['spec'], item['status'])
 
     def zone_of(self, server_id: str) -> str:
-        """Return the zone of a server: every second one stands in another."""
+        """Return the zone of a server; with two zones, odd ones are in the second."""
         is_other = self.has_zones and int(server_id.rpartition('-')[2]) % 2
         return 'zone-b' if is_other else 'zone-a'
 
     def zone_workers(self, zone: str) -> list[str]:
-        """Return the servers of a zone."""
+        """Return the names of the servers in a zone."""
         return [name for name in self.worker_by_id if self.zone_of(name) == zone]
 
     @property
     def cold_bound(self) -> float:
-        """Return the requests that a cold server gets in any second."""
+        """Return the maximum number of requests for a cold server in any second."""
         return COLD_PER_SECOND * COLD_EXCESS + COLD_SLACK
 
     def was_disturbed(self, began: float, ended: float) -> bool:
-        """Tell whether something excuses an instance in a span of time."""
+        """Return whether a disturbance overlaps a span of time."""
         return any(start < ended and began < end for start, end in self.disturbances)
 
     def was_restarted(self, at: float) -> bool:
-        """Tell whether an instance was away then, or had just come back."""
+        """Return whether an instance was restarting or had just restarted at a time."""
         return any(began <= at < ended for began, ended in self.restarts)
 
     async def add_instance(self, name: str) -> None:
-        """Start an instance with a link of its own to the store."""
+        """Start an instance that has its own link to the store."""
         link = Link(self.store_port)
         await link.open(self.nursery)
         ports = dict(zip(PORT_NAMES, free_ports(len(PORT_NAMES)), strict=True))
@@ -189,17 +193,17 @@
         self.instances.append(instance)
 
     def runs(self, request_id: str) -> int:
-        """Return how often a request ran, on all servers."""
+        """Return how many times a request ran on all servers together."""
         workers = self.worker_by_id.values()
         return sum(worker.runs_by_request[request_id] for worker in workers)
 
 
 async def wait_for(condition) -> None:
-    """Wait until a condition holds."""
+    """Poll a condition until it holds."""
     while not condition():
         await trio.sleep(STEP_SECONDS)
 
 
 def make_folder() -> tempfile.TemporaryDirectory:
-    """Return a folder for settings and logs that ends with the run."""
+    """Return a temporary folder for settings and logs, removed after the run."""
     return tempfile.TemporaryDirectory(prefix='soak-')
--- a/soak/zones.py
+++ b/soak/zones.py
@@ -1,4 +1,4 @@
-"""Zones that are emptied and servers that turn cold, beside all other faults."""
+"""Zones that are evacuated and servers that turn cold, beside other faults."""
 
 from collections.abc import Iterator
 from random import Random
@@ -9,18 +9,18 @@
 from soak.world import World
 
 ZONE = 'zone-b'
-#: Later than this after it was written an evacuation must be obeyed.
+#: Seconds after an evacuation was written from which instances must obey it.
 BOUND_SECONDS = 5.0
 EVACUATED_SECONDS = (6.0, 9.0)
 PAUSE_SECONDS = (0.3, 1.5)
 COLD_SECONDS = 3.0
-#: A paused instance or a store that is away excuses for so long after it, too.
+#: Seconds for which a disturbance still excuses instances after it has ended.
 STABLE_SECONDS = 3.0
 
 
 @frozen
 class Evacuation:
-    """A zone that was emptied for a while; times are those of the loop."""
+    """The start and end of one zone evacuation; times are those of the trio clock."""
 
     began: float
     ended: float
@@ -28,14 +28,14 @@
 
 @define
 class ZonePlayer:
-    """Empty a zone, take it back cold, and turn single servers cold."""
+    """Player that evacuates a zone, brings its servers back cold, and cools others."""
 
     world: World
     random: Random
     evacuations: list[Evacuation] = Factory(list)
 
     async def run(self, seconds: float) -> None:
-        """Play for some seconds, and leave no zone empty."""
+        """Evacuate the zone repeatedly for some seconds; leave it in use."""
         end = trio.current_time() + seconds
         while trio.current_time() < end:
             await trio.sleep(self.random.uniform(*PAUSE_SECONDS))
@@ -52,7 +52,7 @@
             self.world.worker_by_id[name].turn_cold(COLD_SECONDS)
 
     def broken(self) -> Iterator[str]:
-        """Yield what servers got that they must not get."""
+        """Yield a violation for each server that got requests beyond the limits."""
         for name, worker in self.world.worker_by_id.items():
             most = worker.most_cold_arrivals()
             if most > self.world.cold_bound:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded run of the soak, and the checks against planted faults."""
+"""Short seeded runs of the soak test, and its checks against planted violations."""
 
 import unittest
 from functools import partial
@@ -17,10 +17,11 @@
 from standins.processes import ROOT
 from standins.workers import TurnedAway, Worker
 
-#: The second refused everything for ever once probes were answered late.
+#: With the second seed, instances once refused all requests for ever after late answers
+#: to probes.
 SEEDS = (1, 996292712)
 SECONDS = 3.0
-#: One evacuation at least is longer than the time within which it must be obeyed.
+#: At least one evacuation lasts longer than the time within which it must be obeyed.
 ZONE_SEED = 932196027
 ZONE_SECONDS = 8.0
 NEED_SEED = 1
@@ -31,7 +32,7 @@
 
 
 class World:
-    """A world in which each request ran as often as is planted."""
+    """A world in which every request ran a given number of times."""
 
     def __init__(self, runs: int) -> None:
         self.planted = runs
@@ -41,7 +42,7 @@
 
 
 def callers_with(told: Told, is_idempotent: bool = False) -> Callers:
-    """Return callers with one request that ended in a way."""
+    """Return callers with one request that has the given outcome."""
     callers = Callers(None, Random(1))
     request = Request('r1', is_idempotent, 'edge-0', 1.0, told, ended_at=2.0)
     callers.requests.append(request)
@@ -49,7 +50,7 @@
 
 
 class ChecksTest(unittest.TestCase):
-    """Each broken promise is found."""
+    """The checks of single requests find each violation."""
 
     def broken(self, runs: int, told: Told, is_idempotent: bool = False) -> list[str]:
         return list(find_broken(World(runs), callers_with(told, is_idempotent)))
@@ -71,7 +72,7 @@
 
 
 class ZoneChecksTest(unittest.TestCase):
-    """Broken promises about zones and cold servers are found."""
+    """The checks of zones and cold servers find each violation."""
 
     def player(self, arrived_at: list[float], cold: list[float]) -> ZonePlayer:
         world = SoakWorld(None, None, Random(1), has_zones=True)
@@ -95,7 +96,7 @@
 
 
 class NeedChecksTest(unittest.TestCase):
-    """Too much for a server in need is found."""
+    """The checks of throttled servers find requests beyond the bound."""
 
     def player(self, arrived_at: list[float]) -> NeedPlayer:
         world = SoakWorld(None, None, Random(1))
@@ -116,10 +117,10 @@
 
 
 class RestTest(unittest.TestCase):
-    """What breaks a rest, and what excuses it."""
+    """The checks of rest periods find violations and accept excuses."""
 
     def player(self, *came_at: float) -> RestPlayer:
-        """Return a player of one server that asked for 3 s of rest at 10."""
+        """Return a player with one server that asked for a 3 s rest period at 10 s."""
         callers = Callers(None, Random(1))
         callers.requests = [
             Request(f'r{at}', False, 'edge-0', at) for at in (10.0, *came_at)
@@ -146,7 +147,7 @@
 
 
 class SoakTest(unittest.TestCase):
-    """Seeds that hold."""
+    """Runs of the soak test that must pass."""
 
     def test_seeds_hold(self):
         for seed in SEEDS:
