--- a/model/__init__.py
+++ b/model/__init__.py
@@ -1,1 +1,1 @@
-"""The specification of the core protocol and its checker."""
+"""Formal specifications of the core protocols, and their checker."""
--- a/model/__main__.py
+++ b/model/__main__.py
@@ -1,4 +1,4 @@
-"""Check every specification; end with a line that counts what was found."""
+"""Check every specification, and print a summary line at the end."""
 
 import sys
 import time
@@ -32,21 +32,21 @@
 
 @define
 class Summary:
-    """What was found in all specifications."""
+    """Counts of the properties, mutants and mistakes of all specifications."""
 
     properties: int = 0
     guards: int = 0
     mistakes: int = 0
 
     def check(self, kind: type[Specification]) -> None:
-        """Check one specification and print what was found."""
+        """Check one specification and its mutants, and print the results."""
         self._check_proof(kind())
         for name, guard in kind.guard_by_name.items():
             self.guards += 1
             run = find_counterexample(kind(without=name))
             if run is None:
                 self.mistakes += 1
-                print(f'  SURVIVES without {name}: {guard.breaks!r} was not broken')
+                print(f'  SURVIVES without {name}: {guard.breaks!r} was not violated')
                 continue
             steps = ', '.join(run.actions())
             print(f'  refuted without {name} ({guard.reason}),')
@@ -75,7 +75,7 @@
 
 
 def main() -> int:
-    """Check all; return 0 when each proof holds and each mutant is refuted."""
+    """Check all specifications; return 0 if all proofs hold and mutants are refuted."""
     summary = Summary()
     began = time.monotonic()
     for kind in SPECIFICATIONS:
--- a/model/checker.py
+++ b/model/checker.py
@@ -1,7 +1,7 @@
 """Check specifications with z3.
 
 An inductive invariant proves the properties for runs of any length; a bounded
-search finds a shortest run that breaks a mutant.
+search finds a shortest run in which a mutant violates a property.
 https://z3prover.github.io/papers/programmingz3.html
 """
 
@@ -14,14 +14,14 @@
 from model.specification import Action, Specification, State
 
 MAX_STEPS = 18
-#: Width of all numbers, which are signed and small.
+#: Width in bits of all numbers, which are signed and small.
 BITS = 8
 Values = dict[str, Any]
 
 
 @frozen
 class Step:
-    """One step of a run and the values after it."""
+    """One step of a run, with the values of all variables after the step."""
 
     action: str
     values: Values
@@ -29,23 +29,23 @@
 
 @frozen
 class Run:
-    """A run from the first state to one that was looked for."""
+    """A run from the initial state to a state that satisfies a condition."""
 
     steps: tuple[Step, ...]
 
     def actions(self) -> tuple[str, ...]:
-        """Return the names of the steps."""
+        """Return the names of the actions of all steps."""
         return tuple(step.action for step in self.steps)
 
 
 def find_gaps(specification: Specification) -> list[str]:
-    """Return what keeps the invariant from proving the properties; none if it does."""
+    """Return the gaps in the inductive proof of the properties; empty if it holds."""
     values = specification.initial_values()
     before, later = make_state(values, 'before'), make_state(values, 'later')
     first = [before[name] == value for name, value in values.items()]
     invariant = specification.invariant(before)
     gaps = [
-        f'{name} does not hold at the start'
+        f'{name} does not hold in the initial state'
         for name, holds in invariant.items()
         if not follows(first, holds)
     ]
@@ -59,7 +59,7 @@
         step = [later[name] == reached[name] for name in later]
         facts = [*invariant.values(), action.guard, *step]
         gaps.extend(
-            f'{action.name} does not keep {name}'
+            f'{action.name} does not preserve {name}'
             for name, holds in specification.invariant(later).items()
             if not follows(facts, holds)
         )
@@ -67,14 +67,14 @@
 
 
 def follows(facts: list[z3.BoolRef], conclusion: z3.BoolRef) -> bool:
-    """Tell whether a conclusion follows from facts."""
+    """Return whether a conclusion follows from facts."""
     solver = z3.SolverFor('QF_FD')
     solver.add(*facts, z3.Not(conclusion))
     return solver.check() == z3.unsat
 
 
 def find_counterexample(specification: Specification) -> Run | None:
-    """Return a shortest run of a mutant that breaks what its guard keeps."""
+    """Return a shortest run of a mutant that violates the guarded property."""
     broken = specification.guard_by_name[specification.without].breaks
     return find_run(
         specification, lambda state: z3.Not(specification.properties(state)[broken])
@@ -84,7 +84,7 @@
 def find_run(
     specification: Specification, reached: Callable[[State], z3.BoolRef]
 ) -> Run | None:
-    """Return a shortest run to such a state, up to `MAX_STEPS`."""
+    """Return a shortest run to a state where a condition holds, up to `MAX_STEPS`."""
     solver = z3.SolverFor('QF_FD')
     values = specification.initial_values()
     states = [make_state(values, 'at0')]
@@ -99,7 +99,7 @@
 
 
 def add_step(solver, specification, before, later, length: int) -> list[str]:
-    """Let one of the actions lead from one state to the next; return their names."""
+    """Add the constraints of one step to a solver; return the names of the actions."""
     chosen = z3.BitVec(f'action{length}', BITS)
     actions = list(specification.actions(before))
     for index, action in enumerate(actions):
@@ -111,7 +111,7 @@
 
 
 def read_run(model, states, names) -> Run:
-    """Read the run that a solver found."""
+    """Return the run that a model of the solver describes."""
     steps = []
     for index, known in enumerate(names):
         chosen = model.eval(z3.BitVec(f'action{index}', BITS)).as_long()
@@ -124,7 +124,7 @@
 
 
 def make_state(values: Values, suffix: str) -> dict[str, z3.ExprRef]:
-    """Return variables for one state."""
+    """Return the solver variables of one state."""
     return {
         name: z3.Bool(f'{name}_{suffix}')
         if isinstance(value, bool)
@@ -134,7 +134,7 @@
 
 
 def after(state, action: Action) -> dict[str, z3.ExprRef]:
-    """Return the values after an action; what it does not set stays."""
+    """Return all values after an action; variables without an update keep theirs."""
     unknown = set(action.updates) - set(state)
     if unknown:
         raise KeyError(f'{action.name} sets {sorted(unknown)}')
@@ -144,12 +144,12 @@
 
 
 def constant(value: Any) -> z3.ExprRef:
-    """Return a value as an expression."""
+    """Return a value as a solver expression."""
     if isinstance(value, bool):
         return z3.BoolVal(value)
     return z3.BitVecVal(value, BITS) if isinstance(value, int) else value
 
 
 def plain(value: z3.ExprRef) -> int | bool:
-    """Return a value of a model."""
+    """Return a value of a solver model as a Python value."""
     return value.as_long() if z3.is_bv_value(value) else z3.is_true(value)
--- a/model/config_changes.py
+++ b/model/config_changes.py
@@ -1,8 +1,8 @@
 """Operators change the configuration: races, lost answers, stale reads, late writes.
 
-Each operator makes one change. The platform's object has a version, counted by
-every write, and the number of its last change; its head lists the changes, so a
-reader sees whether one of them is its own. Writes may be late and delivered twice.
+Each operator makes one change. The object on the platform has a version, which every
+write increments, and the number of its last change. Its head lists the changes, so a
+reader can find its own change there. Writes may be late and delivered twice.
 """
 
 from collections.abc import Iterator
@@ -16,13 +16,13 @@
 OPERATORS = range(3)
 MOST_WRITES = 20
 
-TOLD_TRUE = 'what operators are told stays true'
+TOLD_TRUE = 'answers to operators stay true'
 ONE_CHANGE = 'one change per number'
 ONCE = 'a change is accepted once'
 
 
 class Told(IntEnum):
-    """What an operator was told of the change."""
+    """The answer that an operator received for the change."""
 
     NOTHING = 0
     ACCEPTED = 1
@@ -33,19 +33,19 @@
 
 @define
 class ConfigChangeSpecification(Specification):
-    """Conditional writes, and reading back what became of one."""
+    """Conditional writes, with reads that find out the result of a lost answer."""
 
     name = 'config changes'
     bounds = f'{len(OPERATORS)} operators, up to {MOST_WRITES} writes'
     guard_by_name = {
         'conditional-write': Guard('two changes on one base', ONE_CHANGE),
-        'history-decides': Guard('a later change stands on an accepted one', TOLD_TRUE),
+        'history-decides': Guard('a later change follows an accepted one', TOLD_TRUE),
         'unknown-after-lost-answer': Guard('the write took effect', TOLD_TRUE),
-        'fence-before-not-made': Guard('the write is still on its way', TOLD_TRUE),
+        'fence-before-not-made': Guard('the write is still in flight', TOLD_TRUE),
     }
 
     def initial_values(self) -> dict[str, int | bool]:
-        """Return the variables and their first values."""
+        """Return the variables and their initial values."""
         values: dict[str, int | bool] = {
             'version': 0,
             'number': 0,
@@ -62,7 +62,7 @@
         return values
 
     def properties(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what must hold in every state, by name."""
+        """Return the properties that must hold in every state, by name."""
         operators = [Operator(state, index) for index in OPERATORS]
         numbers = [each.accepted_at for each in operators]
         shared = [
@@ -77,7 +77,7 @@
         }
 
     def goals(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what some run must reach, so that no proof is empty."""
+        """Return the goals that some run must reach, so that no proof is vacuous."""
         told = [state[indexed('told', index)] for index in OPERATORS]
         return {
             'two accepted, one conflict': z3.And(
@@ -89,7 +89,7 @@
         }
 
     def invariant(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what each step keeps, and from which the properties follow."""
+        """Return the inductive facts from which the properties follow, by name."""
         facts = {
             **self.properties(state),
             'counters': z3.And(
@@ -113,7 +113,7 @@
         return facts
 
     def actions(self, state: State) -> Iterator[Action]:
-        """Yield the steps that may follow a state."""
+        """Yield the actions that may be possible in a state."""
         for index in OPERATORS:
             operator = Operator(state, index)
             yield from self._write(operator)
@@ -187,7 +187,7 @@
 
 
 def next_version(state: State) -> dict:
-    """Return the updates of a write, which keep the state before for stale reads."""
+    """Return the updates of a write; they keep the previous state for stale reads."""
     return {
         'version': state['version'] + 1,
         'earlier_version': state['version'],
@@ -197,7 +197,7 @@
 
 @define
 class Operator:
-    """One operator and the change, in one state."""
+    """The variables of one operator and its change in one state."""
 
     state: State
     index: int
@@ -210,11 +210,11 @@
         return Action(f'{name} {self.index}', guard, updates)
 
     def tell(self, told: Told) -> dict:
-        """Return the updates that tell the operator."""
+        """Return the updates that record an answer to the operator."""
         return {indexed('told', self.index): told.value}
 
     def is_told_right(self) -> z3.BoolRef:
-        """Tell whether the operator's word fits what was accepted."""
+        """Return whether the answer to the operator matches the accepted changes."""
         refused = z3.Or(self.told == Told.CONFLICT, self.told == Told.NOT_MADE)
         return z3.And(
             z3.Implies(refused, self.accepted_at == 0),
@@ -222,13 +222,13 @@
         )
 
     def is_told_for_good(self) -> z3.BoolRef:
-        """Tell whether a refused change can't be accepted any more."""
+        """Return whether a refused change can no longer be accepted."""
         refused = z3.Or(self.told == Told.CONFLICT, self.told == Told.NOT_MADE)
         passed = self.state['version'] > self.base_version
         return z3.Implies(z3.Or(refused, self.accepted_at > 0), passed)
 
     def is_base_right(self) -> z3.BoolRef:
-        """Tell whether the base is one that was read."""
+        """Return whether the base of the change is one that was read."""
         state = self.state
         same = self.base_version == state['version']
         return z3.And(
@@ -240,7 +240,7 @@
         )
 
     def is_accepted_right(self) -> z3.BoolRef:
-        """Tell whether an accepted change has the number after its base."""
+        """Return whether an accepted change has the number that follows its base."""
         number = self.accepted_at
         return z3.And(
             number >= 0,
--- a/model/config_spread.py
+++ b/model/config_spread.py
@@ -1,7 +1,7 @@
-"""Instances take over the configuration: stale reads, outage, restarts.
+"""Gossip of the configuration between instances: stale reads, outage, restarts.
 
-A version is settled once a majority of the instances had it in force at one time. A
-fresh instance without the platform asks its peers and waits for enough answers.
+A version is settled once it was active on a majority of the instances at one time. A
+fresh instance without the platform queries its peers and waits for enough answers.
 """
 
 from collections.abc import Iterator
@@ -21,18 +21,18 @@
 
 @define
 class ConfigSpreadSpecification(Specification):
-    """Instances move only forward; fresh ones hear a majority first."""
+    """Instances that adopt only newer versions, after a restart from a majority."""
 
     name = 'config spread'
     bounds = f'{len(INSTANCES)} instances, {MOST_CHANGES} changes, any restarts'
     guard_by_name = {
         'only-forward': Guard('peers and reads may be behind', FORWARD),
         'majority-answers': Guard('one peer may be behind', NOT_OLDER),
-        'only-ready-answer': Guard('a fresh peer knows nothing', NOT_OLDER),
+        'only-ready-answer': Guard('a fresh peer has no version', NOT_OLDER),
     }
 
     def initial_values(self) -> dict[str, int | bool]:
-        """Return the variables and their first values."""
+        """Return the variables and their initial values."""
         values: dict[str, int | bool] = {
             'accepted': 1,
             'settled': 1,
@@ -48,19 +48,19 @@
         return values
 
     def properties(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what must hold in every state, by name."""
+        """Return the properties that must hold in every state, by name."""
         return {
             FORWARD: z3.Not(state['went_back']),
             NOT_OLDER: z3.Not(state['adopted_old']),
         }
 
     def goals(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what some run must reach, so that no proof is empty."""
+        """Return the goals that some run must reach, so that no proof is vacuous."""
         adopted = z3.And(state['version0'] == 2, state['best0'] == 2)
         return {'adopted from peers': adopted}
 
     def invariant(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what each step keeps, and from which the properties follow."""
+        """Return the inductive facts from which the properties follow, by name."""
         facts = {
             **self.properties(state),
             'settled was accepted': z3.And(
@@ -76,7 +76,7 @@
                 is_current(state, one, settled), is_current(state, other, settled)
             )
             facts[f'range {index}'] = self._is_in_range(state, index)
-            facts[f'heard all {index}'] = z3.Implies(
+            facts[f'all answers received {index}'] = z3.Implies(
                 self._is_asking(state, index, one, other),
                 state[indexed('best', index)] >= started_after(state, index),
             )
@@ -85,7 +85,7 @@
                     self._is_asking(state, index, known),
                     state[indexed('best', index)] < started_after(state, index),
                 )
-                facts[f'heard one behind {index} {known}'] = z3.Implies(
+                facts[f'received one behind {index} {known}'] = z3.Implies(
                     behind, is_current(state, missing, started_after(state, index))
                 )
         return facts
@@ -106,7 +106,7 @@
         )
 
     def actions(self, state: State) -> Iterator[Action]:
-        """Yield the steps that may follow a state."""
+        """Yield the actions that may be possible in a state."""
         accepted = state['accepted']
         yield Action('accept', accepted < MOST_CHANGES, {'accepted': accepted + 1})
         for index in INSTANCES:
@@ -128,7 +128,7 @@
         )
         sources = {f'stale_read {index}': state['accepted'] - 1}
         for other in others(index):
-            sources[f'hear {index} {other}'] = state[indexed('version', other)]
+            sources[f'receive {index} {other}'] = state[indexed('version', other)]
         for name, offered in sources.items():
             may = z3.And(state[version] != FRESH, offered != FRESH)
             if self.has('only-forward'):
@@ -153,7 +153,7 @@
                 may = z3.And(may, told != FRESH)
             better = z3.If(told > state[best], told, state[best])
             yield Action(
-                f'ask {index} {other}', may, {best: better, heard(index, other): True}
+                f'query {index} {other}', may, {best: better, heard(index, other): True}
             )
         answers = [state[heard(index, other)] for other in others(index)]
         enough = z3.Or(*answers)
@@ -169,12 +169,12 @@
 
 
 def others(index: int) -> list[int]:
-    """Return the other instances."""
+    """Return the indices of the other instances."""
     return [each for each in INSTANCES if each != index]
 
 
 def heard(index: int, other: int) -> str:
-    """Return the variable that says whether a fresh instance heard a peer."""
+    """Return the variable for whether a fresh instance has an answer from a peer."""
     return f'heard{index}_{other}'
 
 
@@ -184,7 +184,7 @@
 
 
 def is_current(state: State, index: int, settled: z3.ExprRef) -> z3.BoolRef:
-    """Tell whether an instance has a version in force, or must adopt one as new."""
+    """Return whether an instance has a version as new, or must adopt one as new."""
     version = state[indexed('version', index)]
     starts_later = z3.And(version == FRESH, started_after(state, index) >= settled)
     return z3.Or(version >= settled, starts_later)
--- a/model/lease.py
+++ b/model/lease.py
@@ -1,8 +1,8 @@
-"""A lease with fencing: two holders, either may be paused between check and act.
+"""A lease with fencing: two holders, of which either may pause between check and act.
 
-No duty of the system holds a lease today. The specification says what one would
-need: the platform grants it by conditional update with a new number each time, and
-the far side refuses numbers below the greatest it has seen.
+No part of the system holds a lease at present. The specification shows what a lease
+would need: the platform grants it by a conditional update with a new number each
+time, and the receiver refuses numbers below the greatest one that it has seen.
 """
 
 from collections.abc import Iterator
@@ -20,7 +20,7 @@
 
 
 class Stage(IntEnum):
-    """What a holder does; it may pause in any stage."""
+    """The stage of a holder, which may pause in any stage."""
 
     IDLE = 0
     HAS_READ = 1
@@ -30,18 +30,18 @@
 
 @define
 class LeaseSpecification(Specification):
-    """A lease whose holder may be paused while it lapses."""
+    """A lease that may expire while its holder is paused."""
 
     name = 'lease'
-    bounds = f'{len(HOLDERS)} holders, {MOST_GRANTS} grants, any pauses and lapses'
+    bounds = f'{len(HOLDERS)} holders, {MOST_GRANTS} grants, any pauses and expirations'
     guard_by_name = {
         'fencing': Guard('a holder paused after its check acts late', NO_STALE_ACT),
         'new-number': Guard('old and new holder look the same', ONE_HOLDER),
-        'conditional-grant': Guard('two read the same lapsed lease', ONE_HOLDER),
+        'conditional-grant': Guard('two read the same expired lease', ONE_HOLDER),
     }
 
     def initial_values(self) -> dict[str, int | bool]:
-        """Return the variables and their first values."""
+        """Return the variables and their initial values."""
         values: dict[str, int | bool] = {
             'number': 0,
             'lapsed': True,
@@ -56,18 +56,18 @@
         return values
 
     def properties(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what must hold in every state, by name."""
+        """Return the properties that must hold in every state, by name."""
         return {
             ONE_HOLDER: z3.Not(state['shared']),
             NO_STALE_ACT: z3.Not(state['stale_act']),
         }
 
     def goals(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what some run must reach, so that no proof is empty."""
+        """Return the goals that some run must reach, so that no proof is vacuous."""
         return {'a second holder acted': state['greatest_acted'] == 2}
 
     def invariant(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what each step keeps, and from which the properties follow."""
+        """Return the inductive facts from which the properties follow, by name."""
         held = [state[indexed('held', index)] for index in HOLDERS]
         number = state['number']
         facts = {
@@ -80,7 +80,7 @@
         return facts
 
     def actions(self, state: State) -> Iterator[Action]:
-        """Yield the steps that may follow a state."""
+        """Yield the actions that may be possible in a state."""
         yield Action('lapse', z3.Not(state['lapsed']), {'lapsed': True})
         for index in HOLDERS:
             yield from self._hold(state, index)
--- a/model/records.py
+++ b/model/records.py
@@ -1,7 +1,7 @@
 """At most once with platform records: one key, attempts through several instances.
 
-Writes may be delayed, applied though their answer was lost, and delivered twice; an
-instance may stop or be frozen (it then takes no step) at any point.
+Writes may be delayed, delivered twice, or applied although their answer was lost. An
+instance may stop or be frozen at any point, and then performs no action.
 """
 
 from collections.abc import Iterator
@@ -17,11 +17,11 @@
 MOST_RUNS = 2
 
 ONCE = 'at most once'
-TRUE = 'not run is true when told'
+TRUE = 'not run is true when sent'
 
 
 class Stage(IntEnum):
-    """What an attempt does."""
+    """The stage of an attempt."""
 
     IDLE = 0
     CREATING = 1
@@ -31,7 +31,7 @@
 
 
 class Backend(IntEnum):
-    """What became of an attempt at a backend server."""
+    """The state of an attempt at a backend server."""
 
     NOTHING = 0
     IN_FLIGHT = 1
@@ -41,21 +41,21 @@
 
 @define
 class RecordSpecification(Specification):
-    """At most once by a record that is created before the first byte."""
+    """At most once, by a record that is created before the first byte is sent."""
 
     name = 'records'
-    bounds = f'1 key, {len(ATTEMPTS)} attempts, lost, late and doubled writes'
+    bounds = f'1 key, {len(ATTEMPTS)} attempts, lost, late and duplicated writes'
     guard_by_name = {
         'conditional-create': Guard('two attempts create the record', ONCE),
         'conditional-takeover': Guard('two attempts take a released record', ONCE),
-        'conditional-release': Guard('a doubled release frees another one', ONCE),
+        'conditional-release': Guard('a duplicated release frees another one', ONCE),
         'own-attempt-decides': Guard('a lost answer does not mean success', ONCE),
         'release-only-not-run': Guard('a request that may have run runs again', ONCE),
         'unknown-without-platform': Guard('an earlier attempt may have run', TRUE),
     }
 
     def initial_values(self) -> dict[str, int | bool]:
-        """Return the variables and their first values."""
+        """Return the variables and their initial values."""
         values: dict[str, int | bool] = {
             'version': 0,
             'owner': NOBODY,
@@ -74,21 +74,21 @@
         return values
 
     def properties(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what must hold in every state, by name."""
+        """Return the properties that must hold in every state, by name."""
         return {ONCE: state['runs'] <= 1, TRUE: z3.Not(state['false_not_run'])}
 
     def goals(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what some run must reach, so that no proof is empty."""
+        """Return the goals that some run must reach, so that no proof is vacuous."""
         taken_over = z3.And(state['runs'] == 1, state['version'] == 3)
         return {'ran after a release': taken_over}
 
     def invariant(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what each step keeps, and from which the properties follow."""
+        """Return the inductive facts from which the properties follow, by name."""
         attempts = [Attempt(state, index) for index in ATTEMPTS]
         some_ran = z3.Or(*(each.backend == Backend.RAN for each in attempts))
         facts = {
             'runs are counted': z3.If(some_ran, state['runs'] == 1, state['runs'] == 0),
-            'no word was false': z3.Not(state['false_not_run']),
+            'no answer was false': z3.Not(state['false_not_run']),
             'version counts': z3.And(state['version'] >= 0, state['version'] < 100),
             'no record, no owner': z3.Implies(
                 state['version'] == 0,
@@ -104,7 +104,7 @@
         return facts
 
     def actions(self, state: State) -> Iterator[Action]:
-        """Yield the steps that may follow a state."""
+        """Yield the actions that may be possible in a state."""
         for index in ATTEMPTS:
             attempt = Attempt(state, index)
             yield from self._create(attempt)
@@ -179,7 +179,7 @@
         end = attempt.to(Stage.ENDED)
         release = {indexed('release', index): True}
         yield attempt.act(
-            'hear_refusal',
+            'receive_refusal',
             not_run,
             {**end, **refused, **release, **attempt.tell_not_run()},
         )
@@ -195,7 +195,7 @@
 
 @define
 class Attempt:
-    """One attempt, in one state."""
+    """The variables of one attempt in one state."""
 
     state: State
     index: int
@@ -208,16 +208,16 @@
         return Action(f'{name} {self.index}', guard, updates)
 
     def to(self, stage: Stage) -> dict:
-        """Return the updates that move the attempt on."""
+        """Return the updates that set the stage of the attempt."""
         return {indexed('stage', self.index): stage.value}
 
     def send(self) -> dict:
-        """Return the updates of the first byte."""
+        """Return the updates that send the first byte."""
         backend = {indexed('backend', self.index): Backend.IN_FLIGHT.value}
         return {**self.to(Stage.SENT), **backend}
 
     def own(self) -> dict:
-        """Return the updates of a write that gives it the record."""
+        """Return the updates of a write that gives this attempt the record."""
         return {
             'version': self.state['version'] + 1,
             'owner': self.index + 1,
@@ -225,20 +225,20 @@
         }
 
     def tell_not_run(self) -> dict:
-        """Return the updates that tell the caller "not run"."""
+        """Return the updates that answer the caller with "not run"."""
         false = z3.Or(self.state['false_not_run'], self.state['runs'] > 0)
         return {'false_not_run': false}
 
     def is_unsure(self) -> z3.BoolRef:
-        """Tell whether a write of its own may or may not have taken effect."""
+        """Return whether the result of a write by this attempt is unknown."""
         return z3.Or(self.stage == Stage.CREATING, self.stage == Stage.TAKING_OVER)
 
     def is_owner(self) -> z3.BoolRef:
-        """Tell whether the record is its own and held."""
+        """Return whether this attempt owns and holds the record."""
         return z3.And(self.state['owner'] == self.index + 1, self.state['held'])
 
     def is_live(self) -> z3.BoolRef:
-        """Tell whether it has run or may still run."""
+        """Return whether the attempt has run or may still run."""
         return z3.Or(
             self.stage == Stage.SENT,
             self.backend == Backend.IN_FLIGHT,
@@ -246,7 +246,7 @@
         )
 
     def is_ordered(self) -> z3.BoolRef:
-        """Tell whether nothing reached a backend server before the first byte."""
+        """Return whether nothing reached a backend server before the first byte."""
         before = self.stage < Stage.SENT
         return z3.And(
             z3.Implies(before, self.backend == Backend.NOTHING),
@@ -258,7 +258,7 @@
         )
 
     def is_version_right(self) -> z3.BoolRef:
-        """Tell whether it knows at which version it holds the record."""
+        """Return whether the attempt has the version at which it holds the record."""
         current = self.state['version']
         known = z3.Or(self.is_live(), self.release)
         holds = z3.And(self.version_held > 0, self.version_held == current)
--- a/model/replay/__init__.py
+++ b/model/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Replay runs of the model against the product's code."""
+"""Replays of model runs against the code of the product."""
--- a/model/replay/base.py
+++ b/model/replay/base.py
@@ -1,4 +1,4 @@
-"""What every replay does: take the steps of a run, one after the other."""
+"""Base class of replays, which perform the actions of a run in order."""
 
 from abc import ABC, abstractmethod
 
@@ -6,17 +6,17 @@
 
 
 class Replay(ABC):
-    """The product's parts in the place of one specification.
+    """The parts of the product that implement one specification.
 
-    A step that the product does not allow is left out, as a guard would.
+    An action that the product does not allow is skipped, as a guard would do.
     """
 
     async def play(self, run: Run) -> None:
-        """Take all steps of a run."""
+        """Perform all actions of a run."""
         for action in run.actions():
             name, *numbers = action.split()
             await self.step(name, *(int(number) for number in numbers))
 
     @abstractmethod
     async def step(self, name: str, *numbers: int) -> None:
-        """Take one step; the numbers say which of several like parts acts."""
+        """Perform one action; the numbers select the parts that act."""
--- a/model/replay/config.py
+++ b/model/replay/config.py
@@ -1,4 +1,4 @@
-"""Replay runs of the configuration specifications against the product's code."""
+"""Replays of the configuration specifications against the code of the product."""
 
 import trio
 from attrs import Factory, define
@@ -16,7 +16,7 @@
 
 @define
 class ConfigChangeReplay(Replay):
-    """Operators that each make one change; `outcome_by_change` is what they hear."""
+    """Operators that make one change each; `outcome_by_change` has their results."""
 
     nursery: trio.Nursery
     store: SteppedStore = Factory(lambda: SteppedStore(held_kind=CONFIG_KEY.kind))
@@ -25,7 +25,7 @@
     earlier: StoredConfig = StoredConfig(0, AcceptedConfig())
 
     async def step(self, name: str, *numbers: int) -> None:
-        """Take one step; the numbers say which of several like parts acts."""
+        """Perform one action; the numbers select the parts that act."""
         (index,) = numbers
         if name.startswith('write_on'):
             base = await read_config(self.store)
@@ -57,7 +57,7 @@
 
 @define
 class InstanceReplay:
-    """One instance and the version that was settled when it started."""
+    """One instance, with the version that was settled when the instance started."""
 
     config: ConfigHolder
     topic: ConfigTopic
@@ -66,7 +66,7 @@
 
 @define
 class ConfigSpreadReplay(Replay):
-    """Instances that take the configuration from the platform and from peers."""
+    """Instances that receive the configuration from the platform and from peers."""
 
     size: int
     accepted: int = 1
@@ -75,14 +75,14 @@
     mistakes: list[str] = Factory(list)
 
     def start(self) -> None:
-        """Let all instances run with the first configuration."""
+        """Start all instances with the first configuration."""
         for index in range(self.size):
             self._restart(index)
             self._config(index).offer(config_at(self.accepted))
         self._observe()
 
     async def step(self, name: str, *numbers: int) -> None:
-        """Take one step; the numbers say which of several like parts acts."""
+        """Perform one action; the numbers select the parts that act."""
         before = [self._config(index).current.version for index in range(self.size)]
         match name:
             case 'accept':
@@ -91,7 +91,7 @@
                 self._config(*numbers).offer(config_at(self.accepted))
             case 'stale_read' if self._config(*numbers).is_ready:
                 self._config(*numbers).offer(config_at(self.accepted - 1))
-            case 'hear' | 'ask':
+            case 'receive' | 'query':
                 self._exchange(*numbers)
             case 'restart':
                 self._restart(*numbers)
@@ -131,5 +131,5 @@
 
 
 def config_at(number: int) -> AcceptedConfig:
-    """Return the configuration of one accepted change."""
+    """Return the configuration after the accepted change with a number."""
     return AcceptedConfig(ConfigVersion(0, number), f'change-{number}', 'ana')
--- a/model/replay/records.py
+++ b/model/replay/records.py
@@ -1,4 +1,4 @@
-"""Replay runs of the record specification against the records of the platform."""
+"""Replays of the record specification against the platform records."""
 
 from random import Random
 
@@ -15,7 +15,7 @@
 
 @define
 class AttemptReplay:
-    """One attempt: its claim, its writes and what became of it."""
+    """One attempt, with its claim, its writes and its state."""
 
     create: PendingWrite | None = None
     takeover: PendingWrite | None = None
@@ -27,7 +27,7 @@
 
 @define
 class RecordReplay(Replay):
-    """Attempts with one key through several instances; counts what ran."""
+    """Attempts with one key through several instances, and the number of runs."""
 
     nursery: trio.Nursery
     store: SteppedStore = Factory(lambda: SteppedStore(held_kind=RECORD_KIND))
@@ -36,7 +36,7 @@
     told_not_run_after: list[int] = Factory(list)
 
     async def step(self, name: str, *numbers: int) -> None:
-        """Take one step; the numbers say which of several like parts acts."""
+        """Perform one action; the numbers select the parts that act."""
         (index,) = numbers
         attempt = self.attempt_by_index.setdefault(index, AttemptReplay())
         if name == 'create':
@@ -48,7 +48,7 @@
         elif name == 'backend_runs':
             self.runs += attempt.in_flight
             attempt.in_flight = False
-        elif name == 'hear_refusal' and attempt.in_flight:
+        elif name == 'receive_refusal' and attempt.in_flight:
             attempt.in_flight = False
             self.told_not_run_after.append(self.runs)
             attempt.release = await self._start(self._release, attempt)
--- a/model/replay/stepped.py
+++ b/model/replay/stepped.py
@@ -1,4 +1,4 @@
-"""An object store whose writes take effect, and answer, when a replay says so."""
+"""An object store in which a replay triggers the effects and answers of writes."""
 
 from typing import Any
 
@@ -18,7 +18,7 @@
 
 @define(eq=False)
 class PendingWrite:
-    """A write on its way; it may take effect late, twice or never."""
+    """A write in flight, which may take effect late, twice or never."""
 
     key: ObjectKey
     value: Any
@@ -28,14 +28,14 @@
 
 @define(eq=False)
 class SteppedStore(EmbeddedStore):
-    """Hold back the writes of one kind of object; all their answers are lost."""
+    """A store that holds back writes of one kind of object and loses their answers."""
 
     held_kind: str = ''
     is_down: bool = False
     pending: list[PendingWrite] = Factory(list)
 
     async def read(self, key: ObjectKey) -> Result[StoredObject | None, PlatformError]:
-        """Read an object; None when there is none."""
+        """Return an object, or None if it does not exist."""
         if self.is_down:
             return Failure(Unavailable('down'))
         return await EmbeddedStore.read(self, key)
@@ -43,7 +43,7 @@
     async def write(
         self, key: ObjectKey, value: Any, expected_version: int
     ) -> Result[StoredObject, PlatformError]:
-        """Write an object if it has the version, when the replay says so."""
+        """Write an object, or hold the write back until the replay applies it."""
         if key.kind != self.held_kind:
             return await EmbeddedStore.write(self, key, value, expected_version)
         write = PendingWrite(key, value, expected_version)
@@ -52,5 +52,5 @@
         return Failure(AnswerLost('held back'))
 
     async def apply(self, write: PendingWrite) -> None:
-        """Let a write reach the store."""
+        """Apply a held-back write to the store."""
         await EmbeddedStore.write(self, write.key, write.value, write.expected_version)
--- a/model/replay/tickets.py
+++ b/model/replay/tickets.py
@@ -1,4 +1,4 @@
-"""Replay runs of the ticket specification against the table and the gate."""
+"""Replays of the ticket specification against the ticket table."""
 
 from enum import Enum, auto, unique
 
@@ -18,13 +18,13 @@
 
 @define
 class SteppedClock(Clock):
-    """A clock that a replay moves; its wall clock may go back."""
+    """A clock that a replay sets, with a wall clock that may go back."""
 
     seconds: float = 1000.0
     wall_offset: float = 0.0
 
     def monotonic(self) -> float:
-        """Return seconds that never go back within one process."""
+        """Return monotonic time in seconds."""
         return self.seconds
 
     def wall(self) -> float:
@@ -34,7 +34,7 @@
 
 @unique
 class Place(Enum):
-    """Where a sending is."""
+    """The place of a sending on its way from the caller to a backend server."""
 
     CALLER = auto()
     TO_HOME = auto()
@@ -45,7 +45,7 @@
 
 @define
 class SendingReplay:
-    """One sending; `told_not_run_after` counts the runs when that was told."""
+    """One sending; `told_not_run_after` is the run count when "not run" was sent."""
 
     place: Place = Place.CALLER
     is_in_flight: bool = False
@@ -55,9 +55,10 @@
 
 @define
 class TicketReplay(Replay):
-    """The home's table, the sendings of one request, and how often it ran.
+    """The table of the home, the sendings of one request, and its number of runs.
 
-    Other instances pass home or tell "unknown", as the tests of the gate show.
+    Other instances forward requests to the home or answer "unknown", which the tests of
+    the gate cover.
     """
 
     clock: SteppedClock = Factory(SteppedClock)
@@ -71,7 +72,7 @@
     key: TicketKey = Factory(lambda self: self._new_key(), takes_self=True)
 
     async def step(self, name: str, *numbers: int) -> None:
-        """Take one step; the numbers say which of several like parts acts."""
+        """Perform one action; the numbers select the parts that act."""
         match name:
             case 'expire':
                 self.clock.seconds += LIFETIME_SECONDS + 1
@@ -104,7 +105,7 @@
             case ('lose_answer', Place.SENT):
                 self.table.mark_unknown(self.key)
                 sending.place = Place.ENDED
-            case ('hear_answer', Place.SENT) if sending.has_run:
+            case ('receive_answer', Place.SENT) if sending.has_run:
                 self.table.mark_answered(self.key, 200, None)
                 sending.place = Place.ENDED
 
--- a/model/senders.py
+++ b/model/senders.py
@@ -1,8 +1,8 @@
-"""Who sends to cold servers: three instances of a zone, of which two may at a time.
+"""Senders to cold servers: of three instances in a zone, two may send at a time.
 
-Each instance reads a list of instances that may be old, and decides from it alone.
-Instances come and leave; any of them may be parted from the store for any time. Of each
-pair the one with the smaller number comes first.
+Each instance reads a list of instances, which may be old, and decides from it alone.
+Instances join and leave. Each may be partitioned from the store for any time. Of each
+pair, the instance with the smaller number comes first.
 """
 
 from collections.abc import Iterator
@@ -14,28 +14,29 @@
 
 INSTANCES = range(3)
 SENDERS = 2
-#: A list is used for so long after it was asked for, and was so old then.
+#: Maximum time in ticks for which a list is used after it was requested, and maximum
+#: age of a list when it was requested.
 VALID, STALE = 3, 2
 WAIT = VALID + STALE
 END = 40
 FEW_SENDERS = f'at most {SENDERS} senders'
-OLD_PLACES = f'more than {SENDERS} places only after an instance came'
+OLD_PLACES = f'more than {SENDERS} positions only after an instance joined'
 
 
 @define
 class SenderSpecification(Specification):
-    """Instances that decide by themselves whether they send to cold servers."""
+    """Instances that decide independently whether they send to cold servers."""
 
     name = 'senders'
     bounds = f'{len(INSTANCES)} instances, {END} ticks, any partitions and stale reads'
     guard_by_name = {
-        'waits': Guard('others do not know of a new instance yet', FEW_SENDERS),
+        'waits': Guard('a new instance is not on the lists of others yet', FEW_SENDERS),
         'recent-list': Guard('an old list lacks a new instance', FEW_SENDERS),
-        'stops-when-leaving': Guard('who leaves is not in the list', FEW_SENDERS),
+        'stops-when-leaving': Guard('a leaving instance is not listed', FEW_SENDERS),
     }
 
     def initial_values(self) -> dict[str, int | bool]:
-        """Return the variables and their first values."""
+        """Return the variables and their initial values."""
         values: dict[str, int | bool] = {'now': 0}
         for index in INSTANCES:
             values[indexed('listed', index)] = False
@@ -48,7 +49,7 @@
         return values
 
     def is_sender(self, state: State, index: int) -> z3.BoolRef:
-        """Return whether an instance takes itself for a sender."""
+        """Return whether an instance considers itself a sender."""
         now = state['now']
         facts = [
             state[indexed('has_seen', index)],
@@ -62,9 +63,9 @@
         return z3.And(*facts)
 
     def has_place(self, state: State, index: int) -> z3.BoolRef:
-        """Return whether an instance had a place when it last read a list.
+        """Return whether an instance had a sender position when it last read a list.
 
-        It sends to throttled servers then, however long it has read none since.
+        With a position it sends to throttled servers, however old that list is now.
         """
         waited = state[indexed('read_at', index)] - state[indexed('seen_at', index)]
         return z3.And(
@@ -75,7 +76,7 @@
         )
 
     def came_since(self, state: State) -> z3.BoolRef:
-        """Return whether one of the first came after the last one's list was made."""
+        """Return whether another instance joined after the last one's list was made."""
         last = INSTANCES[-1]
         oldest = state[indexed('read_at', last)] - STALE
         return z3.Or(
@@ -83,7 +84,7 @@
         )
 
     def properties(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what must hold in every state, by name."""
+        """Return the properties that must hold in every state, by name."""
         senders = [self.is_sender(state, index) for index in INSTANCES]
         places = [self.has_place(state, index) for index in INSTANCES]
         return {
@@ -92,14 +93,14 @@
         }
 
     def goals(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what some run must reach, so that no proof is empty."""
+        """Return the goals that some run must reach, so that no proof is vacuous."""
         return {
             'two senders': z3.And(self.is_sender(state, 0), self.is_sender(state, 1)),
-            'three places': z3.And(*(self.has_place(state, it) for it in INSTANCES)),
+            'three positions': z3.And(*(self.has_place(state, it) for it in INSTANCES)),
         }
 
     def invariant(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what each step keeps, and from which the properties follow."""
+        """Return the inductive facts from which the properties follow, by name."""
         now = state['now']
         facts = {'time': z3.And(now >= 0, now <= END)}
         for index in INSTANCES:
@@ -115,7 +116,7 @@
                 has_seen, z3.And(listed, seen_at >= listed_at, seen_at <= now)
             )
         last = INSTANCES[-1]
-        # The list of the last one names who was listed when it was made.
+        # The list of the last instance names those that were listed at its creation.
         oldest = state[indexed('read_at', last)] - STALE
         for index in INSTANCES[:-1]:
             known = z3.And(
@@ -140,13 +141,13 @@
         return facts
 
     def actions(self, state: State) -> Iterator[Action]:
-        """Yield the steps that may follow a state."""
+        """Yield the actions that may be possible in a state."""
         now = state['now']
         yield Action('tick', now < END, {'now': now + 1})
         for index in INSTANCES:
             listed = state[indexed('listed', index)]
             yield Action(
-                f'come {index}',
+                f'join {index}',
                 z3.Not(listed),
                 {
                     indexed('listed', index): True,
@@ -155,7 +156,7 @@
                     indexed('has_seen', index): False,
                 },
             )
-            # Who is told to stop still serves for a while.
+            # An instance that was asked to stop still serves for a while.
             leaves: dict[str, bool] = {indexed('listed', index): False}
             if self.has('stops-when-leaving'):
                 leaves[indexed('runs', index)] = False
@@ -165,7 +166,7 @@
                 yield self._read(state, index, age)
 
     def _read(self, state: State, index: int, age: int) -> Action:
-        """Return the reading of a list that is so old."""
+        """Return the action that reads a list of the given age."""
         now = state['now']
         made_at = now - age
 
--- a/model/specification.py
+++ b/model/specification.py
@@ -1,4 +1,4 @@
-"""What a specification is: variables, actions and what must hold."""
+"""Base classes of specifications: variables, actions and properties."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Iterator, Mapping
@@ -13,7 +13,7 @@
 
 @frozen
 class Action:
-    """One step: it may happen when the guard holds, and then sets variables."""
+    """An action that is possible while its guard holds and then updates variables."""
 
     name: str
     guard: z3.BoolRef
@@ -22,7 +22,7 @@
 
 @frozen
 class Guard:
-    """One guard of a protocol: why it is there, and what breaks without it."""
+    """The reason for a guard of a protocol, and the property violated without it."""
 
     reason: str
     breaks: str
@@ -30,7 +30,7 @@
 
 @define
 class Specification(ABC):
-    """A protocol; `without` names the guard that a mutant leaves out."""
+    """A protocol; `without` is the name of the guard that a mutant omits."""
 
     without: str = ''
     name: ClassVar[str] = ''
@@ -38,32 +38,32 @@
     guard_by_name: ClassVar[Mapping[str, Guard]] = {}
 
     def has(self, guard: str) -> bool:
-        """Tell whether a guard is in place."""
+        """Return whether a guard is part of this variant of the protocol."""
         if guard not in self.guard_by_name:
             raise KeyError(guard)
         return guard != self.without
 
     @abstractmethod
     def initial_values(self) -> dict[str, int | bool]:
-        """Return the variables and their first values."""
+        """Return the variables and their initial values."""
 
     @abstractmethod
     def actions(self, state: State) -> Iterator[Action]:
-        """Yield the steps that may follow a state."""
+        """Yield the actions that may be possible in a state."""
 
     @abstractmethod
     def properties(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what must hold in every state, by name."""
+        """Return the properties that must hold in every state, by name."""
 
     @abstractmethod
     def goals(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what some run must reach, so that no proof is empty."""
+        """Return the goals that some run must reach, so that no proof is vacuous."""
 
     @abstractmethod
     def invariant(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what each step keeps, and from which the properties follow."""
+        """Return the inductive facts from which the properties follow, by name."""
 
 
 def indexed(name: str, index: int) -> str:
-    """Return the variable of one of several like parts."""
+    """Return the name of a variable that belongs to one of several equal parts."""
     return f'{name}{index}'
--- a/model/tickets.py
+++ b/model/tickets.py
@@ -1,8 +1,8 @@
 """At most once with tickets: one key, its home, several sendings of one request.
 
-The home may crash (and return with another incarnation), be frozen (it then just
-takes no step) and be slow; messages may be late; each sending may go to the home or
-to another instance that passes it home. A backend server may run a request whose
+The home may crash and restart with another incarnation, be slow, or be frozen, and
+then performs no action. Messages may be late. Each sending may go to the home or to
+another instance that forwards it to the home. A backend server may run a request whose
 sender no longer waits.
 """
 
@@ -19,14 +19,14 @@
 MOST_RUNS = 2
 
 ONCE = 'at most once'
-TRUE = 'not run is true when told'
+TRUE = 'not run is true when sent'
 STAYS_TRUE = 'not run stays true'
 ANSWERED = 'answered means ran'
 IN_TIME = 'no run after the deadline'
 
 
 class Entry(IntEnum):
-    """What the home's table holds for the key."""
+    """The entry for the key in the table of the home."""
 
     NONE = 0
     RUNNING = 1
@@ -35,7 +35,7 @@
 
 
 class Place(IntEnum):
-    """Where a sending is."""
+    """The place of a sending on its way from the caller to a backend server."""
 
     CALLER = 0
     OTHER = 1
@@ -47,7 +47,7 @@
 
 
 class Backend(IntEnum):
-    """What became of a sending at a backend server."""
+    """The state of a sending at a backend server."""
 
     NOTHING = 0
     IN_FLIGHT = 1
@@ -56,7 +56,7 @@
 
 
 class Told(IntEnum):
-    """What the caller was told of a sending."""
+    """The answer that the caller received for a sending."""
 
     NOTHING = 0
     NOT_RUN = 1
@@ -66,14 +66,14 @@
 
 @define
 class TicketSpecification(Specification):
-    """At most once by a key that names its home and the home's incarnation."""
+    """At most once, by a key that contains its home and the incarnation of the home."""
 
     name = 'tickets'
     bounds = f'1 key, {len(SENDINGS)} sendings, any number of crashes'
     guard_by_name = {
         'compare-incarnation': Guard('a restarted home lost its table', ONCE),
         'refuse-expired': Guard('the home forgets expired keys', ONCE),
-        'own-clock': Guard('a clock that goes back revives forgotten keys', ONCE),
+        'own-clock': Guard('a clock that goes back makes removed keys valid', ONCE),
         'keep-until-expiry': Guard('a forgotten key runs again', ONCE),
         'record-before-first-byte': Guard('two sendings pass the look-up', ONCE),
         'keep-unknown': Guard('a request that may have run runs again', ONCE),
@@ -86,7 +86,7 @@
     }
 
     def initial_values(self) -> dict[str, int | bool]:
-        """Return the variables and their first values."""
+        """Return the variables and their initial values."""
         values: dict[str, int | bool] = {
             'restarted': False,
             'expired': False,
@@ -104,7 +104,7 @@
         return {k: v if isinstance(v, bool) else int(v) for k, v in values.items()}
 
     def properties(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what must hold in every state, by name."""
+        """Return the properties that must hold in every state, by name."""
         told = [state[indexed('told', index)] for index in SENDINGS]
         ran = [state[indexed('backend', i)] == Backend.RAN for i in SENDINGS]
         return {
@@ -123,7 +123,7 @@
         }
 
     def goals(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what some run must reach, so that no proof is empty."""
+        """Return the goals that some run must reach, so that no proof is vacuous."""
         first, second = (state[indexed('told', index)] for index in (0, 1))
         return {
             'answered': first == Told.ANSWERED,
@@ -133,7 +133,7 @@
         }
 
     def invariant(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what each step keeps, and from which the properties follow."""
+        """Return the inductive facts from which the properties follow, by name."""
         sendings = [Sending(state, index) for index in SENDINGS]
         burned = z3.Or(
             state['restarted'], state['expired'], state['entry'] != Entry.NONE
@@ -141,7 +141,7 @@
         some_ran = z3.Or(*(each.has_run() for each in sendings))
         facts = {
             'runs are counted': z3.If(some_ran, state['runs'] == 1, state['runs'] == 0),
-            'no word was false': z3.Not(state['false_not_run']),
+            'no answer was false': z3.Not(state['false_not_run']),
             'no run was late': z3.Not(state['late_run']),
         }
         for each in sendings:
@@ -152,7 +152,7 @@
                     z3.Or(state['expired'], state['entry'] != Entry.NONE),
                 ),
             )
-            facts[f'live is burned {each.index}'] = z3.Implies(each.is_live(), burned)
+            facts[f'live is used up {each.index}'] = z3.Implies(each.is_live(), burned)
             facts[f'order {each.index}'] = each.is_ordered()
             facts[f'told {each.index}'] = each.is_told_right()
         for one, other in combinations(sendings, 2):
@@ -162,7 +162,7 @@
         return facts
 
     def actions(self, state: State) -> Iterator[Action]:
-        """Yield the steps that may follow a state."""
+        """Yield the actions that may be possible in a state."""
         yield Action('expire', z3.Not(state['expired']), {'expired': True})
         if not self.has('own-clock'):
             yield Action('clock_back', state['expired'], {'expired': False})
@@ -275,10 +275,10 @@
         yield sending.act('try_another', refused, in_flight)
         release = {'entry': Entry.NONE.value}
         yield sending.act(
-            'hear_refusal', refused, {**sending.end(Told.NOT_RUN), **release}
+            'receive_refusal', refused, {**sending.end(Told.NOT_RUN), **release}
         )
         yield sending.act(
-            'hear_answer',
+            'receive_answer',
             z3.And(sent, sending.backend == Backend.RAN),
             {**sending.end(Told.ANSWERED), **sending.keep(Entry.ANSWERED)},
         )
@@ -293,7 +293,7 @@
 
 @define
 class Sending:
-    """One sending of the request, in one state."""
+    """The variables of one sending of the request in one state."""
 
     state: State
     index: int
@@ -302,26 +302,26 @@
         return self.state[indexed(name, self.index)]
 
     def is_held(self) -> z3.BoolRef:
-        """Tell whether the home has admitted it and not settled it."""
+        """Return whether the home has admitted the sending and not ended it."""
         return z3.And(self.place >= Place.ADMITTED, self.place < Place.ENDED)
 
     def has_run(self) -> z3.BoolRef:
-        """Tell whether a backend server ran it."""
+        """Return whether a backend server ran the sending."""
         return self.backend == Backend.RAN
 
     def is_live(self) -> z3.BoolRef:
-        """Tell whether it has run or may still run without being admitted again."""
+        """Return whether the sending has run or may run without another admission."""
         return z3.Or(self.is_held(), self.backend == Backend.IN_FLIGHT, self.has_run())
 
     def is_ordered(self) -> z3.BoolRef:
-        """Tell whether nothing has reached a backend server before the first byte."""
+        """Return whether nothing reached a backend server before the first byte."""
         return z3.And(
             z3.Implies(self.place < Place.SENT, self.backend == Backend.NOTHING),
             z3.Not(self.second_copy),
         )
 
     def is_told_right(self) -> z3.BoolRef:
-        """Tell whether the caller's word fits what became of it."""
+        """Return whether the answer to the caller matches the state of the sending."""
         ended = z3.And(self.place == Place.ENDED, z3.Not(self.is_live()))
         return z3.And(
             z3.Implies(self.told == Told.NOT_RUN, ended),
@@ -333,15 +333,15 @@
         return Action(f'{name} {self.index}', guard, updates)
 
     def at(self, place: Place) -> dict:
-        """Return the updates that move the sending."""
+        """Return the updates that move the sending to a place."""
         return {indexed('place', self.index): place.value}
 
     def backend_is(self, backend: Backend) -> dict:
-        """Return the updates that change what became of it."""
+        """Return the updates that set the state of the sending at a backend server."""
         return {indexed('backend', self.index): backend.value}
 
     def tell(self, told: Told) -> dict:
-        """Return the updates that tell the caller, who hears the first word only."""
+        """Return the updates that answer the caller, who keeps the first answer."""
         first = self.told == Told.NOTHING
         updates = {indexed('told', self.index): z3.If(first, told.value, self.told)}
         if told is Told.NOT_RUN:
@@ -350,10 +350,10 @@
         return updates
 
     def end(self, told: Told) -> dict:
-        """Return the updates that end the sending."""
+        """Return the updates that end the sending with an answer to the caller."""
         return {**self.at(Place.ENDED), **self.tell(told)}
 
     def keep(self, entry: Entry) -> dict:
-        """Return the updates that change the entry, if it was not forgotten."""
+        """Return the updates that change the entry unless the table has removed it."""
         forgotten = self.state['entry'] == Entry.NONE
         return {'entry': z3.If(forgotten, self.state['entry'], entry.value)}
--- a/tests/test_model_conformance.py
+++ b/tests/test_model_conformance.py
@@ -1,4 +1,4 @@
-"""Runs that break a mutant of the model must not break the product."""
+"""Runs that violate a mutant of the model must not violate the product."""
 
 import unittest
 
@@ -16,7 +16,7 @@
 from model.replay.tickets import TicketReplay
 from model.tickets import TicketSpecification
 
-#: What the home's table guards; the gate's tests show the other guards.
+#: Guards that the table of the home implements. The tests of the gate cover the others.
 TABLE_GUARDS = (
     'compare-incarnation',
     'refuse-expired',
@@ -28,7 +28,7 @@
 
 
 class CheckerTest(unittest.TestCase):
-    """The checker tells a protocol from one with a hole."""
+    """The checker distinguishes a sound protocol from one with a gap."""
 
     def test_sound_protocol_has_no_gaps(self):
         self.assertEqual(find_gaps(LeaseSpecification()), [])
@@ -42,7 +42,7 @@
 
 
 class ConformanceTest(unittest.TestCase):
-    """Replays of the counterexamples of all mutants that concern our code."""
+    """Replays of the counterexamples of all mutants that concern the product."""
 
     def test_ticket_table(self):
         for guard in TABLE_GUARDS:
