--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -14,9 +14,9 @@
 from soak.callers import Callers
 from soak.checks import find_unexpected_exits, find_unrecovered, find_violations
 from soak.faults import FaultPlayer
+from soak.needs import ThrottlePlayer
 from soak.restores import RestorePlayer
 from soak.rests import RestPlayer
-from soak.throttling import ThrottlePlayer
 from soak.world import World, make_folder, wait_for
 from soak.zones import ZonePlayer
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -10,8 +10,8 @@
 from soak.callers import Callers, Outcome, Request
 from soak.checks import find_unrecovered, find_violations
 from soak.links import Link
+from soak.needs import ThrottledSpan, ThrottlePlayer
 from soak.rests import RestPlayer
-from soak.throttling import ThrottledSpan, ThrottlePlayer
 from soak.world import World as SoakWorld
 from soak.zones import Evacuation, ZonePlayer
 from standins.processes import ROOT
