--- a/model/__main__.py
+++ b/model/__main__.py
@@ -13,7 +13,7 @@
     make_state,
 )
 from model.config_changes import ConfigChangeSpecification
-from model.config_spread import ConfigSpreadSpecification
+from model.config_gossip import ConfigGossipSpecification
 from model.lease import LeaseSpecification
 from model.records import RecordSpecification
 from model.senders import SenderSpecification
@@ -24,7 +24,7 @@
     TicketSpecification,
     RecordSpecification,
     ConfigChangeSpecification,
-    ConfigSpreadSpecification,
+    ConfigGossipSpecification,
     LeaseSpecification,
     SenderSpecification,
 )
@@ -46,11 +46,11 @@
             run = find_counterexample(kind(without=name))
             if run is None:
                 self.mistakes += 1
-                print(f'  SURVIVES without {name}: {guard.breaks!r} was not violated')
+                print(f'  SURVIVES without {name}: {guard.violates!r} was not violated')
                 continue
             steps = ', '.join(run.actions())
             print(f'  refuted without {name} ({guard.reason}),')
-            print(f'    not {guard.breaks!r} after {len(run.steps)} steps: {steps}')
+            print(f'    not {guard.violates!r} after {len(run.steps)} steps: {steps}')
 
     def _check_proof(self, specification: Specification) -> None:
         state = make_state(specification.initial_values(), 'any')
--- a/model/checker.py
+++ b/model/checker.py
@@ -55,7 +55,7 @@
         if not follows(list(invariant.values()), holds)
     )
     for action in specification.actions(before):
-        reached = after(before, action)
+        reached = apply_action(before, action)
         step = [later[name] == reached[name] for name in later]
         facts = [*invariant.values(), action.guard, *step]
         gaps.extend(
@@ -75,9 +75,9 @@
 
 def find_counterexample(specification: Specification) -> Run | None:
     """Return a shortest run of a mutant that violates the guarded property."""
-    broken = specification.guard_by_name[specification.without].breaks
+    violated = specification.guard_by_name[specification.without].violates
     return find_run(
-        specification, lambda state: z3.Not(specification.properties(state)[broken])
+        specification, lambda state: z3.Not(specification.properties(state)[violated])
     )
 
 
@@ -103,7 +103,7 @@
     chosen = z3.BitVec(f'action{length}', BITS)
     actions = list(specification.actions(before))
     for index, action in enumerate(actions):
-        reached = after(before, action)
+        reached = apply_action(before, action)
         effect = [later[name] == reached[name] for name in later]
         solver.add(z3.Implies(chosen == index, z3.And(action.guard, *effect)))
     solver.add(chosen >= 0, chosen < len(actions))
@@ -113,13 +113,13 @@
 def read_run(model, states, names) -> Run:
     """Return the run that a model of the solver describes."""
     steps = []
-    for index, known in enumerate(names):
+    for index, action_names in enumerate(names):
         chosen = model.eval(z3.BitVec(f'action{index}', BITS)).as_long()
         values = {
-            name: plain(model.eval(variable, model_completion=True))
+            name: to_python(model.eval(variable, model_completion=True))
             for name, variable in states[index + 1].items()
         }
-        steps.append(Step(known[chosen], values))
+        steps.append(Step(action_names[chosen], values))
     return Run(tuple(steps))
 
 
@@ -133,23 +133,24 @@
     }
 
 
-def after(state, action: Action) -> dict[str, z3.ExprRef]:
+def apply_action(state, action: Action) -> dict[str, z3.ExprRef]:
     """Return all values after an action; variables without an update keep theirs."""
     unknown = set(action.updates) - set(state)
     if unknown:
         raise KeyError(f'{action.name} sets {sorted(unknown)}')
     return {
-        name: constant(action.updates.get(name, value)) for name, value in state.items()
+        name: to_expression(action.updates.get(name, value))
+        for name, value in state.items()
     }
 
 
-def constant(value: Any) -> z3.ExprRef:
+def to_expression(value: Any) -> z3.ExprRef:
     """Return a value as a solver expression."""
     if isinstance(value, bool):
         return z3.BoolVal(value)
     return z3.BitVecVal(value, BITS) if isinstance(value, int) else value
 
 
-def plain(value: z3.ExprRef) -> int | bool:
+def to_python(value: z3.ExprRef) -> int | bool:
     """Return a value of a solver model as a Python value."""
     return value.as_long() if z3.is_bv_value(value) else z3.is_true(value)
--- a/model/config_changes.py
+++ b/model/config_changes.py
@@ -14,14 +14,14 @@
 from model.specification import Action, Guard, Specification, State, indexed
 
 OPERATORS = range(3)
-MOST_WRITES = 20
+MAX_WRITES = 20
 
-TOLD_TRUE = 'answers to operators stay true'
+ANSWERS_TRUE = 'answers to operators stay true'
 ONE_CHANGE = 'one change per number'
 ONCE = 'a change is accepted once'
 
 
-class Told(IntEnum):
+class Answer(IntEnum):
     """The answer that an operator received for the change."""
 
     NOTHING = 0
@@ -36,12 +36,14 @@
     """Conditional writes, with reads that find out the result of a lost answer."""
 
     name = 'config changes'
-    bounds = f'{len(OPERATORS)} operators, up to {MOST_WRITES} writes'
+    bounds = f'{len(OPERATORS)} operators, up to {MAX_WRITES} writes'
     guard_by_name = {
         'conditional-write': Guard('two changes on one base', ONE_CHANGE),
-        'history-decides': Guard('a later change follows an accepted one', TOLD_TRUE),
-        'unknown-after-lost-answer': Guard('the write took effect', TOLD_TRUE),
-        'fence-before-not-made': Guard('the write is still in flight', TOLD_TRUE),
+        'history-decides': Guard(
+            'a later change follows an accepted one', ANSWERS_TRUE
+        ),
+        'unknown-after-lost-answer': Guard('the write took effect', ANSWERS_TRUE),
+        'fence-before-not-made': Guard('the write is still in flight', ANSWERS_TRUE),
     }
 
     def initial_values(self) -> dict[str, int | bool]:
@@ -58,7 +60,7 @@
             values[indexed('base_version', index)] = 0
             values[indexed('base_number', index)] = 0
             values[indexed('accepted_at', index)] = 0
-            values[indexed('told', index)] = int(Told.NOTHING)
+            values[indexed('told', index)] = int(Answer.NOTHING)
         return values
 
     def properties(self, state: State) -> dict[str, z3.BoolRef]:
@@ -71,21 +73,21 @@
             for other in range(one)
         ]
         return {
-            TOLD_TRUE: z3.And(*(each.is_told_right() for each in operators)),
+            ANSWERS_TRUE: z3.And(*(each.is_answer_right() for each in operators)),
             ONE_CHANGE: z3.Not(z3.Or(*shared)),
             ONCE: z3.Not(state['accepted_twice']),
         }
 
     def goals(self, state: State) -> dict[str, z3.BoolRef]:
         """Return the goals that some run must reach, so that no proof is vacuous."""
-        told = [state[indexed('told', index)] for index in OPERATORS]
+        answers = [state[indexed('told', index)] for index in OPERATORS]
         return {
             'two accepted, one conflict': z3.And(
-                told[0] == Told.ACCEPTED,
-                told[1] == Told.ACCEPTED,
-                told[2] == Told.CONFLICT,
+                answers[0] == Answer.ACCEPTED,
+                answers[1] == Answer.ACCEPTED,
+                answers[2] == Answer.CONFLICT,
             ),
-            'not made': told[0] == Told.NOT_MADE,
+            'not made': answers[0] == Answer.NOT_MADE,
         }
 
     def invariant(self, state: State) -> dict[str, z3.BoolRef]:
@@ -95,7 +97,7 @@
             'counters': z3.And(
                 state['earlier_version'] >= 0,
                 state['earlier_version'] <= state['version'],
-                state['version'] <= MOST_WRITES,
+                state['version'] <= MAX_WRITES,
                 state['earlier_number'] >= 0,
                 state['earlier_number'] <= state['number'],
                 state['number'] <= state['version'],
@@ -109,7 +111,7 @@
             operator = Operator(state, index)
             facts[f'base {index}'] = operator.is_base_right()
             facts[f'accepted {index}'] = operator.is_accepted_right()
-            facts[f'told {index}'] = operator.is_told_for_good()
+            facts[f'answer {index}'] = operator.is_answer_final()
         return facts
 
     def actions(self, state: State) -> Iterator[Action]:
@@ -117,7 +119,7 @@
         for index in OPERATORS:
             operator = Operator(state, index)
             yield from self._write(operator)
-            yield from self._hear(operator)
+            yield from self._receive_answer(operator)
             for view in ('', 'earlier_'):
                 yield from self._read_back(operator, view)
 
@@ -130,7 +132,7 @@
                 indexed('base_number', index): state[f'{view}number'],
             }
             yield operator.act(f'write_on_{view}base', z3.Not(operator.writes), base)
-        may = z3.And(operator.writes, state['version'] < MOST_WRITES)
+        may = z3.And(operator.writes, state['version'] < MAX_WRITES)
         if self.has('conditional-write'):
             may = z3.And(may, state['version'] == operator.base_version)
         number = operator.base_number + 1
@@ -142,21 +144,23 @@
         }
         yield operator.act('write_applies', may, updates)
 
-    def _hear(self, operator: 'Operator') -> Iterator[Action]:
-        waits = z3.And(operator.writes, operator.told == Told.NOTHING)
+    def _receive_answer(self, operator: 'Operator') -> Iterator[Action]:
+        waits = z3.And(operator.writes, operator.told == Answer.NOTHING)
         accepted = z3.And(waits, operator.accepted_at > 0)
-        yield operator.act('hear_success', accepted, operator.tell(Told.ACCEPTED))
-        told = Told.UNKNOWN
+        yield operator.act(
+            'receive_success', accepted, operator.record_answer(Answer.ACCEPTED)
+        )
+        answer = Answer.UNKNOWN
         if not self.has('unknown-after-lost-answer'):
-            told = Told.NOT_MADE
-        yield operator.act('answer_lost', waits, operator.tell(told))
+            answer = Answer.NOT_MADE
+        yield operator.act('answer_lost', waits, operator.record_answer(answer))
         state = operator.state
         may = z3.And(
             waits,
             state['version'] == operator.base_version,
-            state['version'] < MOST_WRITES,
+            state['version'] < MAX_WRITES,
         )
-        updates = {**next_version(state), **operator.tell(Told.NOT_MADE)}
+        updates = {**next_version(state), **operator.record_answer(Answer.NOT_MADE)}
         yield operator.act('fence', may, updates)
 
     def _read_back(self, operator: 'Operator', view: str) -> Iterator[Action]:
@@ -164,26 +168,32 @@
             operator.state[f'{view}version'],
             operator.state[f'{view}number'],
         )
-        waits = z3.And(operator.writes, operator.told == Told.NOTHING)
+        waits = z3.And(operator.writes, operator.told == Answer.NOTHING)
         own_version = operator.base_version + 1
         shown = z3.And(operator.accepted_at > 0, own_version <= version)
         if not self.has('history-decides'):
             shown = z3.And(shown, operator.accepted_at == number)
         name = f'read_{view}'
         yield operator.act(
-            f'{name}own', z3.And(waits, shown), operator.tell(Told.ACCEPTED)
+            f'{name}own', z3.And(waits, shown), operator.record_answer(Answer.ACCEPTED)
         )
         other = z3.And(waits, z3.Not(shown), version > operator.base_version)
         later = number > operator.base_number
         yield operator.act(
-            f'{name}other', z3.And(other, later), operator.tell(Told.CONFLICT)
+            f'{name}other',
+            z3.And(other, later),
+            operator.record_answer(Answer.CONFLICT),
         )
         yield operator.act(
-            f'{name}fenced', z3.And(other, z3.Not(later)), operator.tell(Told.NOT_MADE)
+            f'{name}fenced',
+            z3.And(other, z3.Not(later)),
+            operator.record_answer(Answer.NOT_MADE),
         )
         if not self.has('fence-before-not-made'):
             unseen = z3.And(waits, z3.Not(shown))
-            yield operator.act(f'{name}unseen', unseen, operator.tell(Told.NOT_MADE))
+            yield operator.act(
+                f'{name}unseen', unseen, operator.record_answer(Answer.NOT_MADE)
+            )
 
 
 def next_version(state: State) -> dict:
@@ -209,21 +219,21 @@
         """Return an action of this operator."""
         return Action(f'{name} {self.index}', guard, updates)
 
-    def tell(self, told: Told) -> dict:
+    def record_answer(self, answer: Answer) -> dict:
         """Return the updates that record an answer to the operator."""
-        return {indexed('told', self.index): told.value}
+        return {indexed('told', self.index): answer.value}
 
-    def is_told_right(self) -> z3.BoolRef:
+    def is_answer_right(self) -> z3.BoolRef:
         """Return whether the answer to the operator matches the accepted changes."""
-        refused = z3.Or(self.told == Told.CONFLICT, self.told == Told.NOT_MADE)
+        refused = z3.Or(self.told == Answer.CONFLICT, self.told == Answer.NOT_MADE)
         return z3.And(
             z3.Implies(refused, self.accepted_at == 0),
-            z3.Implies(self.told == Told.ACCEPTED, self.accepted_at > 0),
+            z3.Implies(self.told == Answer.ACCEPTED, self.accepted_at > 0),
         )
 
-    def is_told_for_good(self) -> z3.BoolRef:
+    def is_answer_final(self) -> z3.BoolRef:
         """Return whether a refused change can no longer be accepted."""
-        refused = z3.Or(self.told == Told.CONFLICT, self.told == Told.NOT_MADE)
+        refused = z3.Or(self.told == Answer.CONFLICT, self.told == Answer.NOT_MADE)
         passed = self.state['version'] > self.base_version
         return z3.Implies(z3.Or(refused, self.accepted_at > 0), passed)
 
@@ -247,5 +257,5 @@
             number <= self.state['number'],
             z3.Implies(number > 0, number == self.base_number + 1),
             z3.Implies(z3.Not(self.writes), number == 0),
-            z3.Implies(z3.Not(self.writes), self.told == Told.NOTHING),
+            z3.Implies(z3.Not(self.writes), self.told == Answer.NOTHING),
         )
--- a/model/config_gossip.py
+++ b/model/config_gossip.py
@@ -12,7 +12,7 @@
 from model.specification import Action, Guard, Specification, State, indexed
 
 INSTANCES = range(3)
-MOST_CHANGES = 6
+MAX_CHANGES = 6
 FRESH = 0
 
 FORWARD = 'a running instance never goes back'
@@ -20,11 +20,11 @@
 
 
 @define
-class ConfigSpreadSpecification(Specification):
-    """Instances that adopt only newer versions, after a restart from a majority."""
+class ConfigGossipSpecification(Specification):
+    """Instances that adopt only newer versions, and query a majority when fresh."""
 
-    name = 'config spread'
-    bounds = f'{len(INSTANCES)} instances, {MOST_CHANGES} changes, any restarts'
+    name = 'config gossip'
+    bounds = f'{len(INSTANCES)} instances, {MAX_CHANGES} changes, any restarts'
     guard_by_name = {
         'only-forward': Guard('peers and reads may be behind', FORWARD),
         'majority-answers': Guard('one peer may be behind', NOT_OLDER),
@@ -44,7 +44,7 @@
             values[indexed('best', index)] = FRESH
             values[indexed('started_after', index)] = 1
             for other in others(index):
-                values[heard(index, other)] = False
+                values[answer_variable(index, other)] = False
         return values
 
     def properties(self, state: State) -> dict[str, z3.BoolRef]:
@@ -66,7 +66,7 @@
             'settled was accepted': z3.And(
                 state['settled'] >= 1,
                 state['settled'] <= state['accepted'],
-                state['accepted'] <= MOST_CHANGES,
+                state['accepted'] <= MAX_CHANGES,
             ),
         }
         settled = state['settled']
@@ -77,12 +77,12 @@
             )
             facts[f'range {index}'] = self._is_in_range(state, index)
             facts[f'all answers received {index}'] = z3.Implies(
-                self._is_asking(state, index, one, other),
+                self._is_querying(state, index, one, other),
                 state[indexed('best', index)] >= started_after(state, index),
             )
             for known, missing in ((one, other), (other, one)):
                 behind = z3.And(
-                    self._is_asking(state, index, known),
+                    self._is_querying(state, index, known),
                     state[indexed('best', index)] < started_after(state, index),
                 )
                 facts[f'received one behind {index} {known}'] = z3.Implies(
@@ -90,9 +90,9 @@
                 )
         return facts
 
-    def _is_asking(self, state: State, index: int, *known: int) -> z3.BoolRef:
+    def _is_querying(self, state: State, index: int, *known: int) -> z3.BoolRef:
         fresh = state[indexed('version', index)] == FRESH
-        return z3.And(fresh, *(state[heard(index, other)] for other in known))
+        return z3.And(fresh, *(state[answer_variable(index, other)] for other in known))
 
     def _is_in_range(self, state: State, index: int) -> z3.BoolRef:
         version, best = state[indexed('version', index)], state[indexed('best', index)]
@@ -108,7 +108,7 @@
     def actions(self, state: State) -> Iterator[Action]:
         """Yield the actions that may be possible in a state."""
         accepted = state['accepted']
-        yield Action('accept', accepted < MOST_CHANGES, {'accepted': accepted + 1})
+        yield Action('accept', accepted < MAX_CHANGES, {'accepted': accepted + 1})
         for index in INSTANCES:
             yield from self._run(state, index)
             yield from self._start(state, index)
@@ -144,18 +144,22 @@
             best: FRESH,
             indexed('started_after', index): state['settled'],
         }
-        restart.update({heard(index, other): False for other in others(index)})
+        restart.update(
+            {answer_variable(index, other): False for other in others(index)}
+        )
         yield Action(f'restart {index}', z3.Not(fresh), restart)
         for other in others(index):
-            told = state[indexed('version', other)]
+            peer_version = state[indexed('version', other)]
             may = fresh
             if self.has('only-ready-answer'):
-                may = z3.And(may, told != FRESH)
-            better = z3.If(told > state[best], told, state[best])
+                may = z3.And(may, peer_version != FRESH)
+            better = z3.If(peer_version > state[best], peer_version, state[best])
             yield Action(
-                f'query {index} {other}', may, {best: better, heard(index, other): True}
+                f'query {index} {other}',
+                may,
+                {best: better, answer_variable(index, other): True},
             )
-        answers = [state[heard(index, other)] for other in others(index)]
+        answers = [state[answer_variable(index, other)] for other in others(index)]
         enough = z3.Or(*answers)
         if self.has('majority-answers'):
             enough = z3.And(*answers)
@@ -173,7 +177,7 @@
     return [each for each in INSTANCES if each != index]
 
 
-def heard(index: int, other: int) -> str:
+def answer_variable(index: int, other: int) -> str:
     """Return the variable for whether a fresh instance has an answer from a peer."""
     return f'heard{index}_{other}'
 
@@ -184,7 +188,7 @@
 
 
 def is_current(state: State, index: int, settled: z3.ExprRef) -> z3.BoolRef:
-    """Return whether an instance has a version as new, or must adopt one as new."""
+    """Return whether an instance has a version at least as new, or must adopt one."""
     version = state[indexed('version', index)]
     starts_later = z3.And(version == FRESH, started_after(state, index) >= settled)
     return z3.Or(version >= settled, starts_later)
--- a/model/lease.py
+++ b/model/lease.py
@@ -14,7 +14,7 @@
 from model.specification import Action, Guard, Specification, State, indexed
 
 HOLDERS = range(2)
-MOST_GRANTS = 4
+MAX_GRANTS = 4
 ONE_HOLDER = 'one holder per number'
 NO_STALE_ACT = 'no act after a newer holder acted'
 
@@ -33,7 +33,7 @@
     """A lease that may expire while its holder is paused."""
 
     name = 'lease'
-    bounds = f'{len(HOLDERS)} holders, {MOST_GRANTS} grants, any pauses and expirations'
+    bounds = f'{len(HOLDERS)} holders, {MAX_GRANTS} grants, any pauses and expirations'
     guard_by_name = {
         'fencing': Guard('a holder paused after its check acts late', NO_STALE_ACT),
         'new-number': Guard('old and new holder look the same', ONE_HOLDER),
@@ -72,7 +72,7 @@
         number = state['number']
         facts = {
             **self.properties(state),
-            'numbers grow': z3.And(number >= 0, number <= MOST_GRANTS),
+            'numbers grow': z3.And(number >= 0, number <= MAX_GRANTS),
             'holders differ': z3.Or(held[0] != held[1], held[0] == 0),
         }
         for index, each in enumerate(held):
@@ -83,20 +83,20 @@
         """Yield the actions that may be possible in a state."""
         yield Action('lapse', z3.Not(state['lapsed']), {'lapsed': True})
         for index in HOLDERS:
-            yield from self._hold(state, index)
+            yield from self._acquire(state, index)
 
-    def _hold(self, state: State, index: int) -> Iterator[Action]:
+    def _acquire(self, state: State, index: int) -> Iterator[Action]:
         stage, read = indexed('stage', index), indexed('read', index)
         held, other = indexed('held', index), indexed('held', 1 - index)
-        may_ask = z3.And(state['lapsed'], state[stage] <= Stage.HOLDS)
+        may_request = z3.And(state['lapsed'], state[stage] <= Stage.HOLDS)
         yield Action(
             f'read {index}',
-            may_ask,
+            may_request,
             {stage: Stage.HAS_READ.value, read: state['number']},
         )
-        asks = z3.And(state[stage] == Stage.HAS_READ, state['number'] < MOST_GRANTS)
+        requests = z3.And(state[stage] == Stage.HAS_READ, state['number'] < MAX_GRANTS)
         if self.has('conditional-grant'):
-            asks = z3.And(asks, state[read] == state['number'])
+            requests = z3.And(requests, state[read] == state['number'])
         other_holds = state[indexed('stage', 1 - index)] >= Stage.HOLDS
         number = state[read]
         if self.has('new-number'):
@@ -110,7 +110,7 @@
                 state['shared'], z3.And(other_holds, state[other] == number)
             ),
         }
-        yield Action(f'grant {index}', asks, grant)
+        yield Action(f'grant {index}', requests, grant)
         holds = z3.And(state[stage] == Stage.HOLDS, z3.Not(state['lapsed']))
         checked = z3.And(holds, state[held] == state['number'])
         yield Action(f'check {index}', checked, {stage: Stage.CHECKED.value})
--- a/model/records.py
+++ b/model/records.py
@@ -14,7 +14,7 @@
 
 ATTEMPTS = range(3)
 NOBODY = 0
-MOST_RUNS = 2
+MAX_RUNS = 2
 
 ONCE = 'at most once'
 TRUE = 'not run is true when sent'
@@ -108,7 +108,7 @@
         for index in ATTEMPTS:
             attempt = Attempt(state, index)
             yield from self._create(attempt)
-            yield from self._learn(attempt)
+            yield from self._read_record(attempt)
             yield from self._take_over(attempt)
             yield from self._run(attempt)
             yield from self._release(attempt)
@@ -127,7 +127,7 @@
         if not self.has('own-attempt-decides'):
             yield attempt.act('trust', attempt.is_unsure(), attempt.send())
 
-    def _learn(self, attempt: 'Attempt') -> Iterator[Action]:
+    def _read_record(self, attempt: 'Attempt') -> Iterator[Action]:
         state, index = attempt.state, attempt.index
         unsure = attempt.is_unsure()
         own = z3.And(unsure, attempt.is_owner())
@@ -142,8 +142,10 @@
         ended = attempt.to(Stage.ENDED)
         other = z3.And(unsure, z3.Not(attempt.is_owner()))
         yield attempt.act('read_other', other, ended)
-        told = {} if self.has('unknown-without-platform') else attempt.tell_not_run()
-        yield attempt.act('platform_down', unsure, {**ended, **told})
+        answer = (
+            {} if self.has('unknown-without-platform') else attempt.answer_not_run()
+        )
+        yield attempt.act('platform_down', unsure, {**ended, **answer})
         released = z3.And(other, state['version'] > 0, z3.Not(state['held']))
         seen = indexed('seen', index)
         yield attempt.act(
@@ -167,7 +169,7 @@
         state, index = attempt.state, attempt.index
         backend = indexed('backend', index)
         in_flight = attempt.backend == Backend.IN_FLIGHT
-        runs = z3.If(state['runs'] < MOST_RUNS, state['runs'] + 1, MOST_RUNS)
+        runs = z3.If(state['runs'] < MAX_RUNS, state['runs'] + 1, MAX_RUNS)
         ran = {backend: Backend.RAN.value, 'runs': runs}
         yield attempt.act('backend_runs', in_flight, ran)
 
@@ -181,7 +183,7 @@
         yield attempt.act(
             'receive_refusal',
             not_run,
-            {**end, **refused, **release, **attempt.tell_not_run()},
+            {**end, **refused, **release, **attempt.answer_not_run()},
         )
         if self.has('release-only-not-run'):
             release = {}
@@ -224,7 +226,7 @@
             'held': True,
         }
 
-    def tell_not_run(self) -> dict:
+    def answer_not_run(self) -> dict:
         """Return the updates that answer the caller with "not run"."""
         false = z3.Or(self.state['false_not_run'], self.state['runs'] > 0)
         return {'false_not_run': false}
--- a/model/replay/config.py
+++ b/model/replay/config.py
@@ -31,10 +31,10 @@
             base = await read_config(self.store)
             if 'earlier' in name:
                 base = self.earlier
-            known = len(self.store.pending)
+            pending_count = len(self.store.pending)
             self.nursery.start_soon(self._change, index, base)
             await trio.testing.wait_all_tasks_blocked()
-            self.write_by_index[index] = self.store.pending[known]
+            self.write_by_index[index] = self.store.pending[pending_count]
         elif name == 'write_applies':
             self.earlier = await read_config(self.store)
             await self.store.apply(self.write_by_index[index])
@@ -65,7 +65,7 @@
 
 
 @define
-class ConfigSpreadReplay(Replay):
+class ConfigGossipReplay(Replay):
     """Instances that receive the configuration from the platform and from peers."""
 
     size: int
@@ -109,9 +109,9 @@
 
     def _exchange(self, index: int, other: int) -> None:
         topic = self.instance_by_index[index].topic
-        news = self.instance_by_index[other].topic.updates_for(topic.digest())
-        if news is not None:
-            topic.receive(news)
+        update = self.instance_by_index[other].topic.updates_for(topic.digest())
+        if update is not None:
+            topic.receive(update)
 
     def _observe(self) -> None:
         versions = sorted(
--- a/model/replay/records.py
+++ b/model/replay/records.py
@@ -33,7 +33,7 @@
     store: SteppedStore = Factory(lambda: SteppedStore(held_kind=RECORD_KIND))
     attempt_by_index: dict[int, AttemptReplay] = Factory(dict)
     runs: int = 0
-    told_not_run_after: list[int] = Factory(list)
+    runs_when_refused: list[int] = Factory(list)
 
     async def step(self, name: str, *numbers: int) -> None:
         """Perform one action; the numbers select the parts that act."""
@@ -50,7 +50,7 @@
             attempt.in_flight = False
         elif name == 'receive_refusal' and attempt.in_flight:
             attempt.in_flight = False
-            self.told_not_run_after.append(self.runs)
+            self.runs_when_refused.append(self.runs)
             attempt.release = await self._start(self._release, attempt)
         elif name in ('trust', 'read_own', 'read_other', 'read_released'):
             attempt.takeover = await self._answer(attempt) or attempt.takeover
@@ -60,18 +60,18 @@
             self.store.is_down = False
 
     async def _start(self, task, *arguments) -> PendingWrite | None:
-        known = len(self.store.pending)
+        pending_count = len(self.store.pending)
         self.nursery.start_soon(task, *arguments)
         await trio.testing.wait_all_tasks_blocked()
-        return next(iter(self.store.pending[known:]), None)
+        return next(iter(self.store.pending[pending_count:]), None)
 
     async def _answer(self, attempt: AttemptReplay) -> PendingWrite | None:
-        known = len(self.store.pending)
+        pending_count = len(self.store.pending)
         for write in (attempt.create, attempt.takeover):
             if write is not None:
                 write.answered.set()
         await trio.testing.wait_all_tasks_blocked()
-        return next(iter(self.store.pending[known:]), None)
+        return next(iter(self.store.pending[pending_count:]), None)
 
     async def _claim(self, attempt: AttemptReplay, index: int) -> None:
         records = PlatformRecords(self.store, Random(index))
--- a/model/replay/tickets.py
+++ b/model/replay/tickets.py
@@ -45,12 +45,12 @@
 
 @define
 class SendingReplay:
-    """One sending; `told_not_run_after` is the run count when "not run" was sent."""
+    """One sending; `runs_when_refused` is the run count when "not run" was sent."""
 
     place: Place = Place.CALLER
     is_in_flight: bool = False
     has_run: bool = False
-    told_not_run_after: int | None = None
+    runs_when_refused: int | None = None
 
 
 @define
@@ -97,7 +97,7 @@
                 sending.place = Place.SENT
                 sending.is_in_flight = True
             case ('too_late', Place.ADMITTED):
-                self._tell_not_run(sending)
+                self._refuse(sending)
             case ('backend_runs', _) if sending.is_in_flight:
                 self.runs += 1
                 sending.is_in_flight = False
@@ -114,14 +114,14 @@
         if decision == Admitted():
             sending.place = Place.ADMITTED
         elif decision in REFUSED_AS_NOT_RUN:
-            sending.told_not_run_after = self.runs
+            sending.runs_when_refused = self.runs
             sending.place = Place.ENDED
         else:
             sending.place = Place.ENDED
 
-    def _tell_not_run(self, sending: SendingReplay) -> None:
+    def _refuse(self, sending: SendingReplay) -> None:
         self.table.release(self.key)
-        sending.told_not_run_after = self.runs
+        sending.runs_when_refused = self.runs
         sending.place = Place.ENDED
 
     def _admit_another(self) -> None:
--- a/model/senders.py
+++ b/model/senders.py
@@ -20,7 +20,7 @@
 WAIT = VALID + STALE
 END = 40
 FEW_SENDERS = f'at most {SENDERS} senders'
-OLD_PLACES = f'more than {SENDERS} positions only after an instance joined'
+OLD_POSITIONS = f'more than {SENDERS} positions only after an instance joined'
 
 
 @define
@@ -62,7 +62,7 @@
             facts.append(now - state[indexed('read_at', index)] <= VALID)
         return z3.And(*facts)
 
-    def has_place(self, state: State, index: int) -> z3.BoolRef:
+    def has_position(self, state: State, index: int) -> z3.BoolRef:
         """Return whether an instance had a sender position when it last read a list.
 
         With a position it sends to throttled servers, however old that list is now.
@@ -75,7 +75,7 @@
             waited >= WAIT,
         )
 
-    def came_since(self, state: State) -> z3.BoolRef:
+    def joined_since(self, state: State) -> z3.BoolRef:
         """Return whether another instance joined after the last one's list was made."""
         last = INSTANCES[-1]
         oldest = state[indexed('read_at', last)] - STALE
@@ -86,17 +86,19 @@
     def properties(self, state: State) -> dict[str, z3.BoolRef]:
         """Return the properties that must hold in every state, by name."""
         senders = [self.is_sender(state, index) for index in INSTANCES]
-        places = [self.has_place(state, index) for index in INSTANCES]
+        positions = [self.has_position(state, index) for index in INSTANCES]
         return {
             FEW_SENDERS: z3.Not(z3.And(*senders)),
-            OLD_PLACES: z3.Implies(z3.And(*places), self.came_since(state)),
+            OLD_POSITIONS: z3.Implies(z3.And(*positions), self.joined_since(state)),
         }
 
     def goals(self, state: State) -> dict[str, z3.BoolRef]:
         """Return the goals that some run must reach, so that no proof is vacuous."""
         return {
             'two senders': z3.And(self.is_sender(state, 0), self.is_sender(state, 1)),
-            'three positions': z3.And(*(self.has_place(state, it) for it in INSTANCES)),
+            'three positions': z3.And(
+                *(self.has_position(state, it) for it in INSTANCES)
+            ),
         }
 
     def invariant(self, state: State) -> dict[str, z3.BoolRef]:
--- a/model/specification.py
+++ b/model/specification.py
@@ -25,7 +25,7 @@
     """The reason for a guard of a protocol, and the property violated without it."""
 
     reason: str
-    breaks: str
+    violates: str
 
 
 @define
--- a/model/tickets.py
+++ b/model/tickets.py
@@ -16,7 +16,7 @@
 from model.specification import Action, Guard, Specification, State, indexed
 
 SENDINGS = range(3)
-MOST_RUNS = 2
+MAX_RUNS = 2
 
 ONCE = 'at most once'
 TRUE = 'not run is true when sent'
@@ -55,7 +55,7 @@
     REFUSED = 3
 
 
-class Told(IntEnum):
+class Answer(IntEnum):
     """The answer that the caller received for a sending."""
 
     NOTHING = 0
@@ -100,24 +100,24 @@
             values[indexed('backend', index)] = Backend.NOTHING
             values[indexed('second_copy', index)] = False
             values[indexed('late', index)] = False
-            values[indexed('told', index)] = Told.NOTHING
+            values[indexed('told', index)] = Answer.NOTHING
         return {k: v if isinstance(v, bool) else int(v) for k, v in values.items()}
 
     def properties(self, state: State) -> dict[str, z3.BoolRef]:
         """Return the properties that must hold in every state, by name."""
-        told = [state[indexed('told', index)] for index in SENDINGS]
+        answers = [state[indexed('told', index)] for index in SENDINGS]
         ran = [state[indexed('backend', i)] == Backend.RAN for i in SENDINGS]
         return {
             ONCE: state['runs'] <= 1,
             TRUE: z3.Not(state['false_not_run']),
             STAYS_TRUE: z3.And(
                 *(
-                    z3.Implies(each == Told.NOT_RUN, z3.Not(here))
-                    for each, here in zip(told, ran, strict=True)
+                    z3.Implies(each == Answer.NOT_RUN, z3.Not(here))
+                    for each, here in zip(answers, ran, strict=True)
                 )
             ),
             ANSWERED: z3.And(
-                *(z3.Implies(e == Told.ANSWERED, state['runs'] == 1) for e in told)
+                *(z3.Implies(e == Answer.ANSWERED, state['runs'] == 1) for e in answers)
             ),
             IN_TIME: z3.Not(state['late_run']),
         }
@@ -126,16 +126,16 @@
         """Return the goals that some run must reach, so that no proof is vacuous."""
         first, second = (state[indexed('told', index)] for index in (0, 1))
         return {
-            'answered': first == Told.ANSWERED,
+            'answered': first == Answer.ANSWERED,
             'answered after not run': z3.And(
-                first == Told.NOT_RUN, second == Told.ANSWERED
+                first == Answer.NOT_RUN, second == Answer.ANSWERED
             ),
         }
 
     def invariant(self, state: State) -> dict[str, z3.BoolRef]:
         """Return the inductive facts from which the properties follow, by name."""
         sendings = [Sending(state, index) for index in SENDINGS]
-        burned = z3.Or(
+        used_up = z3.Or(
             state['restarted'], state['expired'], state['entry'] != Entry.NONE
         )
         some_ran = z3.Or(*(each.has_run() for each in sendings))
@@ -152,9 +152,9 @@
                     z3.Or(state['expired'], state['entry'] != Entry.NONE),
                 ),
             )
-            facts[f'live is used up {each.index}'] = z3.Implies(each.is_live(), burned)
+            facts[f'live is used up {each.index}'] = z3.Implies(each.is_live(), used_up)
             facts[f'order {each.index}'] = each.is_ordered()
-            facts[f'told {each.index}'] = each.is_told_right()
+            facts[f'answer {each.index}'] = each.is_answer_right()
         for one, other in combinations(sendings, 2):
             facts[f'one lives {one.index} {other.index}'] = z3.Not(
                 z3.And(one.is_live(), other.is_live())
@@ -173,11 +173,11 @@
         yield self._crash(state)
         for index in SENDINGS:
             sending = Sending(state, index)
-            yield from self._travel(sending)
+            yield from self._forward(sending)
             yield from self._admit(sending)
             yield from self._send(sending)
             yield from self._backend(sending)
-            yield from self._settle(sending)
+            yield from self._finish(sending)
 
     def _crash(self, state: State) -> Action:
         updates = {'restarted': True, 'entry': Entry.NONE.value}
@@ -187,28 +187,28 @@
             updates[indexed('place', index)] = z3.If(
                 held, Place.ENDED.value, sending.place
             )
-            told = sending.tell(Told.UNKNOWN)[indexed('told', index)]
-            updates[indexed('told', index)] = z3.If(held, told, sending.told)
+            answer = sending.record_answer(Answer.UNKNOWN)[indexed('told', index)]
+            updates[indexed('told', index)] = z3.If(held, answer, sending.told)
         return Action('crash', z3.BoolVal(True), updates)
 
-    def _travel(self, sending: 'Sending') -> Iterator[Action]:
+    def _forward(self, sending: 'Sending') -> Iterator[Action]:
         at_caller = sending.place == Place.CALLER
         at_other = sending.place == Place.OTHER
         yield sending.act('send_home', at_caller, sending.at(Place.TO_HOME))
         yield sending.act('send_other', at_caller, sending.at(Place.OTHER))
         yield sending.act('pass_home', at_other, sending.at(Place.TO_HOME))
-        told = Told.UNKNOWN
+        answer = Answer.UNKNOWN
         if not self.has('unknown-when-unreachable'):
-            told = Told.NOT_RUN
-        yield sending.act('home_unreachable', at_other, sending.end(told))
+            answer = Answer.NOT_RUN
+        yield sending.act('home_unreachable', at_other, sending.end(answer))
         if not self.has('never-run-elsewhere'):
             yield sending.act('run_elsewhere', at_other, sending.at(Place.CHECKED))
-        told = Told.UNKNOWN
+        answer = Answer.UNKNOWN
         if not self.has('unknown-when-silent'):
-            told = Told.NOT_RUN
-        on_the_way = sending.place == Place.TO_HOME
-        yield sending.act('give_up', on_the_way, sending.tell(told))
-        yield sending.act('lose', on_the_way, sending.end(Told.UNKNOWN))
+            answer = Answer.NOT_RUN
+        in_transit = sending.place == Place.TO_HOME
+        yield sending.act('give_up', in_transit, sending.record_answer(answer))
+        yield sending.act('lose', in_transit, sending.end(Answer.UNKNOWN))
         passes = z3.Not(sending.late)
         yield sending.act('deadline', passes, {indexed('late', sending.index): True})
 
@@ -222,10 +222,10 @@
         seen = state['entry'] != Entry.NONE
         here = sending.place == Place.TO_HOME
         yield sending.act(
-            'refuse', z3.And(here, z3.Or(refused, seen)), sending.end(Told.UNKNOWN)
+            'refuse', z3.And(here, z3.Or(refused, seen)), sending.end(Answer.UNKNOWN)
         )
         new = z3.And(here, z3.Not(refused), z3.Not(seen))
-        yield sending.act('full', new, sending.end(Told.NOT_RUN))
+        yield sending.act('full', new, sending.end(Answer.NOT_RUN))
         updates = sending.at(Place.ADMITTED)
         if self.has('record-before-first-byte'):
             updates['entry'] = Entry.RUNNING.value
@@ -238,7 +238,7 @@
         too_late = z3.And(admitted, sending.late)
         release = {'entry': Entry.NONE.value}
         yield sending.act(
-            'too_late', too_late, {**sending.end(Told.NOT_RUN), **release}
+            'too_late', too_late, {**sending.end(Answer.NOT_RUN), **release}
         )
         updates = {**sending.at(Place.SENT), **sending.backend_is(Backend.IN_FLIGHT)}
         if not self.has('record-before-first-byte'):
@@ -252,7 +252,7 @@
         if self.has('backend-checks-deadline'):
             in_time = z3.Not(sending.late)
         run = {
-            'runs': z3.If(state['runs'] < MOST_RUNS, state['runs'] + 1, MOST_RUNS),
+            'runs': z3.If(state['runs'] < MAX_RUNS, state['runs'] + 1, MAX_RUNS),
             'late_run': z3.Or(state['late_run'], sending.late),
         }
         ran = {**run, **sending.backend_is(Backend.RAN)}
@@ -268,24 +268,24 @@
             'second_copy_runs', z3.And(state[name], in_time), {**run, name: False}
         )
 
-    def _settle(self, sending: 'Sending') -> Iterator[Action]:
+    def _finish(self, sending: 'Sending') -> Iterator[Action]:
         sent = sending.place == Place.SENT
         refused = z3.And(sent, sending.backend == Backend.REFUSED)
         in_flight = sending.backend_is(Backend.IN_FLIGHT)
         yield sending.act('try_another', refused, in_flight)
         release = {'entry': Entry.NONE.value}
         yield sending.act(
-            'receive_refusal', refused, {**sending.end(Told.NOT_RUN), **release}
+            'receive_refusal', refused, {**sending.end(Answer.NOT_RUN), **release}
         )
         yield sending.act(
             'receive_answer',
             z3.And(sent, sending.backend == Backend.RAN),
-            {**sending.end(Told.ANSWERED), **sending.keep(Entry.ANSWERED)},
+            {**sending.end(Answer.ANSWERED), **sending.keep(Entry.ANSWERED)},
         )
         kept = sending.keep(Entry.UNKNOWN)
         if not self.has('keep-unknown'):
             kept = release
-        yield sending.act('lose_answer', sent, {**sending.end(Told.UNKNOWN), **kept})
+        yield sending.act('lose_answer', sent, {**sending.end(Answer.UNKNOWN), **kept})
         if not self.has('no-retry-after-first-byte'):
             copy = {indexed('second_copy', sending.index): True}
             yield sending.act('retry', sent, copy)
@@ -320,12 +320,12 @@
             z3.Not(self.second_copy),
         )
 
-    def is_told_right(self) -> z3.BoolRef:
+    def is_answer_right(self) -> z3.BoolRef:
         """Return whether the answer to the caller matches the state of the sending."""
         ended = z3.And(self.place == Place.ENDED, z3.Not(self.is_live()))
         return z3.And(
-            z3.Implies(self.told == Told.NOT_RUN, ended),
-            z3.Implies(self.told == Told.ANSWERED, self.has_run()),
+            z3.Implies(self.told == Answer.NOT_RUN, ended),
+            z3.Implies(self.told == Answer.ANSWERED, self.has_run()),
         )
 
     def act(self, name: str, guard: z3.BoolRef, updates) -> Action:
@@ -340,18 +340,18 @@
         """Return the updates that set the state of the sending at a backend server."""
         return {indexed('backend', self.index): backend.value}
 
-    def tell(self, told: Told) -> dict:
+    def record_answer(self, answer: Answer) -> dict:
         """Return the updates that answer the caller, who keeps the first answer."""
-        first = self.told == Told.NOTHING
-        updates = {indexed('told', self.index): z3.If(first, told.value, self.told)}
-        if told is Told.NOT_RUN:
+        first = self.told == Answer.NOTHING
+        updates = {indexed('told', self.index): z3.If(first, answer.value, self.told)}
+        if answer is Answer.NOT_RUN:
             false = z3.And(first, self.state['runs'] > 0)
             updates['false_not_run'] = z3.Or(self.state['false_not_run'], false)
         return updates
 
-    def end(self, told: Told) -> dict:
+    def end(self, answer: Answer) -> dict:
         """Return the updates that end the sending with an answer to the caller."""
-        return {**self.at(Place.ENDED), **self.tell(told)}
+        return {**self.at(Place.ENDED), **self.record_answer(answer)}
 
     def keep(self, entry: Entry) -> dict:
         """Return the updates that change the entry unless the table has removed it."""
--- a/tests/test_model_conformance.py
+++ b/tests/test_model_conformance.py
@@ -8,10 +8,10 @@
 from catkinslip.config.changes import ChangeAccepted, ChangeConflict, ChangeNotMade
 from model.checker import find_counterexample, find_gaps
 from model.config_changes import ConfigChangeSpecification
-from model.config_spread import INSTANCES, ConfigSpreadSpecification
+from model.config_gossip import INSTANCES, ConfigGossipSpecification
 from model.lease import LeaseSpecification
 from model.records import RecordSpecification
-from model.replay.config import ConfigChangeReplay, ConfigSpreadReplay
+from model.replay.config import ConfigChangeReplay, ConfigGossipReplay
 from model.replay.records import RecordReplay
 from model.replay.tickets import TicketReplay
 from model.tickets import TicketSpecification
@@ -52,7 +52,7 @@
                 trio.run(replay.play, run)
                 self.assertLessEqual(replay.runs, 1, run.actions())
                 for sending in replay.sending_by_index.values():
-                    self.assertIn(sending.told_not_run_after, (None, 0))
+                    self.assertIn(sending.runs_when_refused, (None, 0))
 
     def test_records(self):
         for guard in RecordSpecification.guard_by_name:
@@ -60,29 +60,29 @@
                 run = find_counterexample(RecordSpecification(without=guard))
                 replay = trio.run(play_records, run)
                 self.assertLessEqual(replay.runs, 1, run.actions())
-                self.assertEqual(set(replay.told_not_run_after) - {0}, set())
+                self.assertEqual(set(replay.runs_when_refused) - {0}, set())
 
     def test_config_changes(self):
         for guard in ConfigChangeSpecification.guard_by_name:
             with self.subTest(guard=guard):
                 run = find_counterexample(ConfigChangeSpecification(without=guard))
                 clock = trio.testing.MockClock(autojump_threshold=0.01)
-                told, accepted = trio.run(play_changes, run, clock=clock)
+                outcomes, accepted = trio.run(play_changes, run, clock=clock)
                 self.assertEqual(len(set(accepted.values())), len(accepted))
-                for change_id, outcome in told.items():
+                for change_id, outcome in outcomes.items():
                     if isinstance(outcome, ChangeAccepted):
                         self.assertIn(change_id, accepted, run.actions())
                     if isinstance(outcome, ChangeConflict | ChangeNotMade):
                         self.assertNotIn(change_id, accepted, run.actions())
 
-    def test_config_spread(self):
-        for guard in ConfigSpreadSpecification.guard_by_name:
+    def test_config_gossip(self):
+        for guard in ConfigGossipSpecification.guard_by_name:
             with self.subTest(guard=guard):
-                self.assert_spread_holds(guard)
+                self.assert_gossip_holds(guard)
 
-    def assert_spread_holds(self, guard: str):
-        run = find_counterexample(ConfigSpreadSpecification(without=guard))
-        replay = ConfigSpreadReplay(len(INSTANCES))
+    def assert_gossip_holds(self, guard: str):
+        run = find_counterexample(ConfigGossipSpecification(without=guard))
+        replay = ConfigGossipReplay(len(INSTANCES))
         replay.start()
         trio.run(replay.play, run)
         self.assertEqual(replay.mistakes, [], run.actions())
