--- a/model/lease.py
+++ b/model/lease.py
@@ -1,8 +1,8 @@
-"""A lease with fencing: two holders, either may be paused between check and act.
+"""A lease with fencing: two holders, of which either may pause between check and act.
 
-No duty of the system holds a lease today. The specification says what one would
-need: the platform grants it by conditional update with a new number each time, and
-the far side refuses numbers below the greatest it has seen.
+No part of the system holds a lease at present. The specification shows what a lease
+would need: the platform grants it by a conditional update with a new number each
+time, and the receiver refuses numbers below the greatest one that it has seen.
 """
 
 from collections.abc import Iterator
@@ -14,13 +14,13 @@
 from model.specification import Action, Guard, Specification, State, indexed
 
 HOLDERS = range(2)
-MOST_GRANTS = 4
+MAX_GRANTS = 4
 ONE_HOLDER = 'one holder per number'
 NO_STALE_ACT = 'no act after a newer holder acted'
 
 
 class Stage(IntEnum):
-    """What a holder does; it may pause in any stage."""
+    """The stage of a holder, which may pause in any stage."""
 
     IDLE = 0
     HAS_READ = 1
@@ -30,18 +30,18 @@
 
 @define
 class LeaseSpecification(Specification):
-    """A lease whose holder may be paused while it lapses."""
+    """A lease that may expire while its holder is paused."""
 
     name = 'lease'
-    bounds = f'{len(HOLDERS)} holders, {MOST_GRANTS} grants, any pauses and lapses'
+    bounds = f'{len(HOLDERS)} holders, {MAX_GRANTS} grants, any pauses and expirations'
     guard_by_name = {
         'fencing': Guard('a holder paused after its check acts late', NO_STALE_ACT),
         'new-number': Guard('old and new holder look the same', ONE_HOLDER),
-        'conditional-grant': Guard('two read the same lapsed lease', ONE_HOLDER),
+        'conditional-grant': Guard('two read the same expired lease', ONE_HOLDER),
     }
 
     def initial_values(self) -> dict[str, int | bool]:
-        """Return the variables and their first values."""
+        """Return the variables and their initial values."""
         values: dict[str, int | bool] = {
             'number': 0,
             'lapsed': True,
@@ -56,23 +56,23 @@
         return values
 
     def properties(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what must hold in every state, by name."""
+        """Return the properties that must hold in every state, by name."""
         return {
             ONE_HOLDER: z3.Not(state['shared']),
             NO_STALE_ACT: z3.Not(state['stale_act']),
         }
 
     def goals(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what some run must reach, so that no proof is empty."""
+        """Return the goals that some run must reach, so that no proof is vacuous."""
         return {'a second holder acted': state['greatest_acted'] == 2}
 
     def invariant(self, state: State) -> dict[str, z3.BoolRef]:
-        """Return what each step keeps, and from which the properties follow."""
+        """Return the inductive facts from which the properties follow, by name."""
         held = [state[indexed('held', index)] for index in HOLDERS]
         number = state['number']
         facts = {
             **self.properties(state),
-            'numbers grow': z3.And(number >= 0, number <= MOST_GRANTS),
+            'numbers grow': z3.And(number >= 0, number <= MAX_GRANTS),
             'holders differ': z3.Or(held[0] != held[1], held[0] == 0),
         }
         for index, each in enumerate(held):
@@ -80,23 +80,23 @@
         return facts
 
     def actions(self, state: State) -> Iterator[Action]:
-        """Yield the steps that may follow a state."""
+        """Yield the actions that may be possible in a state."""
         yield Action('lapse', z3.Not(state['lapsed']), {'lapsed': True})
         for index in HOLDERS:
-            yield from self._hold(state, index)
+            yield from self._acquire(state, index)
 
-    def _hold(self, state: State, index: int) -> Iterator[Action]:
+    def _acquire(self, state: State, index: int) -> Iterator[Action]:
         stage, read = indexed('stage', index), indexed('read', index)
         held, other = indexed('held', index), indexed('held', 1 - index)
-        may_ask = z3.And(state['lapsed'], state[stage] <= Stage.HOLDS)
+        may_request = z3.And(state['lapsed'], state[stage] <= Stage.HOLDS)
         yield Action(
             f'read {index}',
-            may_ask,
+            may_request,
             {stage: Stage.HAS_READ.value, read: state['number']},
         )
-        asks = z3.And(state[stage] == Stage.HAS_READ, state['number'] < MOST_GRANTS)
+        requests = z3.And(state[stage] == Stage.HAS_READ, state['number'] < MAX_GRANTS)
         if self.has('conditional-grant'):
-            asks = z3.And(asks, state[read] == state['number'])
+            requests = z3.And(requests, state[read] == state['number'])
         other_holds = state[indexed('stage', 1 - index)] >= Stage.HOLDS
         number = state[read]
         if self.has('new-number'):
@@ -110,7 +110,7 @@
                 state['shared'], z3.And(other_holds, state[other] == number)
             ),
         }
-        yield Action(f'grant {index}', asks, grant)
+        yield Action(f'grant {index}', requests, grant)
         holds = z3.And(state[stage] == Stage.HOLDS, z3.Not(state['lapsed']))
         checked = z3.And(holds, state[held] == state['number'])
         yield Action(f'check {index}', checked, {stage: Stage.CHECKED.value})
--- a/model/replay/records.py
+++ b/model/replay/records.py
@@ -1,4 +1,4 @@
-"""Replay runs of the record specification against the records of the platform."""
+"""Replays of the record specification against the platform records."""
 
 from random import Random
 
@@ -15,7 +15,7 @@
 
 @define
 class AttemptReplay:
-    """One attempt: its claim, its writes and what became of it."""
+    """One attempt, with its claim, its writes and its state."""
 
     create: PendingWrite | None = None
     takeover: PendingWrite | None = None
@@ -27,16 +27,16 @@
 
 @define
 class RecordReplay(Replay):
-    """Attempts with one key through several instances; counts what ran."""
+    """Attempts with one key through several instances, and the number of runs."""
 
     nursery: trio.Nursery
     store: SteppedStore = Factory(lambda: SteppedStore(held_kind=RECORD_KIND))
     attempt_by_index: dict[int, AttemptReplay] = Factory(dict)
     runs: int = 0
-    told_not_run_after: list[int] = Factory(list)
+    runs_when_refused: list[int] = Factory(list)
 
     async def step(self, name: str, *numbers: int) -> None:
-        """Take one step; the numbers say which of several like parts acts."""
+        """Perform one action; the numbers select the parts that act."""
         (index,) = numbers
         attempt = self.attempt_by_index.setdefault(index, AttemptReplay())
         if name == 'create':
@@ -48,9 +48,9 @@
         elif name == 'backend_runs':
             self.runs += attempt.in_flight
             attempt.in_flight = False
-        elif name == 'hear_refusal' and attempt.in_flight:
+        elif name == 'receive_refusal' and attempt.in_flight:
             attempt.in_flight = False
-            self.told_not_run_after.append(self.runs)
+            self.runs_when_refused.append(self.runs)
             attempt.release = await self._start(self._release, attempt)
         elif name in ('trust', 'read_own', 'read_other', 'read_released'):
             attempt.takeover = await self._answer(attempt) or attempt.takeover
@@ -60,18 +60,18 @@
             self.store.is_down = False
 
     async def _start(self, task, *arguments) -> PendingWrite | None:
-        known = len(self.store.pending)
+        pending_count = len(self.store.pending)
         self.nursery.start_soon(task, *arguments)
         await trio.testing.wait_all_tasks_blocked()
-        return next(iter(self.store.pending[known:]), None)
+        return next(iter(self.store.pending[pending_count:]), None)
 
     async def _answer(self, attempt: AttemptReplay) -> PendingWrite | None:
-        known = len(self.store.pending)
+        pending_count = len(self.store.pending)
         for write in (attempt.create, attempt.takeover):
             if write is not None:
                 write.answered.set()
         await trio.testing.wait_all_tasks_blocked()
-        return next(iter(self.store.pending[known:]), None)
+        return next(iter(self.store.pending[pending_count:]), None)
 
     async def _claim(self, attempt: AttemptReplay, index: int) -> None:
         records = PlatformRecords(self.store, Random(index))
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep connections until the process is gone, and what they saw."""
+"""Callers with keep-alive connections, and the outcomes of their requests."""
 
 from enum import Enum, auto, unique
 from random import Random
@@ -12,12 +12,12 @@
 DEADLINE_MS = 1200
 ANSWER_SECONDS = 4.0
 PAUSE_SECONDS = 0.03
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 @unique
-class Told(Enum):
-    """What a caller was told of a request."""
+class Outcome(Enum):
+    """The outcome of a request as its caller observed it."""
 
     ANSWERED = auto()
     NOT_RUN = auto()
@@ -27,20 +27,20 @@
 
 @define
 class Request:
-    """One request as its caller saw it; times are trio's."""
+    """One request as its caller observed it; times are those of the trio clock."""
 
     request_id: str
     is_idempotent: bool
     instance: str
     sent_at: float
-    told: Told | None = None
+    outcome: Outcome | None = None
     status: int = 0
     ended_at: float = 0.0
 
 
 @define
 class Callers:
-    """Send requests to all instances and keep what came back."""
+    """Load generator that sends requests to all instances and records the outcomes."""
 
     world: World
     random: Random
@@ -49,7 +49,7 @@
     count: int = 0
 
     async def run(self, callers: int) -> None:
-        """Send until cancelled."""
+        """Send requests from a number of callers until cancelled."""
         async with trio.open_nursery() as nursery:
             for number in range(callers):
                 instances = self.world.instances
@@ -82,21 +82,21 @@
         try:
             answer = await client.request(method, path, headers=headers)
         except httpx.HTTPError:
-            request.told = Told.NOTHING
+            request.outcome = Outcome.NOTHING
         else:
-            self._take(request, answer)
+            self._record_answer(request, answer)
         request.ended_at = trio.current_time()
 
-    def _take(self, request: Request, answer: httpx.Response) -> None:
+    def _record_answer(self, request: Request, answer: httpx.Response) -> None:
         request.status = answer.status_code
         if answer.is_success:
-            request.told = Told.ANSWERED
-            wanted = f'answer to {request.request_id}'.encode()
-            if answer.content != wanted:
+            request.outcome = Outcome.ANSWERED
+            expected = f'answer to {request.request_id}'.encode()
+            if answer.content != expected:
                 self.violations.append(
-                    f'{request.request_id} got another answer: {answer.content[:60]}'
+                    f'{request.request_id} got a wrong answer: {answer.content[:60]}'
                 )
-        elif answer.status_code in PROMISES:
-            request.told = Told.NOT_RUN
+        elif answer.status_code in NOT_RUN_STATUSES:
+            request.outcome = Outcome.NOT_RUN
         else:
-            request.told = Told.FAILED
+            request.outcome = Outcome.FAILED
--- a/soak/demo.py
+++ b/soak/demo.py
@@ -1,4 +1,4 @@
-"""Run instances on a stand-in of the users' platform, hurt them, say what came back.
+"""Demo: run instances on a stand-in platform, inject faults, and print the outcomes.
 
 python -m soak.demo
 """
@@ -11,8 +11,8 @@
 
 import trio
 
-from soak.callers import Callers, Told
-from soak.checks import find_broken
+from soak.callers import Callers, Outcome
+from soak.checks import find_violations
 from soak.world import World, make_folder, wait_for
 
 SERVERS = 6
@@ -24,11 +24,11 @@
 
 
 async def play(folder: Path) -> int:
-    """Serve callers through four changes; return 1 if a promise was broken."""
+    """Run the demo in a folder; return 1 if a guarantee was violated."""
     async with trio.open_nursery() as nursery:
         world = World(folder, nursery, Random(SEED))
         try:
-            result = await show(world)
+            result = await run_steps(world)
         finally:
             for instance in world.instances:
                 instance.end()
@@ -36,43 +36,49 @@
     return result
 
 
-async def show(world: World) -> int:
-    """Print what callers were told after each step."""
+async def run_steps(world: World) -> int:
+    """Make four changes under load and print the outcomes of requests after each."""
     await world.open(SERVERS, INSTANCES)
     callers = Callers(world, Random(SEED))
     killed = world.instances[-1]
     async with trio.open_nursery() as nursery:
         nursery.start_soon(callers.run, CALLERS)
         await wait_for(lambda: any(each.status == 200 for each in callers.requests))
-        await tell(callers, f'{INSTANCES} instances, {SERVERS} servers')
+        await print_outcomes(callers, f'{INSTANCES} instances, {SERVERS} servers')
         world.register(LEAVING, 'draining')
-        await tell(callers, f'{LEAVING} leaves')
+        await print_outcomes(callers, f'{LEAVING} is leaving')
         world.put_config()
-        await tell(callers, 'a newer configuration')
+        await print_outcomes(callers, 'a newer configuration')
         killed.send(signal.SIGKILL, 'killed')
-        await tell(callers, f'{killed.name} is killed; its callers do not move')
+        await print_outcomes(
+            callers, f'{killed.name} is killed; its callers stay with it'
+        )
         killed.process.wait()
         killed.start()
-        await tell(callers, f'{killed.name} is back')
+        await print_outcomes(callers, f'{killed.name} is restarted')
         nursery.cancel_scope.cancel()
     await trio.sleep(STEP_SECONDS)
-    broken = list(find_broken(world, callers))
-    print(f'{len(callers.requests)} requests, {len(broken)} broken promises')
-    print('\n'.join(broken))
-    return 1 if broken else 0
+    violations = list(find_violations(world, callers))
+    print(f'{len(callers.requests)} requests, {len(violations)} violations')
+    print('\n'.join(violations))
+    return 1 if violations else 0
 
 
-async def tell(callers: Callers, what: str) -> None:
-    """Let callers call for a step and print what they were told."""
+async def print_outcomes(callers: Callers, event: str) -> None:
+    """Wait for one step and print the outcomes of its requests."""
     first = len(callers.requests)
     await trio.sleep(STEP_SECONDS)
-    told = Counter(each.told for each in callers.requests[first:] if each.told)
-    counts = ', '.join(f'{told[each]} {each.name.lower()}' for each in Told)
-    print(f'{what}: {counts}', flush=True)
+    count_by_outcome = Counter(
+        each.outcome for each in callers.requests[first:] if each.outcome
+    )
+    counts = ', '.join(
+        f'{count_by_outcome[each]} {each.name.lower()}' for each in Outcome
+    )
+    print(f'{event}: {counts}', flush=True)
 
 
 def main() -> int:
-    """Run the demo; return 0 when everything that must hold held."""
+    """Run the demo; return 0 if all guarantees held."""
     with make_folder() as folder:
         return trio.run(play, Path(folder))
 
