--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for outside systems, for tests, benchmarks and the demo."""
+"""Small stand-ins for external systems in tests, benchmarks and the demo."""
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,4 +1,4 @@
-"""A stand-in for a backend server: slots, shedding, faults and a ledger."""
+"""Stand-in backend server with slots, load shedding, faults and a ledger."""
 
 import argparse
 import json
@@ -24,7 +24,7 @@
 
 @define
 class Behaviour:
-    """How the server behaves; durations are in seconds."""
+    """Settings of the backend server's behaviour; durations are in seconds."""
 
     slots: int = 5
     queue: int = 1000
@@ -43,7 +43,7 @@
 
 @define
 class BackendStandin:
-    """Serve requests and remember which ran."""
+    """HTTP server that runs requests in slots and records which requests ran."""
 
     name: str
     behaviour: Behaviour
@@ -55,7 +55,7 @@
     last_started_at: float = 0.0
     probe_times: list[float] = Factory(list)
     slots: trio.CapacityLimiter = None
-    #: Outlives a kill: each run is a line that is written before the run begins.
+    #: File with one line per run, written before the run begins: it survives a kill.
     ledger_file: IO[str] | None = None
 
     async def serve(self, stream: trio.SocketStream) -> None:
@@ -71,7 +71,7 @@
             await trio.aclose_forcefully(stream)
 
     async def serve_request(self, stream, codec: h11.Connection) -> bool:
-        """Serve one request; tell whether the connection may be kept."""
+        """Serve one request; return whether the connection can be reused."""
         head, body = await receive(stream, codec)
         if head is None:
             return False
@@ -82,7 +82,7 @@
             self.unanswered -= 1
 
     async def answer(self, stream, codec: h11.Connection, head, body: bytes) -> bool:
-        """Answer one request; tell whether the connection may be kept."""
+        """Answer one request; return whether the connection can be reused."""
         path = head.target.decode('latin-1')
         if path.startswith(CONTROL_PREFIX):
             status, headers, answer = self.control(path, body)
@@ -102,7 +102,7 @@
         return codec.our_state is h11.DONE and codec.their_state is h11.DONE
 
     async def work(self, head, body: bytes):
-        """Run a request in a slot, or refuse it as not run."""
+        """Run a request in a slot, or refuse it with the outcome `not-run`."""
         header_by_name = dict(head.headers)
         request_id = header_by_name.get(REQUEST_ID, b'').decode()
         deadline = float(header_by_name.get(DEADLINE, b'inf'))
@@ -132,17 +132,17 @@
         return 200, headers, json.dumps(answer).encode()
 
     def probe(self, head):
-        """Answer a probe and count it."""
+        """Answer a request to the health path and count it if it is a probe."""
         if PROBE in dict(head.headers):
             self.probe_times.append(time.time())
         return 200, self.report(), b'well'
 
     def refusal(self):
-        """Return the answer that says a request did not run."""
+        """Return a 503 answer with the outcome `not-run`."""
         return 503, [*self.report(), (OUTCOME, b'not-run')], b'not run'
 
     def record(self, request_id: str, key: bytes) -> None:
-        """Write into the ledger that a request runs."""
+        """Record in the ledger that a request runs."""
         self.last_started_at = time.time()
         self.ran_by_request[request_id] = self.ran_by_request.get(request_id, 0) + 1
         name = key.decode('latin-1')
@@ -153,14 +153,14 @@
             self.ledger_file.write(line + '\n')
 
     def service_time(self) -> float:
-        """Return how long the next request takes."""
+        """Return the service time of the next request in seconds."""
         mean = self.behaviour.service_time * self.behaviour.slowdown
         if self.behaviour.exponential and mean:
             return self.random.expovariate(1 / mean)
         return mean
 
     def report(self):
-        """Return the load report's header."""
+        """Return the header with the load report, or no header if reports are off."""
         if not self.behaviour.reports:
             return []
         in_flight = self.behaviour.reported_in_flight
@@ -171,7 +171,7 @@
         return [(b'endpoint-load-metrics', text.encode())]
 
     def control(self, path: str, body: bytes):
-        """Change the behaviour or show the ledger."""
+        """Handle a `/standin/` request: change the behaviour or return the ledger."""
         if path == '/standin/behaviour':
             for name, value in json.loads(body).items():
                 setattr(self.behaviour, name, value)
@@ -180,7 +180,7 @@
         return 200, [], json.dumps(self.ledger()).encode()
 
     def ledger(self) -> dict:
-        """Return what ran and when the last request was started."""
+        """Return the recorded runs and probes and the start time of the last run."""
         return {
             'by_request': self.ran_by_request,
             'by_key': self.ran_by_key,
@@ -191,7 +191,7 @@
         }
 
     async def stop_gracefully(self, scope: trio.CancelScope) -> None:
-        """On SIGTERM refuse new work, finish what runs, print the ledger and end."""
+        """Drain on SIGTERM, then print the ledger and stop the server."""
         with trio.open_signal_receiver(signal.SIGTERM) as signals:
             await anext(signals)
         self.behaviour.draining = self.behaviour.refuses_when_draining = True
@@ -203,12 +203,12 @@
 
 
 async def main() -> None:
-    """Serve on a port that the kernel chooses, printed as JSON."""
+    """Run the backend server; print its address as JSON once it listens."""
     parser = argparse.ArgumentParser()
     parser.add_argument('--name', default='backend')
     parser.add_argument('--port', type=int, default=0)
     parser.add_argument('--seed', type=int, default=0)
-    parser.add_argument('--ledger', type=Path, help='file that the ledger goes to')
+    parser.add_argument('--ledger', type=Path, help='file to append the ledger to')
     for each in fields(Behaviour):
         kind = type(each.default)
         flag = '--' + each.name.replace('_', '-')
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""Run a small system, hurt it, and say what callers were told."""
+"""Demo that runs a small system, injects faults and prints callers' outcomes."""
 
 import json
 import sys
@@ -19,12 +19,12 @@
 METHOD_BY_SERVICE = {'limits': 'GET', 'claims': 'POST'}
 CALLERS = 4
 CALLS_PER_PROBE = 100
-#: One service is measured by probes too, the other by its answers alone.
+#: Load probes per second; `claims` is measured only by the reports in its answers.
 PROBES_BY_SERVICE = {'limits': 1.0, 'claims': 0.0}
 
 
 def main() -> int:
-    """Run the demo; return 0 when everything that must hold held."""
+    """Run the demo; return 0 if all checks passed."""
     with (
         tempfile.TemporaryDirectory() as folder,
         ProcessGroup(Path(folder)) as group,
@@ -33,7 +33,7 @@
 
 
 def play(group: ProcessGroup) -> int:
-    """Start the system, load it, kill one worker, drain another."""
+    """Start the system, run the load and report; return the exit status."""
     platform_url = f'http://{group.start_platform().address}'
     start_backends(group)
     apply(group, platform_url, document(group))
@@ -53,7 +53,7 @@
 
 
 def start_backends(group: ProcessGroup) -> None:
-    """Start the workers of each service."""
+    """Start the backend servers of each service."""
     for service, size in SIZE_BY_SERVICE.items():
         for number in range(size):
             group.start_backend(
@@ -62,7 +62,7 @@
 
 
 def document(group: ProcessGroup, draining: str = '') -> dict:
-    """Return the register and the rules."""
+    """Return the configuration document for the group's backend servers."""
     backends = {}
     for name, process in group.process_by_name.items():
         service = name.partition('-')[0]
@@ -88,22 +88,22 @@
 
 
 def apply(group: ProcessGroup, platform_url: str, plain: dict) -> None:
-    """Apply a document with the operators' tool."""
+    """Apply a configuration document with the command-line tool."""
     path = group.folder / 'document.json'
     path.write_text(json.dumps(plain))
     status = run_tool(['apply', str(path), '--platform-url', platform_url])
     if status != 0:
-        raise RuntimeError(f'apply ended with {status}')
+        raise RuntimeError(f'apply of {path} failed with exit status {status}')
 
 
 def serves(address: str) -> bool:
-    """Tell whether an instance has its configuration."""
+    """Return whether an instance answers a request with status 200."""
     answer = httpx.get(f'http://{address}/', headers={'Host': 'limits'})
     return answer.status_code == 200
 
 
 async def load(group: ProcessGroup, ask: list[str]) -> dict[str, Tally]:
-    """Load every service while servers are killed and drained."""
+    """Send load to every service while one server is killed and one drained."""
     tally_by_service = {service: Tally() for service in SIZE_BY_SERVICE}
     async with trio.open_nursery() as nursery:
         for service, tally in tally_by_service.items():
@@ -121,7 +121,7 @@
 
 
 async def hurt(group: ProcessGroup) -> None:
-    """Kill one worker and drain another."""
+    """Kill one backend server and drain another while the load runs."""
     await trio.sleep(SECONDS / 3)
     group.process_by_name['limits-0'].kill()
     await trio.sleep(SECONDS / 3)
@@ -131,7 +131,7 @@
 
 
 def report(group: ProcessGroup, platform_url: str, tallies: dict[str, Tally]) -> int:
-    """Print what happened; return 0 when everything that must hold held."""
+    """Print the results of each service; return 0 if all checks passed."""
     repeats = count_repeats(group)
     held = True
     for service, tally in tallies.items():
@@ -148,12 +148,12 @@
     held = report_probes(group, tallies) and held
     print(f'platform calls: {sum(calls.values())}, {calls}')
     held = held and repeats['claims'] == 0
-    print('everything that must hold held' if held else 'something did not hold')
+    print('all checks passed' if held else 'some checks failed')
     return 0 if held else 1
 
 
 def report_probes(group: ProcessGroup, tallies: dict[str, Tally]) -> bool:
-    """Print the probes that servers counted; tell whether they were within budget."""
+    """Print the probes that servers counted; return whether all are in budget."""
     held = True
     for service, tally in tallies.items():
         calls = tally.histogram.get_total_count()
@@ -165,7 +165,7 @@
 
 
 def ledgers(group: ProcessGroup, service: str) -> list[dict]:
-    """Return the ledgers of a service's servers that still run."""
+    """Return the ledgers of a service's running servers."""
     return [
         httpx.get(f'http://{process.address}/standin/ledger').json()
         for name, process in group.process_by_name.items()
@@ -174,7 +174,7 @@
 
 
 def count_repeats(group: ProcessGroup) -> dict[str, int]:
-    """Count requests that ran more than once, by service."""
+    """Return the number of repeated runs by service."""
     runs_by_request: dict[str, int] = {}
     for service in SIZE_BY_SERVICE:
         for ledger in ledgers(group, service):
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Many configuration topics in one process that exchange news in rounds."""
+"""Simulation of many instances that exchange configuration updates in rounds."""
 
 from random import Random
 
@@ -12,7 +12,7 @@
 
 @define
 class TopicFleet:
-    """Let each topic exchange once a round with a random other one."""
+    """Configuration topics that each exchange with a random peer once per round."""
 
     topics: list[ConfigTopic]
     random: Random
@@ -20,7 +20,7 @@
 
     @classmethod
     def of_size(cls, size: int, seed: int) -> 'TopicFleet':
-        """Return a fleet of fresh topics."""
+        """Return a fleet of new topics without a configuration."""
         topics = [
             ConfigTopic(ConfigHolder(), f'entry-{number}', lambda: size - 1)
             for number in range(size)
@@ -28,12 +28,12 @@
         return cls(topics, Random(seed))
 
     def run_round(self) -> None:
-        """Let every topic exchange once."""
+        """Run one round, in which every topic exchanges once."""
         for topic in self.random.sample(self.topics, len(self.topics)):
             self.exchange(topic, self.other_than(topic))
 
     def run_burst(self, version: ConfigVersion, fanout: int) -> int:
-        """Let each topic that has a version tell some at once; return how many have."""
+        """Push a version from all topics that have it; return their final number."""
         told = [each for each in self.topics if each.config.current.version == version]
         for topic in told:
             for _ in range(fanout):
@@ -45,19 +45,19 @@
         return len(told)
 
     def other_than(self, topic: ConfigTopic) -> ConfigTopic:
-        """Return a random other topic."""
+        """Return a random topic other than the given one."""
         peer = topic
         while peer is topic:
             peer = self.random.choice(self.topics)
         return peer
 
     def exchange(self, topic: ConfigTopic, peer: ConfigTopic) -> None:
-        """Exchange as two instances do: digest and push, then the answer."""
+        """Exchange updates as two instances do: digest and push, then the answer."""
         self.deliver(topic.updates_for(None), peer)
         self.deliver(peer.updates_for(topic.digest()), topic)
 
     def deliver(self, news: object, topic: ConfigTopic) -> None:
-        """Carry news as JSON and count its bytes."""
+        """Deliver updates as JSON to a topic and count their bytes."""
         if news is None:
             return
         text = orjson.dumps(news)
@@ -65,7 +65,7 @@
         topic.receive(orjson.loads(text))
 
     def rounds_until(self, version: ConfigVersion, bound: int = 100) -> int:
-        """Return the rounds until every topic has a version in force."""
+        """Return the number of rounds until every topic has at least a version."""
         for rounds in range(bound):
             if all(each.config.current.version >= version for each in self.topics):
                 return rounds
--- a/standins/ledgers.py
+++ b/standins/ledgers.py
@@ -1,4 +1,4 @@
-"""Compare what callers were told with what backend servers ran."""
+"""Comparison of the outcomes that callers got with the runs of backend servers."""
 
 import json
 from collections import Counter
@@ -21,24 +21,24 @@
 
 @define
 class Sending:
-    """One request as a caller sent it, and what the caller was told."""
+    """One request as a caller sent it, and the outcome that the caller got."""
 
     request_id: str
     key: str = ''
     repeatable: bool = True
-    #: None until the caller was told something or its connection broke.
+    #: Outcome that the caller got; None until an answer or a connection break.
     outcome: str | None = None
-    #: The ID that the answer carried; another one if a kept answer was replayed.
+    #: Request ID in the answer; the ID of an earlier request if it was replayed.
     answered_id: str = ''
 
 
 def read_ledger(path: Path) -> list[Run]:
-    """Return what a backend server ran, also one that was killed."""
+    """Return the runs in a ledger file; a killed server's file is complete."""
     return [Run(**json.loads(line)) for line in path.read_text().splitlines()]
 
 
 def find_lies(sendings: Iterable[Sending], runs: Iterable[Run]) -> list[str]:
-    """Return each way in which callers were told what is not so."""
+    """Return a message for each outcome or run that contradicts the ledgers."""
     sendings, runs = list(sendings), list(runs)
     runs_by_id = Counter(run.request_id for run in runs)
     return [
@@ -48,7 +48,7 @@
 
 
 def find_wrong_words(sendings: list[Sending], runs_by_id: Counter) -> list[str]:
-    """Compare each outcome with the ledger; sendings of a key stand in order."""
+    """Compare each outcome with the runs; requests of one key must be in order."""
     lies = []
     ids_by_key: dict[str, list[str]] = {}
     for sending in sendings:
@@ -56,12 +56,12 @@
         ids = ids_by_key.setdefault(sending.key or request_id, [])
         ids.append(request_id)
         if sending.outcome is None:
-            lies.append(f'{request_id} was told nothing')
+            lies.append(f'{request_id} got no outcome')
         elif sending.outcome == 'wrong':
             lies.append(f'{request_id} got a wrong answer')
         elif sending.outcome == NOT_RUN:
             ran = [each for each in ids if runs_by_id[each]]
-            lies.extend(f'{request_id} was told not run, {each} ran' for each in ran)
+            lies.extend(f'{request_id} got not run, {each} ran' for each in ran)
         elif sending.outcome == RIGHT:
             lies.extend(find_wrong_answer(sending, ids, runs_by_id))
     return lies
@@ -70,16 +70,16 @@
 def find_wrong_answer(
     sending: Sending, ids: list[str], runs_by_id: Counter
 ) -> list[str]:
-    """Check that an answer is to this request and that it ran."""
+    """Return a message if an answer is another request's or its request never ran."""
     if sending.answered_id not in ids:
         return [f"{sending.request_id} got the answer of '{sending.answered_id}'"]
     if not runs_by_id[sending.answered_id]:
-        return [f'{sending.request_id} was told answered and is in no ledger']
+        return [f'{sending.request_id} got an answer and is in no ledger']
     return []
 
 
 def find_repeats(sendings: list[Sending], runs: list[Run]) -> list[str]:
-    """Find what ran more than once and must not."""
+    """Return a message for each unrepeatable request that ran more than once."""
     once = [each for each in sendings if not each.repeatable]
     ids = {sending.request_id for sending in once}
     keys = {sending.key for sending in once if sending.key}
--- a/standins/load.py
+++ b/standins/load.py
@@ -1,4 +1,4 @@
-"""A small load tool: closed-loop callers, counted answers, latencies."""
+"""Closed-loop load generator that counts outcomes and records latencies."""
 
 import itertools
 import json
@@ -17,13 +17,13 @@
 
 
 def new_histogram() -> HdrHistogram:
-    """Return an empty histogram of microseconds."""
+    """Return an empty latency histogram in microseconds."""
     return HdrHistogram(LOWEST_MICROSECONDS, HIGHEST_MICROSECONDS, DIGITS)
 
 
 @define
 class Tally:
-    """What callers were told."""
+    """Sent requests, number of requests by outcome, and latencies."""
 
     right: int = 0
     wrong: int = 0
@@ -34,18 +34,18 @@
     histogram: HdrHistogram = Factory(new_histogram)
 
     def count(self, sending: Sending, outcome: str) -> None:
-        """Count how a request ended."""
+        """Record the outcome of a request."""
         sending.outcome = outcome
         setattr(self, outcome, getattr(self, outcome) + 1)
 
     def ids_told(self, outcome: str) -> set[str]:
-        """Return the IDs of the requests that ended so."""
+        """Return the IDs of the requests with an outcome."""
         return {each.request_id for each in self.sendings if each.outcome == outcome}
 
 
 @define
 class LoadCaller:
-    """Ask for addresses, keep the answer a while, and send requests."""
+    """Caller that fetches and caches a service's addresses and sends requests."""
 
     name: str
     service: str
@@ -53,7 +53,7 @@
     tally: Tally
     method: str = 'GET'
     lifetime: float = 1.0
-    #: Seconds after which the caller gives a request up and disconnects.
+    #: Caller timeout in seconds; the caller then disconnects.
     patience: float = math.inf
     numbers: itertools.count = Factory(itertools.count)
     addresses: list[str] = Factory(list)
@@ -64,7 +64,7 @@
     codec: h11.Connection | None = None
 
     async def run(self, seconds: float, pause: float = 0.0) -> None:
-        """Send requests one after another for some seconds."""
+        """Send requests one after another for a number of seconds."""
         end = trio.current_time() + seconds
         while trio.current_time() < end:
             await self.send_one()
@@ -72,14 +72,14 @@
         await self.disconnect()
 
     async def send_one(self) -> None:
-        """Send one request and count how it ended."""
+        """Send one request and record its outcome."""
         number = next(self.numbers)
         request_id = f'{self.name}-{number}'
         sending = Sending(request_id, repeatable=self.method == 'GET')
         await self.send(sending, number, request_id)
 
     async def send(self, sending: Sending, number: int, subject: str) -> None:
-        """Send a request that names its subject, and count how it ended."""
+        """Send a request with a subject in its path and record the outcome."""
         self.tally.sendings.append(sending)
         began = trio.current_time()
         try:
@@ -103,7 +103,7 @@
         self.tally.count(sending, outcome)
 
     def read_answer(self, sending: Sending, subject: str, body: bytes) -> str:
-        """Note whose answer came; return 'wrong' if it is not this caller's."""
+        """Record the answer's request ID; return `wrong` if it is another request's."""
         answer = json.loads(body)
         sending.answered_id = answer['request_id']
         is_own = answer['path'] == self.path_of(subject)
@@ -111,15 +111,15 @@
         return 'right' if is_own else 'wrong'
 
     def is_own_id(self, sending: Sending) -> bool:
-        """Tell whether the answer carries the ID of the request."""
+        """Return whether the answer carries the ID of the request."""
         return sending.answered_id == sending.request_id
 
     def path_of(self, subject: str) -> str:
-        """Return the path of a request."""
+        """Return the path of a request with a subject."""
         return f'/{self.service}/{subject}'
 
     async def connect(self, number: int) -> None:
-        """Connect to one of the service's addresses."""
+        """Connect to one of the service's addresses; refresh them when they expired."""
         now = trio.current_time()
         if now - self.asked_at > self.lifetime:
             self.addresses = await self.ask_addresses(number)
@@ -131,7 +131,7 @@
         await self.open(self.addresses[index])
 
     async def ask_addresses(self, number: int) -> list[str]:
-        """Ask the instances in turn until one answers."""
+        """Return the service's addresses from the first instance that answers."""
         for offset in range(len(self.ask)):
             try:
                 await self.disconnect()
@@ -143,10 +143,10 @@
                 return answer['addresses']
             except (OSError, trio.BrokenResourceError, h11.RemoteProtocolError):
                 continue
-        raise OSError('no instance answers')
+        raise OSError('no instance answered the address request')
 
     async def open(self, address: str) -> None:
-        """Open a connection."""
+        """Open a connection to an address."""
         self.address = address
         host, _, port = address.rpartition(':')
         self.stream = await trio.open_tcp_stream(host, int(port))
@@ -154,13 +154,13 @@
         self.codec = h11.Connection(h11.CLIENT)
 
     async def disconnect(self) -> None:
-        """Close the connection."""
+        """Close the connection if one is open."""
         if self.stream is not None:
             await trio.aclose_forcefully(self.stream)
         self.stream = None
 
     async def exchange(self, sending: Sending, subject: str):
-        """Send one request with a body that names its subject."""
+        """Send one request and return its answer; a body holds the subject."""
         headers = [
             ('catkinslip-service', self.service),
             ('catkinslip-request-id', sending.request_id),
@@ -189,7 +189,7 @@
         return answer
 
     async def receive(self):
-        """Read one answer."""
+        """Return status, headers and body of the next answer."""
         response, body = None, b''
         while True:
             event = self.codec.next_event()
@@ -207,16 +207,17 @@
 
 @define
 class ResendingCaller(LoadCaller):
-    """Give each request a key and send it again elsewhere until its end is known."""
+    """Caller that gives each request a key and resends it up to a known outcome."""
 
     method: str = 'POST'
-    #: Keys of the caller's own are recorded in the platform, others at their home.
+    #: Whether the caller makes its own keys: the platform records those, the home
+    #: instance records others.
     has_own_keys: bool = False
     most_sendings: int = 3
     ids: list[str] = Factory(list)
 
     async def send_one(self) -> None:
-        """Send one request up to a number of times."""
+        """Send one request, up to `most_sendings` times."""
         self.ids = []
         key = subject = ''
         for _ in range(self.most_sendings):
@@ -233,7 +234,7 @@
             await self.disconnect()
 
     async def new_key(self, number: int, subject: str) -> str:
-        """Return a key, or none while no instance can be reached to get one."""
+        """Return a new key, or an empty string if no instance is reachable."""
         if self.has_own_keys:
             return subject
         try:
@@ -245,12 +246,12 @@
         return f'{self.prefix_by_address[self.address]}.{subject}'
 
     def is_own_id(self, sending: Sending) -> bool:
-        """Tell whether the answer carries the ID of one of the sendings."""
+        """Return whether the answer carries the ID of one of the attempts."""
         return sending.answered_id in self.ids
 
 
 def judge(status: int, headers: dict) -> str:
-    """Return the name of an answer's outcome."""
+    """Return the outcome of an answer as a field name of `Tally`."""
     told = headers.get(b'catkinslip-outcome')
     if told == b'not-run':
         return 'not_run'
@@ -260,5 +261,5 @@
 
 
 def hash_of(name: str) -> int:
-    """Return a number for a name, the same in every run."""
+    """Return a hash of a name that is the same in every run."""
     return sum(name.encode())
--- a/standins/objects.py
+++ b/standins/objects.py
@@ -1,4 +1,4 @@
-"""A stand-in for the users' store of objects: revisions, watches, faults to order."""
+"""Stand-in object store with revisions, watches and configurable faults."""
 
 from collections.abc import Callable
 
@@ -15,21 +15,21 @@
 
 @define
 class StoreFaults:
-    """Faults to play; durations are in seconds."""
+    """Faults to inject; durations are in seconds."""
 
-    #: Statuses that callers get, by the caller's IP number and port or `*` for all.
+    #: HTTP status that every call is refused with; 0 for none.
     refuse_with: int = 0
-    #: Wait before each call.
+    #: Delay before each call.
     delay: float = 0.0
-    #: Writes that take effect and whose answer is an error.
+    #: Number of coming writes that take effect but are answered with an error.
     lose_answers: int = 0
-    #: Whether watches hear nothing of changes.
+    #: Whether changes wake no watches.
     silent: bool = False
 
 
 @frozen
 class StoreCopy:
-    """What the store held at a revision."""
+    """Backup of the store's objects at a revision."""
 
     item_by_key: dict[tuple[str, str], dict]
     revision: int
@@ -37,28 +37,28 @@
 
 @define
 class ObjectsStandin:
-    """Hold objects by kind and name, and the history of their changes."""
+    """Store that holds objects by kind and name, and the history of their changes."""
 
     item_by_key: dict[tuple[str, str], dict] = Factory(dict)
     history: list[tuple[int, str, dict, bool]] = Factory(list)
     revision: int = 1
-    #: Told in all answers; it rises as the store comes back from a copy. None where it
-    #: is not told.
+    #: Number sent in all answers, which rises with each restore from a backup; None
+    #: if answers carry no era.
     era: int | None = None
-    #: Whether a watch from a revision that the store does not have is told so; it may
-    #: have passed the revision again before anybody asks.
+    #: Whether a watch from a revision above the store's own is answered with 410; the
+    #: store may have passed that revision again before a watch arrives.
     tells_gone: bool = True
-    #: Changes up to this revision were dropped from the history.
+    #: Last revision whose changes were dropped from the history.
     forgotten: int = 0
     faults: StoreFaults = Factory(StoreFaults)
     calls: list[str] = Factory(list)
     page_items: int = PAGE_ITEMS
-    #: Called after each page of a listing.
+    #: Callback after each page of a listing.
     on_page: Callable[[], None] = lambda: None
     changed: trio.Event = Factory(trio.Event)
 
     def put(self, kind: str, name: str, spec: object, status: object = None) -> dict:
-        """Write an object as the platform itself does."""
+        """Write an object directly, without an HTTP call, and return it."""
         self.revision += 1
         item = {
             'metadata': {'name': name, 'revision': self.revision},
@@ -70,7 +70,7 @@
         return item
 
     def remove(self, kind: str, name: str) -> bool:
-        """Remove an object; tell whether there was one."""
+        """Remove an object; return whether it existed."""
         item = self.item_by_key.pop((kind, name), None)
         if item is None:
             return False
@@ -79,17 +79,17 @@
         return True
 
     def forget_history(self) -> None:
-        """Drop the history, as a compaction does, and cut all watches."""
+        """Drop the history, as a compaction does, and wake all watches."""
         self.forgotten = self.revision
         self.history.clear()
         self._wake()
 
     def copy(self) -> StoreCopy:
-        """Return a copy to come back from; objects are never changed in place."""
+        """Return a backup of the store; objects are never changed in place."""
         return StoreCopy(dict(self.item_by_key), self.revision)
 
     def restore(self, copy: StoreCopy) -> None:
-        """Come back from a copy: what was written since is gone, revisions too."""
+        """Restore a backup: later writes and revisions are lost and the era rises."""
         self.item_by_key = dict(copy.item_by_key)
         self.revision = copy.revision
         self.history = [each for each in self.history if each[0] <= copy.revision]
@@ -120,7 +120,7 @@
         return app
 
     async def before(self) -> Response | None:
-        """Count the call and play the faults that come before it."""
+        """Record the call and inject the faults that precede its handling."""
         await request.get_data()
         self.calls.append(f'{request.method} {request.full_path}')
         if self.faults.delay:
@@ -130,13 +130,13 @@
         return None
 
     async def after(self, response: Response) -> Response:
-        """Tell the life of the store in each answer."""
+        """Add the era of the store to each answer."""
         if self.era is not None:
             response.headers['Store-Era'] = str(self.era)
         return response
 
     async def list_or_watch(self, kind: str):
-        """Answer with all objects of a kind, or with what changed."""
+        """Answer with a page of a kind's objects, or with its changes for a watch."""
         if 'watch' in request.args:
             return await self._watch(kind)
         after = request.args.get('after', '')
@@ -176,7 +176,7 @@
         return Response('none\n', status=404) if found is None else jsonify(found)
 
     async def create(self, kind: str):
-        """Create an object unless there is one."""
+        """Create an object; answer 409 if it exists."""
         body = await request.get_json()
         name = body['metadata']['name']
         if (kind, name) in self.item_by_key:
@@ -184,7 +184,7 @@
         return self._answer(self.put(kind, name, body['spec']))
 
     async def replace(self, kind: str, name: str):
-        """Replace an object's content; one that is the same changes nothing."""
+        """Replace an object's content; keep the revision if the content is equal."""
         body = await request.get_json()
         found = self.item_by_key.get((kind, name))
         if found is None:
@@ -197,7 +197,7 @@
         return self._answer(self.put(kind, name, body['spec']))
 
     async def delete(self, kind: str, name: str):
-        """Delete an object, of a revision where one is given."""
+        """Delete an object; answer 409 if a given revision is not the current one."""
         found = self.item_by_key.get((kind, name))
         wanted = request.args.get('revision')
         if found and wanted not in (None, str(found['metadata']['revision'])):
@@ -216,15 +216,15 @@
     on_ready: Callable[[int], None],
     port: int = 0,
 ) -> None:
-    """Serve on a port, the kernel's choice if 0, until cancelled."""
+    """Serve the object store until cancelled, on a free port if `port` is 0."""
     sock = trio.socket.socket()
     sock.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_REUSEADDR, 1)
     await sock.bind(('127.0.0.1', port))
     sock.listen(64)
     on_ready(sock.getsockname()[1])
     config = Config()
-    # The server makes a socket of its own of the descriptor; were both closed, the
-    # second would close whatever has the number by then.
+    # Hypercorn creates its own socket from the descriptor. If both sockets were closed,
+    # the second close would hit an unrelated file that reuses the descriptor.
     config.bind = [f'fd://{sock.detach()}']
     config.loglevel = 'WARNING'
     await serve(standin.make_app(), config, shutdown_trigger=trio.sleep_forever)
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's object API, with faults to order."""
+"""Stand-in for the platform's object API with configurable faults."""
 
 import argparse
 import json
@@ -18,29 +18,29 @@
 
 @define
 class Faults:
-    """Faults to play; durations are in seconds."""
+    """Faults to inject; durations are in seconds."""
 
-    #: Refuse each call before it takes effect.
+    #: Whether each call is refused before it takes effect.
     down: bool = False
-    #: Wait before each call.
+    #: Delay before each call.
     delay: float = 0.0
-    #: Writes that take effect but are answered with an error.
+    #: Number of coming writes that take effect but are answered with an error.
     lose_answers: int = 0
-    #: Writes that take effect but whose connection breaks within the answer.
+    #: Number of coming writes that take effect but whose answer is cut.
     cut_answers: int = 0
     #: Age of the list of instances.
     list_lag: float = 0.0
-    #: Reads that are answered with the version before the last one.
+    #: Number of coming reads that are answered with the previous version.
     stale_reads: int = 0
-    #: Watches that are answered with the first version, where a watch begins.
+    #: Number of coming watches that are answered with the first version.
     stale_watches: int = 0
-    #: Calls a second of one caller; more are refused with 429. 0 is no bound.
+    #: Calls per second of one caller; more are refused with 429. 0 is no limit.
     budget: float = 0.0
 
 
 @define
 class CallCount:
-    """The calls of one caller."""
+    """Number of calls of one caller, and its rate limit's token bucket."""
 
     by_name: dict[str, int] = Factory(dict)
     refused: int = 0
@@ -50,7 +50,7 @@
 
 @define
 class PlatformStandin:
-    """Hold objects and the lagging list of instances."""
+    """Platform that holds objects and a list of instances that may lag."""
 
     object_by_path: dict[str, dict] = Factory(dict)
     earlier_by_path: dict[str, dict] = Factory(dict)
@@ -82,10 +82,10 @@
         return app
 
     async def before(self) -> None:
-        """Count the call and play the faults that come before it."""
+        """Count the call and inject the faults that precede its handling."""
         if request.path.startswith('/standin'):
             return
-        # An answer before the body's end leaves hypercorn's connection unusable.
+        # Answering before the body's end makes hypercorn's connection unusable.
         await request.get_data()
         count = self.count_by_caller.setdefault(
             request.headers.get(CALLER_HEADER, ''), CallCount()
@@ -102,7 +102,7 @@
             abort(Response('down\n', status=503))
 
     def is_over_budget(self, count: CallCount) -> bool:
-        """Take a call from a caller's budget; tell whether none was left."""
+        """Deduct a call from a caller's budget; return whether the budget was spent."""
         rate = self.faults.budget
         if rate <= 0:
             return False
@@ -116,7 +116,7 @@
         return False
 
     async def after(self, response: Response) -> Response:
-        """Lose the answer of a write after it took effect."""
+        """Replace or cut the answer of a write that took effect, if ordered."""
         if request.method != 'PUT' or response.status_code >= 400:
             return response
         if self.faults.lose_answers > 0:
@@ -128,7 +128,7 @@
         return response
 
     async def read(self, path: str):
-        """Answer with an object."""
+        """Answer with an object, or with its previous version as a fault."""
         found = self.object_by_path.get(path)
         if self.faults.stale_reads > 0 and path in self.earlier_by_path:
             self.faults.stale_reads -= 1
@@ -140,7 +140,7 @@
         if len(await request.get_data()) > MAX_VALUE_BYTES:
             return Response('the value is too large\n', status=413)
         value = await request.get_json()
-        # No await from here on: the check and the write are one step.
+        # There is no await from here on, so that the check and the write are atomic.
         found = self.object_by_path.get(path)
         version = found['version'] if found else 0
         expected = int(request.headers.get('If-Match', '0'))
@@ -162,10 +162,10 @@
         return {}
 
     async def watch(self, path: str):
-        """Answer once the object has another version."""
+        """Answer with the object once its version differs from the known one."""
         after = int(request.args['after'])
         first = self.first_by_path.get(path)
-        # Only a watcher that holds a newer version can be shown an older one.
+        # Only a watcher that has a newer version can receive an older one.
         if self.faults.stale_watches > 0 and first and first['version'] < after:
             self.faults.stale_watches -= 1
             return first
@@ -178,7 +178,7 @@
         return Response('', status=304)
 
     async def list_instances(self):
-        """Answer with the list as it was some time ago."""
+        """Answer with the list of instances as it was `list_lag` seconds ago."""
         latest = trio.current_time() - self.faults.list_lag
         shown = []
         for words in self.words_by_instance.values():
@@ -187,19 +187,19 @@
         return jsonify(shown)
 
     async def announce(self, name: str):
-        """Put an instance on the list."""
+        """Record an instance's announcement in the list."""
         words = self.words_by_instance.setdefault(name, [])
         words.append((trio.current_time(), await request.get_json()))
         return {}
 
     async def order(self):
-        """Set faults."""
+        """Set faults from a JSON object and answer with all faults."""
         for name, value in (await request.get_json()).items():
             setattr(self.faults, name, value)
         return asdict(self.faults)
 
     async def calls(self):
-        """Answer with the number of calls of each kind."""
+        """Answer with the number of calls by method and endpoint."""
         calls_by_name: dict[str, int] = {}
         for count in self.count_by_caller.values():
             for name, calls in count.by_name.items():
@@ -207,7 +207,7 @@
         return calls_by_name
 
     async def callers(self):
-        """Answer with the number of calls of each caller."""
+        """Answer with the number of calls and of refused calls by caller."""
         return {
             caller: {'calls': sum(count.by_name.values()), 'refused': count.refused}
             for caller, count in self.count_by_caller.items()
@@ -219,7 +219,7 @@
 
 
 async def main() -> None:
-    """Serve on a port that the kernel chooses, printed as JSON."""
+    """Run the platform; print its address as JSON once it listens."""
     sock = trio.socket.socket()
     sock.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_REUSEADDR, 1)
     parser = argparse.ArgumentParser()
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,4 +1,4 @@
-"""Start and stop the processes of a small system."""
+"""Processes of a small system: start, signals and stop."""
 
 import json
 import os
@@ -17,7 +17,7 @@
 
 @define
 class Process:
-    """One started process and what it said when it was ready."""
+    """One started process and the ready message that it printed."""
 
     name: str
     popen: subprocess.Popen
@@ -26,12 +26,12 @@
 
     @property
     def address(self) -> str:
-        """Return the address that it listens on."""
+        """Return the address that the process listens on."""
         return self.ready['address']
 
     @property
     def control_address(self) -> str:
-        """Return the address of its control surface."""
+        """Return the address of the process's control API."""
         return self.ready['control_address']
 
     def send_signal(self, number: signal.Signals) -> None:
@@ -39,26 +39,26 @@
         self.popen.send_signal(number)
 
     def kill(self) -> None:
-        """Kill the process and wait for its end."""
+        """Kill the process and wait until it has ended."""
         self.popen.kill()
         self.popen.wait()
 
     def ask_to_stop(self) -> None:
-        """Ask the process to stop soon, whatever callers may still keep."""
+        """Signal the process to stop soon, even while callers keep connections open."""
         if self.popen.poll() is None:
             self.popen.send_signal(signal.SIGCONT)
             self.popen.send_signal(signal.SIGTERM)
             self.popen.send_signal(signal.SIGINT)
 
     def stop(self) -> int:
-        """Ask the process to stop, wait for it and return its exit status."""
+        """Stop the process and return its exit status."""
         self.ask_to_stop()
         return self.wait()
 
     def wait(self) -> int:
         """Wait for the process to end and return its exit status."""
         try:
-            # A process whose last words fill the pipe ends only when they are read.
+            # A process whose last output fills the pipe ends only once it is read.
             self.popen.communicate(timeout=STOP_SECONDS)
             return self.popen.returncode
         except subprocess.TimeoutExpired:
@@ -68,7 +68,7 @@
 
 @define
 class ProcessGroup:
-    """All processes of one system, ended together."""
+    """All processes of one system, which are stopped together."""
 
     folder: Path
     process_by_name: dict[str, Process] = Factory(dict)
@@ -80,7 +80,7 @@
         self.stop_all()
 
     def stop_all(self) -> None:
-        """Stop every process that still runs."""
+        """Stop all processes that still run."""
         processes = list(reversed(self.process_by_name.values()))
         for process in processes:
             process.ask_to_stop()
@@ -111,22 +111,22 @@
         return process
 
     def start_platform(self) -> Process:
-        """Start the stand-in platform."""
+        """Start a stand-in platform process."""
         return self.start('platform', 'standins.platform')
 
     def start_backend(self, name: str, **behaviour: object) -> Process:
-        """Start a stand-in backend server."""
+        """Start a stand-in backend server process."""
         flags = as_flags(behaviour)
         return self.start(name, 'standins.backend', '--name', name, *flags)
 
     def start_daemon(self, name: str, zone: str, **settings: object) -> Process:
-        """Start a daemon."""
+        """Start a daemon process, one instance in a zone."""
         flags = as_flags({'instance_id': name, 'zone': zone, **settings})
         return self.start(name, 'catkinslip.daemon', *flags)
 
 
 def as_flags(value_by_name: dict[str, object]) -> list[str]:
-    """Return flags for named values."""
+    """Return command-line flags for a mapping of names to values."""
     flags = []
     for name, value in value_by_name.items():
         flag = '--' + name.replace('_', '-')
@@ -145,4 +145,4 @@
         if value:
             return value
         time.sleep(pause)
-    raise TimeoutError(f'{condition} did not hold within {seconds} s')
+    raise TimeoutError(f'{condition} was not true within {seconds} s')
--- a/standins/raw.py
+++ b/standins/raw.py
@@ -1,4 +1,4 @@
-"""A stand-in backend server that answers with raw bytes, right or wrong."""
+"""Stand-in backend server that answers with raw bytes, valid or not."""
 
 import trio
 from attrs import Factory, define, frozen
@@ -9,7 +9,7 @@
 
 @frozen
 class RawAnswer:
-    """What happens after a request's head came."""
+    """Raw answer to a request and whether it is delayed or closes the connection."""
 
     data: bytes = b''
     waits: bool = False
@@ -17,7 +17,7 @@
 
 
 def ok(body: bytes = b'ok', headers: bytes = b'') -> RawAnswer:
-    """Return a sound answer."""
+    """Return a valid 200 answer."""
     length = b'%d' % len(body)
     head = b'HTTP/1.1 200 OK\r\nContent-Length: ' + length + b'\r\n' + headers
     return RawAnswer(head + b'\r\n' + body)
@@ -29,7 +29,7 @@
 
 @define
 class RawBackend:
-    """Answer requests in the given order, then with sound answers."""
+    """Server that sends the given answers in order, then valid answers."""
 
     answers: list[RawAnswer] = Factory(list)
     heads: list[bytes] = Factory(list)
@@ -87,7 +87,7 @@
 
 
 async def receive(stream) -> bytes:
-    """Return the next bytes; raise EOFError at the end."""
+    """Return the next bytes of a stream; raise EOFError at its end."""
     data = await stream.receive_some()
     if not data:
         raise EOFError
--- a/standins/registers.py
+++ b/standins/registers.py
@@ -1,8 +1,8 @@
-"""Registers of any size."""
+"""Generated registers of backend servers for tests and benchmarks."""
 
 
 def many_workers(workers: int, services: int, zones: int = 16) -> dict:
-    """Return a document of a size as plain data."""
+    """Return a configuration document with a number of servers and services."""
     backends = {
         f'worker-{number:05d}': {
             'service': f'service-{number % services}',
--- a/standins/requests.py
+++ b/standins/requests.py
@@ -1,10 +1,10 @@
-"""Read requests as the stand-ins for servers do."""
+"""HTTP request parsing that the stand-in servers share."""
 
 import h11
 
 
 async def receive(stream, codec) -> tuple[h11.Request | None, bytes]:
-    """Return a request's head and body; no head when the caller left."""
+    """Return a request's head and body; the head is None if the caller left."""
     head, body = None, b''
     while True:
         event = codec.next_event()
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,4 +1,4 @@
-"""An object store in one process that plays the faults of a platform."""
+"""In-process object store that injects the faults of a platform."""
 
 from attrs import Factory, define
 from returns.pipeline import is_successful
@@ -11,21 +11,21 @@
 
 @define
 class FaultyStore(EmbeddedStore):
-    """Play one fault for each write of the configuration, then none."""
+    """Embedded store that injects one fault per configuration write."""
 
-    #: 'lost' takes effect, 'dropped' does not, 'late' does before the third reading;
-    #: each is answered with AnswerLost. 'refused' is Unavailable.
+    #: Faults for the next writes: 'lost' takes effect, 'dropped' does not, 'late' does
+    #: before the third read; each returns AnswerLost. 'refused' returns Unavailable.
     faults: list[str] = Factory(list)
     late: list[tuple] = Factory(list)
     reads: int = 0
-    #: Readings after which a late write lands.
+    #: Number of reads after which a late write takes effect.
     late_after: int = 3
-    #: Each value of the configuration's object that took effect.
+    #: Values of the configuration object that took effect, in order.
     written: list = Factory(list)
     reads_down: int = 0
 
     async def read(self, key: ObjectKey):
-        """Read an object, unless the platform is down."""
+        """Read an object; fail with Unavailable while reads are down."""
         self.reads += 1
         if self.reads_down > 0:
             self.reads_down -= 1
@@ -35,14 +35,14 @@
         return await super().read(key)
 
     async def wait_for_change(self, key: ObjectKey, known_version: int, wait: float):
-        """Wait for a change, unless the platform is down."""
+        """Wait for a change; fail with Unavailable while reads are down."""
         if self.reads_down > 0:
             self.reads_down -= 1
             return Failure(Unavailable('down'))
         return await super().wait_for_change(key, known_version, wait)
 
     async def write(self, key: ObjectKey, value, expected_version: int):
-        """Write an object and play the next fault."""
+        """Write an object and inject the next fault."""
         if key != CONFIG_KEY or not self.faults:
             return await self.take(key, value, expected_version)
         fault = self.faults.pop(0)
@@ -56,12 +56,12 @@
         return Failure(AnswerLost('no answer'))
 
     async def land(self) -> None:
-        """Let the writes that are still on their way arrive."""
+        """Apply all late writes."""
         while self.late:
             await self.take(*self.late.pop())
 
     async def take(self, key: ObjectKey, value, expected_version: int):
-        """Write an object and note the change that it holds."""
+        """Write an object and record a configuration value that took effect."""
         result = await super().write(key, value, expected_version)
         if key == CONFIG_KEY and is_successful(result):
             self.written.append(value)
--- a/standins/tool.py
+++ b/standins/tool.py
@@ -1,4 +1,4 @@
-"""Run the operators' tool inside the process and capture what it did."""
+"""In-process runs of the command-line tool with captured output."""
 
 import io
 import json
@@ -13,7 +13,7 @@
 
 @frozen
 class ToolResult:
-    """Exit status and output of one run of the tool."""
+    """Exit status and output of one run of the command-line tool."""
 
     status: int
     stdout: str
@@ -21,12 +21,12 @@
 
     @property
     def json(self) -> Any:
-        """Return the output as plain data."""
+        """Return the standard output, decoded from JSON."""
         return json.loads(self.stdout)
 
 
 def run_tool(*arguments: str, variables: Mapping[str, str] | None = None) -> ToolResult:
-    """Run the whole tool with only the given environment variables."""
+    """Run the command-line tool with only the given environment variables."""
     stdout, stderr = io.StringIO(), io.StringIO()
     environment = Environment(variables or {}, stdout, stderr)
     status = run(list(arguments), environment)
--- a/standins/workers.py
+++ b/standins/workers.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the users' servers: they shed, garble, fall silent, and keep count."""
+"""Stand-in backend servers that inject faults and count requests."""
 
 import math
 from bisect import bisect_left
@@ -13,38 +13,38 @@
 from standins.requests import receive
 
 HEALTH_PATH = '/healthz'
-#: How many times as long work takes on a cold server.
+#: Factor by which work takes longer on a cold server.
 COLD_SLOWNESS = 2.0
 
 
 def most_within(seconds: float, times: Sequence[float]) -> int:
-    """Return how many of some times, in order, lie in one span of so many seconds."""
+    """Return the maximum number of the sorted times within one span of `seconds`."""
     ends = (bisect_left(times, at + seconds) for at in times)
     return max((end - n for n, end in enumerate(ends)), default=0)
 
 
 @unique
 class Fault(Enum):
-    """What a server does wrong with a request."""
+    """Fault that a server injects into the handling of a request."""
 
     NONE = auto()
-    #: It refuses and says that the request did not run.
+    #: The server refuses the request and reports that it did not run.
     SHED = auto()
-    #: It runs the request and resets the connection.
+    #: The server runs the request and closes the connection without an answer.
     RESET = auto()
-    #: It runs the request and ends within the answer.
+    #: The server runs the request and closes the connection within the answer.
     CUT = auto()
-    #: It answers with another request's ID.
+    #: The server answers with another request's ID.
     CROSSED = auto()
-    #: It sends a second answer after the first.
+    #: The server sends a second answer after the first.
     EXTRA = auto()
-    #: It takes the request and never answers.
+    #: The server accepts the request and never answers.
     SILENT = auto()
 
 
 @frozen
 class TurnedAway:
-    """A request that was turned away, and the seconds of rest that were asked for."""
+    """A refused request and the rest period that the refusal asked for, in seconds."""
 
     at: float
     request_id: str
@@ -53,25 +53,25 @@
 
 @define
 class Worker:
-    """Serve requests that name this server and remember which ran."""
+    """Server that runs the requests addressed to it and records which ran."""
 
     server_id: str
     slots: int = 2
     work_seconds: float = 0.0
-    #: Time until a probe is answered.
+    #: Time until a health check is answered, in seconds.
     probe_seconds: float = 0.0
-    #: Time that work takes, in percent of the usual.
+    #: Duration of work in percent of `work_seconds`.
     percent: int = 100
     fault: Fault = Fault.NONE
     is_deaf: bool = False
     is_unframed: bool = False
-    #: Whether it runs requests and answers with an error that names no rate.
+    #: Whether requests run but get an error answer that advertises no rate.
     is_failing: bool = False
-    #: Paths of requests that end the process once they ran.
+    #: Paths of requests that crash the process once they ran.
     crashing_paths: set[str] = Factory(set)
-    #: Times the process ended, by the path of the request that did it.
+    #: Number of crashes by the path of the request that caused them.
     crashes: Counter[str] = Factory(Counter)
-    #: Ended with the process; set by whoever starts it.
+    #: Cancel scope of the server process; set by the code that starts the server.
     process: trio.CancelScope = Factory(trio.CancelScope)
     running: int = 0
     waiting: int = 0
@@ -82,37 +82,38 @@
     heads: list[h11.Request] = Factory(list)
     bodies: list[bytes] = Factory(list)
     freed: trio.Condition = Factory(trio.Condition)
-    #: Until when it is cold: slow, and ended by too many requests in a second.
+    #: Time until which the server is cold: slow, and crashed by too many requests
+    #: in a second.
     cold_until: float = -math.inf
-    #: Requests in any second that it bears while it is cold.
+    #: Maximum number of requests in any second that a cold server can handle.
     cold_bound: float = math.inf
-    #: What it names as the rate that it takes; None for none.
+    #: Request rate that the server advertises; None for none.
     named_rate: bytes | None = None
-    #: The seconds of rest that its refusals ask for; None for none.
+    #: Rest period that refusals ask for, in seconds; None for none.
     rest: bytes | None = None
-    #: Whether all its answers say that it leaves.
+    #: Whether all answers report that the server is leaving.
     is_leaving: bool = False
-    #: Whether probes and refusals name it too.
+    #: Whether answers to health checks and refusals advertise the rate too.
     is_rate_everywhere: bool = False
-    #: When requests for it came.
+    #: Arrival times of requests for this server.
     arrived_at: list[float] = Factory(list)
-    #: When which requests for it came.
+    #: Arrival times and IDs of requests for this server.
     arrivals: list[tuple[float, str]] = Factory(list)
     turned_away: list[TurnedAway] = Factory(list)
-    #: When requests came while it was cold.
+    #: Arrival times of requests while the server was cold.
     cold_arrivals: list[float] = Factory(list)
 
     def turn_cold(self, seconds: float) -> None:
-        """Be cold for some seconds from now."""
+        """Mark the server as cold for a number of seconds from now."""
         self.cold_until = trio.current_time() + seconds
 
     @property
     def cold_seconds(self) -> float:
-        """Return how long it stays cold."""
+        """Return the seconds for which the server stays cold."""
         return max(0.0, self.cold_until - trio.current_time())
 
     def most_cold_arrivals(self) -> int:
-        """Return the most requests that came in one second while it was cold."""
+        """Return the maximum number of requests in one second while cold."""
         return most_within(1.0, self.cold_arrivals)
 
     async def serve(self, stream: trio.SocketStream) -> None:
@@ -242,7 +243,7 @@
             headers.append((b'content-length', b'%d' % len(body)))
         response = h11.Response(status_code=status, headers=headers)
         if self.is_unframed and body:
-            # The codec would frame it in chunks for a caller of HTTP/1.1.
+            # For an HTTP/1.1 caller, the codec would send the body in chunks.
             codec.their_http_version = b'1.0'
         events = (response, h11.Data(data=body), h11.EndOfMessage())
         await stream.send_all(b''.join(codec.send(event) or b'' for event in events))
--- a/tests/test_ledgers.py
+++ b/tests/test_ledgers.py
@@ -1,4 +1,4 @@
-"""The comparison of told outcomes with ledgers."""
+"""Tests for the comparison of callers' outcomes with ledgers."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class LedgerTest(unittest.TestCase):
-    """The comparison finds each kind of lie."""
+    """The comparison finds each kind of contradiction."""
 
     def test_truth_is_no_lie(self):
         sendings = [
@@ -22,7 +22,7 @@
     def test_each_lie_is_found(self):
         told = Sending('k-1', 'k', False, 'unknown')
         lies = {
-            'told nothing': ([Sending('a')], []),
+            'got no outcome': ([Sending('a')], []),
             'wrong answer': ([Sending('a', outcome='wrong')], [Run('a')]),
             'not run, a ran': ([Sending('a', outcome='not_run')], [Run('a')]),
             'not run, k-1 ran': (
