--- a/standins/load.py
+++ b/standins/load.py
@@ -9,7 +9,7 @@
 from attrs import Factory, define
 from hdrh.histogram import HdrHistogram
 
-from standins.ledgers import Sending
+from standins.ledgers import SentRequest
 
 LOWEST_MICROSECONDS = 1
 HIGHEST_MICROSECONDS = 60_000_000
@@ -30,17 +30,19 @@
     not_run: int = 0
     unknown: int = 0
     cut: int = 0
-    sendings: list[Sending] = Factory(list)
+    sent_requests: list[SentRequest] = Factory(list)
     histogram: HdrHistogram = Factory(new_histogram)
 
-    def count(self, sending: Sending, outcome: str) -> None:
+    def count(self, sent_request: SentRequest, outcome: str) -> None:
         """Record the outcome of a request."""
-        sending.outcome = outcome
+        sent_request.outcome = outcome
         setattr(self, outcome, getattr(self, outcome) + 1)
 
     def ids_told(self, outcome: str) -> set[str]:
         """Return the IDs of the requests with an outcome."""
-        return {each.request_id for each in self.sendings if each.outcome == outcome}
+        return {
+            each.request_id for each in self.sent_requests if each.outcome == outcome
+        }
 
 
 @define
@@ -75,17 +77,17 @@
         """Send one request and record its outcome."""
         number = next(self.numbers)
         request_id = f'{self.name}-{number}'
-        sending = Sending(request_id, repeatable=self.method == 'GET')
-        await self.send(sending, number, request_id)
+        sent_request = SentRequest(request_id, repeatable=self.method == 'GET')
+        await self.send(sent_request, number, request_id)
 
-    async def send(self, sending: Sending, number: int, subject: str) -> None:
+    async def send(self, sent_request: SentRequest, number: int, subject: str) -> None:
         """Send a request with a subject in its path and record the outcome."""
-        self.tally.sendings.append(sending)
+        self.tally.sent_requests.append(sent_request)
         began = trio.current_time()
         try:
             with trio.fail_after(self.patience):
                 await self.connect(number)
-                status, headers, body = await self.exchange(sending, subject)
+                status, headers, body = await self.exchange(sent_request, subject)
         except (
             OSError,
             trio.BrokenResourceError,
@@ -93,26 +95,26 @@
             h11.RemoteProtocolError,
         ):
             await self.disconnect()
-            self.tally.count(sending, 'cut')
+            self.tally.count(sent_request, 'cut')
             return
         micros = int((trio.current_time() - began) * 1e6)
         self.tally.histogram.record_value(max(1, micros))
         outcome = judge(status, headers)
         if outcome == 'right':
-            outcome = self.read_answer(sending, subject, body)
-        self.tally.count(sending, outcome)
+            outcome = self.read_answer(sent_request, subject, body)
+        self.tally.count(sent_request, outcome)
 
-    def read_answer(self, sending: Sending, subject: str, body: bytes) -> str:
+    def read_answer(self, sent_request: SentRequest, subject: str, body: bytes) -> str:
         """Record the answer's request ID; return `wrong` if it is another request's."""
         answer = json.loads(body)
-        sending.answered_id = answer['request_id']
+        sent_request.answered_id = answer['request_id']
         is_own = answer['path'] == self.path_of(subject)
-        is_own = is_own and self.is_own_id(sending)
+        is_own = is_own and self.is_own_id(sent_request)
         return 'right' if is_own else 'wrong'
 
-    def is_own_id(self, sending: Sending) -> bool:
+    def is_own_id(self, sent_request: SentRequest) -> bool:
         """Return whether the answer carries the ID of the request."""
-        return sending.answered_id == sending.request_id
+        return sent_request.answered_id == sent_request.request_id
 
     def path_of(self, subject: str) -> str:
         """Return the path of a request with a subject."""
@@ -159,14 +161,14 @@
             await trio.aclose_forcefully(self.stream)
         self.stream = None
 
-    async def exchange(self, sending: Sending, subject: str):
+    async def exchange(self, sent_request: SentRequest, subject: str):
         """Send one request and return its answer; a body holds the subject."""
         headers = [
             ('catkinslip-service', self.service),
-            ('catkinslip-request-id', sending.request_id),
+            ('catkinslip-request-id', sent_request.request_id),
         ]
-        if sending.key:
-            headers.append(('idempotency-key', sending.key))
+        if sent_request.key:
+            headers.append(('idempotency-key', sent_request.key))
         body = b'' if self.method == 'GET' else subject.encode()
         return await self.request(self.method, self.path_of(subject), headers, body)
 
@@ -227,9 +229,9 @@
             if not key:
                 return
             self.ids.append(f'{self.name}-{number}')
-            sending = Sending(self.ids[-1], key, repeatable=False)
-            await self.send(sending, number, subject)
-            if sending.outcome not in ('unknown', 'cut'):
+            sent_request = SentRequest(self.ids[-1], key, repeatable=False)
+            await self.send(sent_request, number, subject)
+            if sent_request.outcome not in ('unknown', 'cut'):
                 return
             await self.disconnect()
 
@@ -245,9 +247,9 @@
             return ''
         return f'{self.prefix_by_address[self.address]}.{subject}'
 
-    def is_own_id(self, sending: Sending) -> bool:
+    def is_own_id(self, sent_request: SentRequest) -> bool:
         """Return whether the answer carries the ID of one of the attempts."""
-        return sending.answered_id in self.ids
+        return sent_request.answered_id in self.ids
 
 
 def judge(status: int, headers: dict) -> str:
--- a/tests/test_failures_combined.py
+++ b/tests/test_failures_combined.py
@@ -11,7 +11,7 @@
 
 from benchmarks.drain import status
 from catkinslip.status import ExitStatus
-from standins.ledgers import find_lies, read_ledger
+from standins.ledgers import find_contradictions, read_ledger
 from standins.load import LoadCaller, ResendingCaller, Tally
 from standins.processes import Process, ProcessGroup, wait_until
 from standins.tool import ToolResult, run_tool
@@ -102,8 +102,8 @@
                 wait_until(lambda p=process: is_idle(p))
         ledgers = [self.folder / f'{name}.ledger' for name in BACKENDS]
         runs = [run for path in ledgers for run in read_ledger(path)]
-        sendings = [each for tally in self.tallies for each in tally.sendings]
-        self.assertEqual(find_lies(sendings, runs), [])
+        sent_requests = [each for tally in self.tallies for each in tally.sent_requests]
+        self.assertEqual(find_contradictions(sent_requests, runs), [])
 
     async def load(self, hurt) -> None:
         async with trio.open_nursery() as nursery:
--- a/tests/test_limits_overload.py
+++ b/tests/test_limits_overload.py
@@ -7,7 +7,7 @@
 import trio
 
 from catkinslip.cli.application import run
-from standins.ledgers import Sending, find_lies, read_ledger
+from standins.ledgers import SentRequest, find_contradictions, read_ledger
 from standins.load import LoadCaller, Tally
 from standins.processes import wait_until
 from tests.builders import document_plain
@@ -21,7 +21,7 @@
 class Caller(LoadCaller):
     """A caller that requires a retry delay in each refusal."""
 
-    async def exchange(self, sending: Sending, subject: str):
+    async def exchange(self, sending: SentRequest, subject: str):
         status, headers, body = await super().exchange(sending, subject)
         if status == 503:
             document = json.loads(body)
@@ -69,7 +69,7 @@
         self.assertGreater(tally.right, 0)
         self.assertGreater(tally.not_run, 0)
         self.assertEqual((tally.wrong, tally.cut), (0, 0))
-        self.assertEqual(find_lies(tally.sendings, runs), [])
+        self.assertEqual(find_contradictions(tally.sent_requests, runs), [])
 
 
 async def load(addresses: list[str]) -> Tally:
