--- a/benchmarks/drain.py
+++ b/benchmarks/drain.py
@@ -156,7 +156,7 @@
                 caller = LoadCaller(
                     name=f'{SERVICE}-caller-{number}',
                     service=SERVICE,
-                    ask=[each.address for each in self.daemons],
+                    instance_addresses=[each.address for each in self.daemons],
                     tally=self.tally,
                     method='POST',
                 )
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -102,7 +102,7 @@
     return answer.status_code == 200
 
 
-async def load(group: ProcessGroup, ask: list[str]) -> dict[str, Tally]:
+async def load(group: ProcessGroup, instance_addresses: list[str]) -> dict[str, Tally]:
     """Send load to every service while one server is killed and one drained."""
     tally_by_service = {service: Tally() for service in SIZE_BY_SERVICE}
     async with trio.open_nursery() as nursery:
@@ -111,7 +111,7 @@
                 caller = LoadCaller(
                     name=f'{service}-caller-{number}',
                     service=service,
-                    ask=ask,
+                    instance_addresses=instance_addresses,
                     tally=tally,
                     method=METHOD_BY_SERVICE[service],
                 )
--- a/standins/load.py
+++ b/standins/load.py
@@ -38,7 +38,7 @@
         sent_request.outcome = outcome
         setattr(self, outcome, getattr(self, outcome) + 1)
 
-    def ids_told(self, outcome: str) -> set[str]:
+    def ids_with_outcome(self, outcome: str) -> set[str]:
         """Return the IDs of the requests with an outcome."""
         return {
             each.request_id for each in self.sent_requests if each.outcome == outcome
@@ -51,16 +51,16 @@
 
     name: str
     service: str
-    ask: list[str]
+    instance_addresses: list[str]
     tally: Tally
     method: str = 'GET'
     lifetime: float = 1.0
     #: Caller timeout in seconds; the caller then disconnects.
-    patience: float = math.inf
+    caller_timeout: float = math.inf
     numbers: itertools.count = Factory(itertools.count)
     addresses: list[str] = Factory(list)
     prefix_by_address: dict[str, str] = Factory(dict)
-    asked_at: float = -1e9
+    fetched_at: float = -1e9
     address: str = ''
     stream: trio.SocketStream | None = None
     codec: h11.Connection | None = None
@@ -85,7 +85,7 @@
         self.tally.sent_requests.append(sent_request)
         began = trio.current_time()
         try:
-            with trio.fail_after(self.patience):
+            with trio.fail_after(self.caller_timeout):
                 await self.connect(number)
                 status, headers, body = await self.exchange(sent_request, subject)
         except (
@@ -99,7 +99,7 @@
             return
         micros = int((trio.current_time() - began) * 1e6)
         self.tally.histogram.record_value(max(1, micros))
-        outcome = judge(status, headers)
+        outcome = classify_answer(status, headers)
         if outcome == 'right':
             outcome = self.read_answer(sent_request, subject, body)
         self.tally.count(sent_request, outcome)
@@ -108,11 +108,11 @@
         """Record the answer's request ID; return `wrong` if it is another request's."""
         answer = json.loads(body)
         sent_request.answered_id = answer['request_id']
-        is_own = answer['path'] == self.path_of(subject)
-        is_own = is_own and self.is_own_id(sent_request)
-        return 'right' if is_own else 'wrong'
+        is_expected = answer['path'] == self.path_of(subject)
+        is_expected = is_expected and self.is_expected_id(sent_request)
+        return 'right' if is_expected else 'wrong'
 
-    def is_own_id(self, sent_request: SentRequest) -> bool:
+    def is_expected_id(self, sent_request: SentRequest) -> bool:
         """Return whether the answer carries the ID of the request."""
         return sent_request.answered_id == sent_request.request_id
 
@@ -123,21 +123,25 @@
     async def connect(self, number: int) -> None:
         """Connect to one of the service's addresses; refresh them when they expired."""
         now = trio.current_time()
-        if now - self.asked_at > self.lifetime:
-            self.addresses = await self.ask_addresses(number)
-            self.asked_at = now
+        if now - self.fetched_at > self.lifetime:
+            self.addresses = await self.fetch_addresses(number)
+            self.fetched_at = now
             await self.disconnect()
         if self.stream is not None:
             return
         index = (hash_of(self.name) + number) % len(self.addresses)
         await self.open(self.addresses[index])
 
-    async def ask_addresses(self, number: int) -> list[str]:
+    async def fetch_addresses(self, number: int) -> list[str]:
         """Return the service's addresses from the first instance that answers."""
-        for offset in range(len(self.ask)):
+        for offset in range(len(self.instance_addresses)):
             try:
                 await self.disconnect()
-                await self.open(self.ask[(number + offset) % len(self.ask)])
+                await self.open(
+                    self.instance_addresses[
+                        (number + offset) % len(self.instance_addresses)
+                    ]
+                )
                 path = f'/.well-known/catkinslip/addresses/{self.service}'
                 _, _, body = await self.request('GET', path, [], b'')
                 answer = json.loads(body)
@@ -215,14 +219,14 @@
     #: Whether the caller makes its own keys: the platform records those, the home
     #: instance records others.
     has_own_keys: bool = False
-    most_sendings: int = 3
+    max_attempts: int = 3
     ids: list[str] = Factory(list)
 
     async def send_one(self) -> None:
-        """Send one request, up to `most_sendings` times."""
+        """Send one request, up to `max_attempts` times."""
         self.ids = []
         key = subject = ''
-        for _ in range(self.most_sendings):
+        for _ in range(self.max_attempts):
             number = next(self.numbers)
             subject = subject or f'{self.name}-{number}'
             key = key or await self.new_key(number, subject)
@@ -240,24 +244,24 @@
         if self.has_own_keys:
             return subject
         try:
-            with trio.fail_after(self.patience):
+            with trio.fail_after(self.caller_timeout):
                 await self.connect(number)
         except (OSError, trio.TooSlowError):
             await self.disconnect()
             return ''
         return f'{self.prefix_by_address[self.address]}.{subject}'
 
-    def is_own_id(self, sent_request: SentRequest) -> bool:
+    def is_expected_id(self, sent_request: SentRequest) -> bool:
         """Return whether the answer carries the ID of one of the attempts."""
         return sent_request.answered_id in self.ids
 
 
-def judge(status: int, headers: dict) -> str:
+def classify_answer(status: int, headers: dict) -> str:
     """Return the outcome of an answer as a field name of `Tally`."""
-    told = headers.get(b'catkinslip-outcome')
-    if told == b'not-run':
+    outcome = headers.get(b'catkinslip-outcome')
+    if outcome == b'not-run':
         return 'not_run'
-    if told == b'unknown':
+    if outcome == b'unknown':
         return 'unknown'
     return 'right' if status == 200 else 'wrong'
 
--- a/tests/small_fleet.py
+++ b/tests/small_fleet.py
@@ -74,7 +74,7 @@
             caller = LoadCaller(
                 name=f'caller-{number}',
                 service='limits',
-                ask=[each.address for each in daemons],
+                instance_addresses=[each.address for each in daemons],
                 tally=tally,
                 lifetime=lifetime,
             )
--- a/tests/test_failures_combined.py
+++ b/tests/test_failures_combined.py
@@ -124,7 +124,7 @@
             ('keyed', ResendingCaller, {}),
             ('recorded', ResendingCaller, {'has_own_keys': True}),
         )
-        waits = {'patience': PATIENCE_SECONDS, 'lifetime': ADDRESS_SECONDS}
+        waits = {'caller_timeout': PATIENCE_SECONDS, 'lifetime': ADDRESS_SECONDS}
         test = self._testMethodName
         return [
             kind(f'{name}-{number}-{test}', SERVICE, ask, tally, **waits, **arguments)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -68,7 +68,7 @@
         self.assertEqual((tally.wrong, tally.unknown), (0, 0))
         self.assertEqual(daemons[0].popen.returncode, 0)
         # A connection refused is no harm; a request that ran must be answered.
-        cut = tally.ids_told('cut')
+        cut = tally.ids_with_outcome('cut')
         self.assertEqual(cut & requests_run(self.group), set())
 
 
