--- a/soak/needs.py
+++ b/soak/needs.py
@@ -7,7 +7,7 @@
 from attrs import Factory, define, frozen
 
 from soak.world import World
-from standins.workers import most_within
+from standins.workers import max_within
 
 WINDOW_SECONDS = 4.0
 #: From so long after the first naming the bound holds.
@@ -52,18 +52,18 @@
         while trio.current_time() < end:
             await trio.sleep(self.random.uniform(*PAUSE_SECONDS))
             workers = self.world.worker_by_id
-            free = [name for name, it in workers.items() if it.named_rate is None]
+            free = [name for name, it in workers.items() if it.advertised_rate is None]
             await self._need(self.random.choice(free))
 
     async def _need(self, server_id: str) -> None:
         worker = self.world.worker_by_id[server_id]
-        worker.is_rate_everywhere = self.random.random() < 0.5
+        worker.is_rate_in_all_answers = self.random.random() < 0.5
         rates = self.random.sample(RATES, 2)
         began = trio.current_time()
         for rate in rates:
-            worker.named_rate = rate
+            worker.advertised_rate = rate
             await trio.sleep(self.random.uniform(*NEED_SECONDS) / 2)
-        worker.named_rate = None
+        worker.advertised_rate = None
         most = max(map(float, rates))
         self.needs.append(Need(server_id, began, trio.current_time(), most))
 
@@ -75,7 +75,7 @@
             came = [at for at in worker.arrived_at if since <= at < need.ended]
             # What an instance sends that started or woke just then is excused.
             came = [at for at in came if not self.world.was_restarted(at)]
-            most = most_within(WINDOW_SECONDS, came)
+            most = max_within(WINDOW_SECONDS, came)
             if most > need.bound:
                 yield (
                     f'{need.server_id} got {most} requests in {WINDOW_SECONDS:g} s '
--- a/soak/rests.py
+++ b/soak/rests.py
@@ -8,7 +8,7 @@
 
 from soak.callers import Callers
 from soak.world import World
-from standins.workers import Fault, TurnedAway
+from standins.workers import Fault, RefusedRequest
 
 RESTS = (b'1', b'2', b'3.5')
 SPAN_SECONDS = (2.0, 5.0)
@@ -41,7 +41,7 @@
         instance_by_id = {it.request_id: it.instance for it in self.callers.requests}
         for server_id, worker in self.world.worker_by_id.items():
             came = [(at, instance_by_id.get(name)) for at, name in worker.arrivals]
-            for asked in worker.turned_away:
+            for asked in worker.refused_requests:
                 if self._is_excused(server_id, asked):
                     continue
                 instance = instance_by_id.get(asked.request_id)
@@ -50,7 +50,7 @@
                 if most > MOST_IN_REST:
                     yield f'{server_id} got {most} requests in a rest from {instance}'
 
-    def _is_excused(self, server_id: str, asked: TurnedAway) -> bool:
+    def _is_excused(self, server_id: str, asked: RefusedRequest) -> bool:
         """Tell whether the instance may not have been told, or started since."""
         link = self.world.link_by_worker[server_id]
         until = asked.at + asked.seconds
--- a/soak/zones.py
+++ b/soak/zones.py
@@ -54,7 +54,7 @@
     def broken(self) -> Iterator[str]:
         """Yield what servers got that they must not get."""
         for name, worker in self.world.worker_by_id.items():
-            most = worker.most_cold_arrivals()
+            most = worker.max_cold_arrivals()
             if most > self.world.cold_bound:
                 yield f'{name} got {most} requests in a second while it was cold'
         for evacuation in self.evacuations:
--- a/standins/workers.py
+++ b/standins/workers.py
@@ -17,7 +17,7 @@
 COLD_SLOWNESS = 2.0
 
 
-def most_within(seconds: float, times: Sequence[float]) -> int:
+def max_within(seconds: float, times: Sequence[float]) -> int:
     """Return the maximum number of the sorted times within one span of `seconds`."""
     ends = (bisect_left(times, at + seconds) for at in times)
     return max((end - n for n, end in enumerate(ends)), default=0)
@@ -43,7 +43,7 @@
 
 
 @frozen
-class TurnedAway:
+class RefusedRequest:
     """A refused request and the rest period that the refusal asked for, in seconds."""
 
     at: float
@@ -63,7 +63,7 @@
     #: Duration of work in percent of `work_seconds`.
     percent: int = 100
     fault: Fault = Fault.NONE
-    is_deaf: bool = False
+    is_unresponsive: bool = False
     is_unframed: bool = False
     #: Whether requests run but get an error answer that advertises no rate.
     is_failing: bool = False
@@ -88,18 +88,18 @@
     #: Maximum number of requests in any second that a cold server can handle.
     cold_bound: float = math.inf
     #: Request rate that the server advertises; None for none.
-    named_rate: bytes | None = None
+    advertised_rate: bytes | None = None
     #: Rest period that refusals ask for, in seconds; None for none.
     rest: bytes | None = None
     #: Whether all answers report that the server is leaving.
     is_leaving: bool = False
     #: Whether answers to health checks and refusals advertise the rate too.
-    is_rate_everywhere: bool = False
+    is_rate_in_all_answers: bool = False
     #: Arrival times of requests for this server.
     arrived_at: list[float] = Factory(list)
     #: Arrival times and IDs of requests for this server.
     arrivals: list[tuple[float, str]] = Factory(list)
-    turned_away: list[TurnedAway] = Factory(list)
+    refused_requests: list[RefusedRequest] = Factory(list)
     #: Arrival times of requests while the server was cold.
     cold_arrivals: list[float] = Factory(list)
 
@@ -112,9 +112,9 @@
         """Return the seconds for which the server stays cold."""
         return max(0.0, self.cold_until - trio.current_time())
 
-    def most_cold_arrivals(self) -> int:
+    def max_cold_arrivals(self) -> int:
         """Return the maximum number of requests in one second while cold."""
-        return most_within(1.0, self.cold_arrivals)
+        return max_within(1.0, self.cold_arrivals)
 
     async def serve(self, stream: trio.SocketStream) -> None:
         """Serve one connection."""
@@ -131,7 +131,7 @@
         head, body = await receive(stream, codec)
         if head is None:
             return False
-        if self.is_deaf:
+        if self.is_unresponsive:
             await trio.sleep_forever()
         if head.target.decode() == HEALTH_PATH:
             self.probes += 1
@@ -154,7 +154,7 @@
         self.arrivals.append((trio.current_time(), request_id.decode()))
         if self.cold_seconds:
             self.cold_arrivals.append(trio.current_time())
-            if self.most_cold_arrivals() > self.cold_bound:
+            if self.max_cold_arrivals() > self.cold_bound:
                 self.process.cancel()
                 await trio.sleep_forever()
         if self.fault is Fault.SHED:
@@ -162,10 +162,10 @@
             headers = [(b'not-executed', b'1'), *self._rate_headers(is_answer=False)]
             if self.rest is not None:
                 headers.append((b'retry-after', self.rest))
-                asked = TurnedAway(
+                refused = RefusedRequest(
                     trio.current_time(), request_id.decode(), float(self.rest)
                 )
-                self.turned_away.append(asked)
+                self.refused_requests.append(refused)
             await self._send(stream, codec, 503, headers, b'')
             return True
         self.heads.append(head)
@@ -227,9 +227,11 @@
         return not self.is_unframed
 
     def _rate_headers(self, *, is_answer: bool) -> list[tuple[bytes, bytes]]:
-        if self.named_rate is None or not (is_answer or self.is_rate_everywhere):
+        if self.advertised_rate is None or not (
+            is_answer or self.is_rate_in_all_answers
+        ):
             return []
-        return [(b'server-limit', self.named_rate)]
+        return [(b'server-limit', self.advertised_rate)]
 
     async def _send(self, stream, codec, status: int, headers, body: bytes) -> None:
         load = f'{self.running},{self.waiting},{self.slots},{self.percent}'
--- a/tests/test_admission_throttled.py
+++ b/tests/test_admission_throttled.py
@@ -7,7 +7,7 @@
 from benchmarks.overload_world import Mechanisms, World, build_world
 from catkinslip.admission import restricted
 from catkinslip.admission.waiting import AdmissionSettings
-from standins.workers import most_within
+from standins.workers import max_within
 
 PER_SECOND = 1.2
 WINDOW_SECONDS = 4.0
@@ -56,15 +56,13 @@
                         at for at in arrived if at >= began + GOSSIP_SECONDS
                     ]
                     self.assertLessEqual(
-                        most_within(WINDOW_SECONDS, after_gossip), BOUND
+                        max_within(WINDOW_SECONDS, after_gossip), BOUND
                     )
                     self.assertGreater(len(arrived), PER_SECOND * (ended - began) / 2)
 
     def test_without_throttling_servers_get_more_than_their_bound(self):
         world = play(SEEDS[0], throttles=False)
-        arrived = [
-            most_within(4, it.came_in_need) for it in world.server_by_id.values()
-        ]
+        arrived = [max_within(4, it.came_in_need) for it in world.server_by_id.values()]
         self.assertGreater(max(arrived), BOUND)
 
     def test_others_handle_the_load_while_half_are_throttled(self):
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -135,7 +135,7 @@
     def test_silent_server_is_not_chosen(self):
         async def check(platform):
             first, second = await two_workers(platform)
-            first.is_deaf = True
+            first.is_unresponsive = True
             for number in range(4):
                 answer = await platform.ask('POST', '/p/x', request_id=f'r{number}')
                 self.assertEqual(answer.status_code, 200)
@@ -161,7 +161,7 @@
                 nursery.start_soon(ask)
                 await wait_for(lambda: any(worker.heads for worker in workers))
                 first, other = sorted(workers, key=lambda worker: not worker.heads)
-                first.is_deaf = True
+                first.is_unresponsive = True
                 other.fault = Fault.NONE
             self.assertEqual(answers[0].status_code, 200)
             self.assertEqual(len(other.heads), 1)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -15,7 +15,7 @@
 from soak.world import World as SoakWorld
 from soak.zones import Evacuation, ZonePlayer
 from standins.processes import ROOT
-from standins.workers import TurnedAway, Worker
+from standins.workers import RefusedRequest, Worker
 
 #: The second refused everything for ever once probes were answered late.
 SEEDS = (1, 996292712)
@@ -126,7 +126,7 @@
         ]
         world = SoakWorld(None, None, Random(1))
         worker = Worker('i-0')
-        worker.turned_away.append(TurnedAway(10.0, 'r10.0', 3.0))
+        worker.refused_requests.append(RefusedRequest(10.0, 'r10.0', 3.0))
         worker.arrivals.extend((at, f'r{at}') for at in (10.0, *came_at))
         world.worker_by_id['i-0'] = worker
         world.link_by_worker['i-0'] = Link(0)
--- a/tests/test_throttling_fleet.py
+++ b/tests/test_throttling_fleet.py
@@ -24,7 +24,7 @@
 from catkinslip.throttling.gate import ThrottleGate
 from catkinslip.throttling.shares import divide_rate
 from catkinslip.throttling.signals import AnswerKind, RateSignal
-from standins.workers import most_within
+from standins.workers import max_within
 from tests.sender_builders import Site
 
 ZONES = ('zone-a', 'zone-b', 'zone-c', 'zone-d')
@@ -175,7 +175,7 @@
             arrived.extend(fleet.arrived_at)
 
         on_virtual_clock(run)
-        worst = most_within(WINDOW_SECONDS, arrived)
+        worst = max_within(WINDOW_SECONDS, arrived)
         message = f'size={size} per_second={per_second} seed={seed}'
         self.assertLessEqual(worst, bound(per_second), message)
         return len(arrived)
--- a/tests/test_throttling_incident.py
+++ b/tests/test_throttling_incident.py
@@ -15,7 +15,7 @@
 
 import trio
 
-from standins.workers import Worker, most_within
+from standins.workers import Worker, max_within
 from tests.small_platform import SmallPlatform, on_platform, wait_for
 
 INSTANCES = 3
@@ -75,11 +75,11 @@
         async def check(platform):
             worker = await start_fleet(platform)
             await call_for(platform, 0.5)
-            worker.named_rate = b'%g' % PER_SECOND
+            worker.advertised_rate = b'%g' % PER_SECOND
             began = trio.current_time()
             statuses = await call_for(platform, PLAY_SECONDS)
             arrived = [at for at in worker.arrived_at if at >= began + GOSSIP_SECONDS]
-            self.assertLessEqual(most_within(WINDOW_SECONDS, arrived), BOUND)
+            self.assertLessEqual(max_within(WINDOW_SECONDS, arrived), BOUND)
             # The server still gets part of its rate, and the others handle the rest.
             self.assertGreaterEqual(len(arrived), PER_SECOND * WINDOW_SECONDS / 2)
             self.assertGreater(statuses[200], statuses.total() * 0.9)
@@ -90,9 +90,9 @@
         async def check(platform):
             worker = await start_fleet(platform)
             await call_for(platform, 0.5)
-            worker.named_rate = b'%g' % PER_SECOND
+            worker.advertised_rate = b'%g' % PER_SECOND
             await call_for(platform, 3.0)
-            worker.named_rate = None
+            worker.advertised_rate = None
             await call_for(platform, 2.0)
             began = trio.current_time()
             await call_for(platform, 1.0)
--- a/tests/test_throttling_path.py
+++ b/tests/test_throttling_path.py
@@ -50,7 +50,7 @@
 
 async def start_sender(platform: SmallPlatform) -> Entry:
     """Start a server with a high advertised rate and an instance that may use it."""
-    await platform.add_worker('i-1', named_rate=b'50')
+    await platform.add_worker('i-1', advertised_rate=b'50')
     entry = await platform.add_entry()
     lease = entry.instances.sender_lease
     await wait_for(lambda: lease.listed_since < inf)
@@ -71,7 +71,9 @@
     Returns when the first instance has received the rates of all servers.
     """
     for server_id in server_ids:
-        await platform.add_worker(server_id, named_rate=b'0.1', is_rate_everywhere=True)
+        await platform.add_worker(
+            server_id, advertised_rate=b'0.1', is_rate_in_all_answers=True
+        )
     for _ in range(instances):
         entry = await platform.add_entry()
         await wait_for(lambda e=entry: e.instances.sender_lease.listed_since < inf)
@@ -113,7 +115,7 @@
 
     def test_log_lines_and_metrics_show_the_rate(self):
         async def check(platform):
-            await platform.add_worker('i-1', named_rate=b'1.2')
+            await platform.add_worker('i-1', advertised_rate=b'1.2')
             entry = await platform.add_entry()
             await wait_for(lambda: entry.assembler.current_backends)
             with self.assertLogs(level='INFO') as logs:
@@ -268,7 +270,7 @@
             await wait_for(
                 lambda: all(registry.active_rates() for registry in registries)
             )
-            platform.worker_by_id['i-1'].named_rate = None
+            platform.worker_by_id['i-1'].advertised_rate = None
             # A refused call makes the instance probe the server; no request is sent for
             # it.
             await trio.sleep(0.8)
@@ -286,7 +288,7 @@
         async def check(platform):
             await start_throttled_servers(platform, ('i-1',))
             worker = platform.worker_by_id['i-1']
-            worker.is_rate_everywhere = False
+            worker.is_rate_in_all_answers = False
             registry = throttle_of(platform.entries[0]).registry
             registry.rate_by_id['i-1'].kinds.clear()
             await trio.sleep(0.6)
--- a/tests/test_warmup_path.py
+++ b/tests/test_warmup_path.py
@@ -86,7 +86,7 @@
             await send_load(platform, 0.5, lambda: cold.heads)
             cold.turn_cold(GENEROUS_SECONDS)
             await send_load(platform, 2.5, lambda: cold.cold_arrivals)
-            self.assertLessEqual(cold.most_cold_arrivals(), BOUND)
+            self.assertLessEqual(cold.max_cold_arrivals(), BOUND)
             self.assertFalse(cold.process.cancel_called)
 
         on_platform(check)
@@ -108,7 +108,7 @@
                 platform, 2.5, lambda: near.cold_arrivals and cold.cold_arrivals
             )
             for worker in (near, cold):
-                self.assertLessEqual(worker.most_cold_arrivals(), BOUND)
+                self.assertLessEqual(worker.max_cold_arrivals(), BOUND)
             # The other calls are refused at once and may be retried.
             self.assertLessEqual(statuses, {200, 503})
 
@@ -146,7 +146,7 @@
             await wait_for(lambda: 'i-3' in router.load_by_id)
             await send_load(platform, 1.5)
             worker = platform.worker_by_id['i-3']
-            self.assertLessEqual(worker.most_cold_arrivals(), BOUND)
+            self.assertLessEqual(worker.max_cold_arrivals(), BOUND)
 
         on_platform(check)
 
