--- a/soak/restores.py
+++ b/soak/restores.py
@@ -30,12 +30,12 @@
         store.era = 1
         while trio.current_time() < end:
             await trio.sleep(self.random.uniform(*PAUSE_SECONDS))
-            copy = store.copy()
+            backup = store.backup()
             await trio.sleep(self.random.uniform(*COPY_AGE_SECONDS))
             newest = dict(store.item_by_key)
-            store.tells_gone = self.random.random() < 0.5
+            store.answers_gone = self.random.random() < 0.5
             began = trio.current_time()
-            store.restore(copy)
+            store.restore(backup)
             self.restores += 1
             await trio.sleep(self.random.uniform(*WRITTEN_AGAIN_SECONDS))
             self._write_again(newest)
--- a/standins/objects.py
+++ b/standins/objects.py
@@ -28,7 +28,7 @@
 
 
 @frozen
-class StoreCopy:
+class StoreBackup:
     """Backup of the store's objects at a revision."""
 
     item_by_key: dict[tuple[str, str], dict]
@@ -47,9 +47,9 @@
     era: int | None = None
     #: Whether a watch from a revision above the store's own is answered with 410; the
     #: store may have passed that revision again before a watch arrives.
-    tells_gone: bool = True
+    answers_gone: bool = True
     #: Last revision whose changes were dropped from the history.
-    forgotten: int = 0
+    dropped_until: int = 0
     faults: StoreFaults = Factory(StoreFaults)
     calls: list[str] = Factory(list)
     page_items: int = PAGE_ITEMS
@@ -80,19 +80,19 @@
 
     def forget_history(self) -> None:
         """Drop the history, as a compaction does, and wake all watches."""
-        self.forgotten = self.revision
+        self.dropped_until = self.revision
         self.history.clear()
         self._wake()
 
-    def copy(self) -> StoreCopy:
+    def backup(self) -> StoreBackup:
         """Return a backup of the store; objects are never changed in place."""
-        return StoreCopy(dict(self.item_by_key), self.revision)
+        return StoreBackup(dict(self.item_by_key), self.revision)
 
-    def restore(self, copy: StoreCopy) -> None:
+    def restore(self, backup: StoreBackup) -> None:
         """Restore a backup: later writes and revisions are lost and the era rises."""
-        self.item_by_key = dict(copy.item_by_key)
-        self.revision = copy.revision
-        self.history = [each for each in self.history if each[0] <= copy.revision]
+        self.item_by_key = dict(backup.item_by_key)
+        self.revision = backup.revision
+        self.history = [each for each in self.history if each[0] <= backup.revision]
         self.era = (self.era or 0) + 1
         self._wake()
 
@@ -160,8 +160,8 @@
         return jsonify({'events': events, 'as_of': self.revision})
 
     def _is_gone(self, since: int) -> bool:
-        is_unknown = self.tells_gone and since > self.revision
-        return since < self.forgotten or is_unknown
+        is_unknown = self.answers_gone and since > self.revision
+        return since < self.dropped_until or is_unknown
 
     def _events(self, kind: str, since: int) -> list[dict]:
         return [
--- a/tests/test_platform_client.py
+++ b/tests/test_platform_client.py
@@ -146,8 +146,8 @@
             for number in range(3):
                 platform.register(f'i-{number}', 'one', 80 + number)
             platform.store.page_items = 2
-            copy = platform.store.copy()
-            platform.store.on_page = lambda: platform.store.restore(copy)
+            backup = platform.store.backup()
+            platform.store.on_page = lambda: platform.store.restore(backup)
             result = await backends(platform).read_all()
             self.assertIsInstance(result, Failure)
 
@@ -155,7 +155,7 @@
 
     def test_wait_ends_as_another_answer_tells_a_later_life(self):
         async def check(platform):
-            platform.store.era, platform.store.tells_gone = 1, False
+            platform.store.era, platform.store.answers_gone = 1, False
             source = backends(platform)
             revision = (await source.read_all()).unwrap().revision
             ended = []
--- a/tests/test_platform_restore.py
+++ b/tests/test_platform_restore.py
@@ -6,7 +6,7 @@
 
 from catkinslip.discovery.revisions import era_of
 from catkinslip.entry import metrics_page
-from standins.objects import StoreCopy
+from standins.objects import StoreBackup
 from tests.platform_builders import config_spec
 from tests.small_platform import SmallPlatform, on_platform, wait_at_most, wait_for
 
@@ -16,7 +16,7 @@
 LISTED_SECONDS = 7.0
 
 
-async def two_instances(platform: SmallPlatform) -> StoreCopy:
+async def two_instances(platform: SmallPlatform) -> StoreBackup:
     """Start servers and instances; return a copy of the store some changes ago."""
     platform.store.era = 1
     for server_id in ('i-1', 'i-2'):
@@ -24,7 +24,7 @@
     for _ in range(2):
         entry = await platform.add_entry()
         await wait_for(lambda e=entry: len(e.assembler.current_backends) == 2)
-    copy = platform.store.copy()
+    backup = platform.store.backup()
     for number in range(9):
         platform.register(f'other-{number}', 'two', 9000 + number)
     platform.store.put('config', 'main', config_spec(version='0000000b'))
@@ -34,7 +34,7 @@
         for follower in (entry.assembler.backends, entry.assembler.rules):
             if entry.instances.reads_store():
                 await wait_for(lambda it=follower, r=revision - 1: it.revision >= r)
-    return copy
+    return backup
 
 
 def versions(platform: SmallPlatform) -> list[int]:
@@ -65,9 +65,9 @@
 
     def test_changes_are_not_skipped_where_the_old_revisions_are_passed_again(self):
         async def check(platform):
-            copy = await two_instances(platform)
-            platform.store.tells_gone = False
-            platform.store.restore(copy)
+            backup = await two_instances(platform)
+            platform.store.answers_gone = False
+            platform.store.restore(backup)
             platform.store.put('config', 'main', config_spec(version='0000000c'))
             for number in range(20):
                 platform.register(f'more-{number}', 'two', 9000 + number)
@@ -92,7 +92,7 @@
         self,
     ):
         async def check(platform):
-            copy = await two_instances(platform)
+            backup = await two_instances(platform)
             await platform.add_worker('i-3', zone='zone-b')
             port = (
                 platform.entries[0]
@@ -105,7 +105,7 @@
                 router = entry.sampler.health.directory.router_by_service['one']
                 await wait_for(lambda it=router: it.load_by_id['i-1'].draining)
                 await wait_for(lambda it=router: it.closed_zones and len(it.load_by_id))
-            platform.store.restore(copy)
+            platform.store.restore(backup)
             for entry in platform.entries:
                 follower = entry.assembler.backends
                 await wait_for(lambda it=follower: era_of(it.revision) == 2)
@@ -123,11 +123,11 @@
         async def check(platform):
             platform.store.era = 1
             await platform.add_worker('i-1')
-            copy = platform.store.copy()
+            backup = platform.store.backup()
             await platform.add_entry()
             key = 'instances', 'edge-1'
             await wait_for(lambda: key in platform.store.item_by_key)
-            platform.store.restore(copy)
+            platform.store.restore(backup)
             self.assertNotIn(key, platform.store.item_by_key)
             in_time = await wait_at_most(
                 LISTED_SECONDS, lambda: key in platform.store.item_by_key
@@ -149,9 +149,9 @@
 
     def test_lines_and_metrics_tell_that_it_came_back(self):
         async def check(platform):
-            copy = await two_instances(platform)
+            backup = await two_instances(platform)
             with self.assertLogs('store', 'WARNING') as logs:
-                platform.store.restore(copy)
+                platform.store.restore(backup)
                 await trio.sleep(0.5)
             self.assertIn('it came back from a copy. era=2 was=1', logs.output[0])
             entry = platform.entries[0]
