--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -99,7 +99,7 @@
     run_tool(['apply', str(document), '--platform-url', platform_url, '--quiet'])
     wait_until(lambda: serves(daemon.address))
     callers = [
-        group.start(f'caller-{n}', 'benchmarks.caller', takes_orders=True)
+        group.start(f'caller-{n}', 'benchmarks.caller', has_stdin=True)
         for n in range(CALLERS)
     ]
     return Bench(group, callers, dict(zip(ARMS, (backend, daemon, quart), strict=True)))
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -29,10 +29,10 @@
         tempfile.TemporaryDirectory() as folder,
         ProcessGroup(Path(folder)) as group,
     ):
-        return play(group)
+        return run_demo(group)
 
 
-def play(group: ProcessGroup) -> int:
+def run_demo(group: ProcessGroup) -> int:
     """Start the system, run the load and report; return the exit status."""
     platform_url = f'http://{group.start_platform().address}'
     start_backends(group)
@@ -47,7 +47,7 @@
         for zone in ZONES
     ]
     for daemon in daemons:
-        wait_until(lambda d=daemon: serves(d.address))
+        wait_until(lambda d=daemon: is_ready(d.address))
     tally_by_service = trio.run(load, group, [each.address for each in daemons])
     return report(group, platform_url, tally_by_service)
 
@@ -96,7 +96,7 @@
         raise RuntimeError(f'apply of {path} failed with exit status {status}')
 
 
-def serves(address: str) -> bool:
+def is_ready(address: str) -> bool:
     """Return whether an instance answers a request with status 200."""
     answer = httpx.get(f'http://{address}/', headers={'Host': 'limits'})
     return answer.status_code == 200
@@ -116,11 +116,11 @@
                     method=METHOD_BY_SERVICE[service],
                 )
                 nursery.start_soon(caller.run, SECONDS)
-        nursery.start_soon(hurt, group)
+        nursery.start_soon(inject_faults, group)
     return tally_by_service
 
 
-async def hurt(group: ProcessGroup) -> None:
+async def inject_faults(group: ProcessGroup) -> None:
     """Kill one backend server and drain another while the load runs."""
     await trio.sleep(SECONDS / 3)
     group.process_by_name['limits-0'].kill()
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -30,21 +30,23 @@
     def run_round(self) -> None:
         """Run one round, in which every topic exchanges once."""
         for topic in self.random.sample(self.topics, len(self.topics)):
-            self.exchange(topic, self.other_than(topic))
+            self.exchange(topic, self.random_peer(topic))
 
     def run_burst(self, version: ConfigVersion, fanout: int) -> int:
         """Push a version from all topics that have it; return their final number."""
-        told = [each for each in self.topics if each.config.current.version == version]
-        for topic in told:
+        informed = [
+            each for each in self.topics if each.config.current.version == version
+        ]
+        for topic in informed:
             for _ in range(fanout):
-                peer = self.other_than(topic)
+                peer = self.random_peer(topic)
                 before = peer.config.current.version
                 self.exchange(topic, peer)
                 if before < version:
-                    told.append(peer)
-        return len(told)
+                    informed.append(peer)
+        return len(informed)
 
-    def other_than(self, topic: ConfigTopic) -> ConfigTopic:
+    def random_peer(self, topic: ConfigTopic) -> ConfigTopic:
         """Return a random topic other than the given one."""
         peer = topic
         while peer is topic:
@@ -56,11 +58,11 @@
         self.deliver(topic.updates_for(None), peer)
         self.deliver(peer.updates_for(topic.digest()), topic)
 
-    def deliver(self, news: object, topic: ConfigTopic) -> None:
+    def deliver(self, updates: object, topic: ConfigTopic) -> None:
         """Deliver updates as JSON to a topic and count their bytes."""
-        if news is None:
+        if updates is None:
             return
-        text = orjson.dumps(news)
+        text = orjson.dumps(updates)
         self.bytes_sent += len(text)
         topic.receive(orjson.loads(text))
 
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -55,7 +55,7 @@
     object_by_path: dict[str, dict] = Factory(dict)
     earlier_by_path: dict[str, dict] = Factory(dict)
     first_by_path: dict[str, dict] = Factory(dict)
-    words_by_instance: dict[str, list[tuple[float, dict]]] = Factory(dict)
+    announcements_by_instance: dict[str, list[tuple[float, dict]]] = Factory(dict)
     faults: Faults = Factory(Faults)
     count_by_caller: dict[str, CallCount] = Factory(dict)
     changed: trio.Event = Factory(trio.Event)
@@ -181,15 +181,15 @@
         """Answer with the list of instances as it was `list_lag` seconds ago."""
         latest = trio.current_time() - self.faults.list_lag
         shown = []
-        for words in self.words_by_instance.values():
-            seen = [word for at, word in words if at <= latest]
+        for announcements in self.announcements_by_instance.values():
+            seen = [announcement for at, announcement in announcements if at <= latest]
             shown.extend(seen[-1:])
         return jsonify(shown)
 
     async def announce(self, name: str):
         """Record an instance's announcement in the list."""
-        words = self.words_by_instance.setdefault(name, [])
-        words.append((trio.current_time(), await request.get_json()))
+        announcements = self.announcements_by_instance.setdefault(name, [])
+        announcements.append((trio.current_time(), await request.get_json()))
         return {}
 
     async def order(self):
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -43,7 +43,7 @@
         self.popen.kill()
         self.popen.wait()
 
-    def ask_to_stop(self) -> None:
+    def request_stop(self) -> None:
         """Signal the process to stop soon, even while callers keep connections open."""
         if self.popen.poll() is None:
             self.popen.send_signal(signal.SIGCONT)
@@ -52,7 +52,7 @@
 
     def stop(self) -> int:
         """Stop the process and return its exit status."""
-        self.ask_to_stop()
+        self.request_stop()
         return self.wait()
 
     def wait(self) -> int:
@@ -83,12 +83,12 @@
         """Stop all processes that still run."""
         processes = list(reversed(self.process_by_name.values()))
         for process in processes:
-            process.ask_to_stop()
+            process.request_stop()
         for process in processes:
             process.wait()
 
     def start(
-        self, name: str, module: str, *arguments: str, takes_orders: bool = False
+        self, name: str, module: str, *arguments: str, has_stdin: bool = False
     ) -> Process:
         """Start a Python module as a process and wait until it is ready."""
         log_path = self.folder / f'{name}.log'
@@ -98,7 +98,7 @@
                 [sys.executable, '-m', module, *arguments],
                 cwd=ROOT,
                 env=environment,
-                stdin=subprocess.PIPE if takes_orders else subprocess.DEVNULL,
+                stdin=subprocess.PIPE if has_stdin else subprocess.DEVNULL,
                 stdout=subprocess.PIPE,
                 stderr=log,
             )
--- a/standins/raw.py
+++ b/standins/raw.py
@@ -35,8 +35,8 @@
     heads: list[bytes] = Factory(list)
     bodies: list[bytes] = Factory(list)
     connections: int = 0
-    asked: trio.Event = Factory(trio.Event)
-    left: trio.Event = Factory(trio.Event)
+    request_received: trio.Event = Factory(trio.Event)
+    disconnected: trio.Event = Factory(trio.Event)
     resumed: trio.Event = Factory(trio.Event)
 
     async def serve(self, stream: trio.SocketStream) -> None:
@@ -47,7 +47,7 @@
             while True:
                 data = await self._serve_request(stream, data)
         except (OSError, trio.BrokenResourceError, EOFError):
-            self.left.set()
+            self.disconnected.set()
         finally:
             await trio.aclose_forcefully(stream)
 
@@ -57,7 +57,7 @@
         head, _, data = data.partition(HEAD_END)
         self.heads.append(head)
         answer = self.answers.pop(0) if self.answers else ok()
-        self.asked.set()
+        self.request_received.set()
         if answer.waits:
             await self._wait(stream)
         if not answer.data.startswith(b'HTTP/1.1 413'):
@@ -78,8 +78,8 @@
                 data += await receive(stream)
             self.bodies.append(data)
             return b''
-        _, _, rest = head.partition(b'content-length:')
-        length = int(rest.partition(b'\r')[0] or b'0')
+        _, _, remainder = head.partition(b'content-length:')
+        length = int(remainder.partition(b'\r')[0] or b'0')
         while len(data) < length:
             data += await receive(stream)
         self.bodies.append(data[:length])
--- a/standins/store.py
+++ b/standins/store.py
@@ -31,7 +31,7 @@
             self.reads_down -= 1
             return Failure(Unavailable('down'))
         if self.late and self.reads >= self.late_after:
-            await self.land()
+            await self.apply_late_writes()
         return await super().read(key)
 
     async def wait_for_change(self, key: ObjectKey, known_version: int, wait: float):
@@ -44,7 +44,7 @@
     async def write(self, key: ObjectKey, value, expected_version: int):
         """Write an object and inject the next fault."""
         if key != CONFIG_KEY or not self.faults:
-            return await self.take(key, value, expected_version)
+            return await self.apply_write(key, value, expected_version)
         fault = self.faults.pop(0)
         self.reads = 0
         if fault == 'refused':
@@ -52,15 +52,15 @@
         if fault == 'late':
             self.late.append((key, value, expected_version))
         if fault == 'lost':
-            await self.take(key, value, expected_version)
+            await self.apply_write(key, value, expected_version)
         return Failure(AnswerLost('no answer'))
 
-    async def land(self) -> None:
+    async def apply_late_writes(self) -> None:
         """Apply all late writes."""
         while self.late:
-            await self.take(*self.late.pop())
+            await self.apply_write(*self.late.pop())
 
-    async def take(self, key: ObjectKey, value, expected_version: int):
+    async def apply_write(self, key: ObjectKey, value, expected_version: int):
         """Write an object and record a configuration value that took effect."""
         result = await super().write(key, value, expected_version)
         if key == CONFIG_KEY and is_successful(result):
--- a/tests/test_config_changes.py
+++ b/tests/test_config_changes.py
@@ -214,7 +214,7 @@
                 )
                 store.reads_down = 0
                 readings.append(await read_config(store))
-            await store.land()
+            await store.apply_late_writes()
             return outcome_by_id, readings
 
         outcome_by_id, readings = self.run_async(operate)
--- a/tests/test_proxy_exchange.py
+++ b/tests/test_proxy_exchange.py
@@ -207,9 +207,9 @@
         async with running(RawBackend([WAIT])) as proxy:
             stream = await proxy.connect()
             await stream.send_all(GET + GET)
-            await proxy.backend.asked.wait()
+            await proxy.backend.request_received.wait()
             await stream.aclose()
-            await proxy.backend.left.wait()
+            await proxy.backend.disconnected.wait()
             self.assertEqual((await proxy.send(GET))[0][2], b'ok')
             self.assertEqual(proxy.backend.connections, 2)
 
@@ -232,7 +232,7 @@
             waiters = proxy.forwarder.pool.connections_by_address[address].waiters
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(proxy.send, GET)
-                await backend.asked.wait()
+                await backend.request_received.wait()
                 for number in (1, 2):
                     path = b'/%d' % number
                     nursery.start_soon(proxy.send, GET.replace(b'/a', path))
@@ -286,9 +286,9 @@
             async with running(RawBackend()) as proxy:
                 stream = await proxy.connect()
                 await stream.send_all(request)
-                await proxy.backend.asked.wait()
+                await proxy.backend.request_received.wait()
                 await stream.aclose()
-                await proxy.backend.left.wait()
+                await proxy.backend.disconnected.wait()
                 self.assertEqual(proxy.backend.bodies, [])
 
     @run
--- a/tests/test_proxy_process.py
+++ b/tests/test_proxy_process.py
@@ -88,13 +88,13 @@
             self.assertEqual(b'catkinslip-outcome: unknown' in answer, status == b'502')
 
     async def check_disconnecting_caller(self, backend: RawBackend, address: Address):
-        backend.answers, backend.left, backend.asked = (
+        backend.answers, backend.disconnected, backend.request_received = (
             [WAIT],
             trio.Event(),
             trio.Event(),
         )
         stream = await trio.open_tcp_stream(address.host, address.port)
         await stream.send_all(POST)
-        await backend.asked.wait()
+        await backend.request_received.wait()
         await stream.aclose()
-        await backend.left.wait()
+        await backend.disconnected.wait()
