--- a/standins/backend.py
+++ b/standins/backend.py
@@ -55,7 +55,7 @@
     last_started_at: float = 0.0
     probe_times: list[float] = Factory(list)
     slots: trio.CapacityLimiter = None
-    #: File with one line per run, written before the run begins: it survives a kill.
+    #: File with one line per run, written before the run begins; survives a kill.
     ledger_file: IO[str] | None = None
 
     async def serve(self, stream: trio.SocketStream) -> None:
@@ -102,7 +102,7 @@
         return codec.our_state is h11.DONE and codec.their_state is h11.DONE
 
     async def work(self, head, body: bytes):
-        """Run a request in a slot, or refuse it with the outcome `not-run`."""
+        """Run a request in a slot, or refuse with the outcome `not-run`."""
         header_by_name = dict(head.headers)
         request_id = header_by_name.get(REQUEST_ID, b'').decode()
         deadline = float(header_by_name.get(DEADLINE, b'inf'))
@@ -132,7 +132,7 @@
         return 200, headers, json.dumps(answer).encode()
 
     def probe(self, head):
-        """Answer a request to the health path and count it if it is a probe."""
+        """Answer a health check and record the time of a load probe."""
         if PROBE in dict(head.headers):
             self.probe_times.append(time.time())
         return 200, self.report(), b'well'
@@ -203,7 +203,7 @@
 
 
 async def main() -> None:
-    """Run the backend server; print its address as JSON once it listens."""
+    """Run the backend server; print the address as JSON when ready."""
     parser = argparse.ArgumentParser()
     parser.add_argument('--name', default='backend')
     parser.add_argument('--port', type=int, default=0)
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -33,7 +33,7 @@
             self.exchange(topic, self.random_peer(topic))
 
     def run_burst(self, version: ConfigVersion, fanout: int) -> int:
-        """Push a version from all topics that have it; return their final number."""
+        """Gossip a version among topics; return how many topics have it at the end."""
         informed = [
             each for each in self.topics if each.config.current.version == version
         ]
--- a/standins/load.py
+++ b/standins/load.py
@@ -213,7 +213,7 @@
 
 @define
 class ResendingCaller(LoadCaller):
-    """Caller that gives each request a key and resends it up to a known outcome."""
+    """Caller that resends a keyed request elsewhere until the outcome is known."""
 
     method: str = 'POST'
     #: Whether the caller makes its own keys: the platform records those, the home
--- a/standins/objects.py
+++ b/standins/objects.py
@@ -176,7 +176,7 @@
         return Response('none\n', status=404) if found is None else jsonify(found)
 
     async def create(self, kind: str):
-        """Create an object; answer 409 if it exists."""
+        """Create an object; answer 409 if the name exists."""
         body = await request.get_json()
         name = body['metadata']['name']
         if (kind, name) in self.item_by_key:
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -178,7 +178,7 @@
         return Response('', status=304)
 
     async def list_instances(self):
-        """Answer with the list of instances as it was `list_lag` seconds ago."""
+        """Answer with the list of instances of `list_lag` seconds ago."""
         latest = trio.current_time() - self.faults.list_lag
         shown = []
         for announcements in self.announcements_by_instance.values():
@@ -219,7 +219,7 @@
 
 
 async def main() -> None:
-    """Run the platform; print its address as JSON once it listens."""
+    """Run the platform; print the address as JSON when ready."""
     sock = trio.socket.socket()
     sock.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_REUSEADDR, 1)
     parser = argparse.ArgumentParser()
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -58,7 +58,7 @@
     def wait(self) -> int:
         """Wait for the process to end and return its exit status."""
         try:
-            # A process whose last output fills the pipe ends only once it is read.
+            # A process with more output than the pipe holds ends only when it is read.
             self.popen.communicate(timeout=STOP_SECONDS)
             return self.popen.returncode
         except subprocess.TimeoutExpired:
