--- a/soak/needs.py
+++ b/soak/needs.py
@@ -7,7 +7,9 @@
 from attrs import Factory, define, frozen
 
 from soak.world import World
-from standins.workers import most_within
+from standins.workers import (
+    max_within,
+)
 
 WINDOW_SECONDS = 4.0
 #: Seconds after the first advertised rate from which the bound holds.
@@ -52,18 +54,18 @@
         while trio.current_time() < end:
             await trio.sleep(self.random.uniform(*PAUSE_SECONDS))
             workers = self.world.worker_by_id
-            free = [name for name, it in workers.items() if it.named_rate is None]
+            free = [name for name, it in workers.items() if it.advertised_rate is None]
             await self._throttle(self.random.choice(free))
 
     async def _throttle(self, server_id: str) -> None:
         worker = self.world.worker_by_id[server_id]
-        worker.is_rate_everywhere = self.random.random() < 0.5
+        worker.is_rate_in_all_answers = self.random.random() < 0.5
         rates = self.random.sample(RATES, 2)
         began = trio.current_time()
         for rate in rates:
-            worker.named_rate = rate
+            worker.advertised_rate = rate
             await trio.sleep(self.random.uniform(*THROTTLED_SECONDS) / 2)
-        worker.named_rate = None
+        worker.advertised_rate = None
         most = max(map(float, rates))
         self.throttled_spans.append(
             ThrottledSpan(server_id, began, trio.current_time(), most)
@@ -77,7 +79,7 @@
             arrivals = [at for at in worker.arrived_at if since <= at < span.ended]
             # Requests from an instance that has just started or resumed are excused.
             arrivals = [at for at in arrivals if not self.world.was_restarted(at)]
-            most = most_within(WINDOW_SECONDS, arrivals)
+            most = max_within(WINDOW_SECONDS, arrivals)
             if most > span.bound:
                 yield (
                     f'{span.server_id} got {most} requests in {WINDOW_SECONDS:g} s '
--- a/soak/restores.py
+++ b/soak/restores.py
@@ -31,10 +31,10 @@
         store.era = 1
         while trio.current_time() < end:
             await trio.sleep(self.random.uniform(*PAUSE_SECONDS))
-            backup = store.copy()
+            backup = store.backup()
             await trio.sleep(self.random.uniform(*BACKUP_AGE_SECONDS))
             newest = dict(store.item_by_key)
-            store.tells_gone = self.random.random() < 0.5
+            store.answers_gone = self.random.random() < 0.5
             began = trio.current_time()
             store.restore(backup)
             self.restores += 1
--- a/soak/rests.py
+++ b/soak/rests.py
@@ -8,7 +8,10 @@
 
 from soak.callers import Callers
 from soak.world import World
-from standins.workers import Fault, TurnedAway
+from standins.workers import (
+    Fault,
+    RefusedRequest,
+)
 
 RESTS = (b'1', b'2', b'3.5')
 SPAN_SECONDS = (2.0, 5.0)
@@ -42,7 +45,7 @@
         instance_by_id = {it.request_id: it.instance for it in self.callers.requests}
         for server_id, worker in self.world.worker_by_id.items():
             arrivals = [(at, instance_by_id.get(name)) for at, name in worker.arrivals]
-            for rejection in worker.turned_away:
+            for rejection in worker.refused_requests:
                 if self._is_excused(server_id, rejection):
                     continue
                 instance = instance_by_id.get(rejection.request_id)
@@ -56,7 +59,7 @@
                 if count > MAX_IN_REST:
                     yield f'{server_id}: {count} requests in a rest from {instance}'
 
-    def _is_excused(self, server_id: str, rejection: TurnedAway) -> bool:
+    def _is_excused(self, server_id: str, rejection: RefusedRequest) -> bool:
         """Return whether a lost answer or a restarted instance excuses requests."""
         link = self.world.link_by_worker[server_id]
         until = rejection.at + rejection.seconds
--- a/soak/zones.py
+++ b/soak/zones.py
@@ -54,7 +54,7 @@
     def violations(self) -> Iterator[str]:
         """Yield a violation for each server that got requests beyond the limits."""
         for name, worker in self.world.worker_by_id.items():
-            count = worker.most_cold_arrivals()
+            count = worker.max_cold_arrivals()
             if count > self.world.cold_bound:
                 yield f'{name} got {count} requests in a second while it was cold'
         for evacuation in self.evacuations:
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Many configuration topics in one process that exchange news in rounds."""
+"""Simulation of many instances that exchange configuration updates in rounds."""
 
 from random import Random
 
@@ -12,7 +12,7 @@
 
 @define
 class TopicFleet:
-    """Let each topic exchange once a round with a random other one."""
+    """Configuration topics that each exchange with a random peer once per round."""
 
     topics: list[ConfigTopic]
     random: Random
@@ -20,7 +20,7 @@
 
     @classmethod
     def of_size(cls, size: int, seed: int) -> 'TopicFleet':
-        """Return a fleet of fresh topics."""
+        """Return a fleet of new topics without a configuration."""
         topics = [
             ConfigTopic(ConfigHolder(), f'entry-{number}', lambda: size - 1)
             for number in range(size)
@@ -28,44 +28,46 @@
         return cls(topics, Random(seed))
 
     def run_round(self) -> None:
-        """Let every topic exchange once."""
+        """Run one round, in which every topic exchanges once."""
         for topic in self.random.sample(self.topics, len(self.topics)):
-            self.exchange(topic, self.other_than(topic))
+            self.exchange(topic, self.random_peer(topic))
 
     def run_burst(self, version: ConfigVersion, fanout: int) -> int:
-        """Let each topic that has a version tell some at once; return how many have."""
-        told = [each for each in self.topics if each.config.current.version == version]
-        for topic in told:
+        """Gossip a version among topics; return how many topics have it at the end."""
+        informed = [
+            each for each in self.topics if each.config.current.version == version
+        ]
+        for topic in informed:
             for _ in range(fanout):
-                peer = self.other_than(topic)
+                peer = self.random_peer(topic)
                 before = peer.config.current.version
                 self.exchange(topic, peer)
                 if before < version:
-                    told.append(peer)
-        return len(told)
+                    informed.append(peer)
+        return len(informed)
 
-    def other_than(self, topic: ConfigTopic) -> ConfigTopic:
-        """Return a random other topic."""
+    def random_peer(self, topic: ConfigTopic) -> ConfigTopic:
+        """Return a random topic other than the given one."""
         peer = topic
         while peer is topic:
             peer = self.random.choice(self.topics)
         return peer
 
     def exchange(self, topic: ConfigTopic, peer: ConfigTopic) -> None:
-        """Exchange as two instances do: digest and push, then the answer."""
+        """Exchange updates as two instances do: digest and push, then the answer."""
         self.deliver(topic.updates_for(None), peer)
         self.deliver(peer.updates_for(topic.digest()), topic)
 
-    def deliver(self, news: object, topic: ConfigTopic) -> None:
-        """Carry news as JSON and count its bytes."""
-        if news is None:
+    def deliver(self, updates: object, topic: ConfigTopic) -> None:
+        """Deliver updates as JSON to a topic and count their bytes."""
+        if updates is None:
             return
-        text = orjson.dumps(news)
+        text = orjson.dumps(updates)
         self.bytes_sent += len(text)
         topic.receive(orjson.loads(text))
 
     def rounds_until(self, version: ConfigVersion, bound: int = 100) -> int:
-        """Return the rounds until every topic has a version in force."""
+        """Return the number of rounds until every topic has at least a version."""
         for rounds in range(bound):
             if all(each.config.current.version >= version for each in self.topics):
                 return rounds
--- a/standins/load.py
+++ b/standins/load.py
@@ -1,4 +1,4 @@
-"""A small load tool: closed-loop callers, counted answers, latencies."""
+"""Closed-loop load generator that counts outcomes and records latencies."""
 
 import itertools
 import json
@@ -9,7 +9,7 @@
 from attrs import Factory, define
 from hdrh.histogram import HdrHistogram
 
-from standins.ledgers import Sending
+from standins.ledgers import SentRequest
 
 LOWEST_MICROSECONDS = 1
 HIGHEST_MICROSECONDS = 60_000_000
@@ -17,54 +17,56 @@
 
 
 def new_histogram() -> HdrHistogram:
-    """Return an empty histogram of microseconds."""
+    """Return an empty latency histogram in microseconds."""
     return HdrHistogram(LOWEST_MICROSECONDS, HIGHEST_MICROSECONDS, DIGITS)
 
 
 @define
 class Tally:
-    """What callers were told."""
+    """Sent requests, number of requests by outcome, and latencies."""
 
     right: int = 0
     wrong: int = 0
     not_run: int = 0
     unknown: int = 0
     cut: int = 0
-    sendings: list[Sending] = Factory(list)
+    sent_requests: list[SentRequest] = Factory(list)
     histogram: HdrHistogram = Factory(new_histogram)
 
-    def count(self, sending: Sending, outcome: str) -> None:
-        """Count how a request ended."""
-        sending.outcome = outcome
+    def count(self, sent_request: SentRequest, outcome: str) -> None:
+        """Record the outcome of a request."""
+        sent_request.outcome = outcome
         setattr(self, outcome, getattr(self, outcome) + 1)
 
-    def ids_told(self, outcome: str) -> set[str]:
-        """Return the IDs of the requests that ended so."""
-        return {each.request_id for each in self.sendings if each.outcome == outcome}
+    def ids_with_outcome(self, outcome: str) -> set[str]:
+        """Return the IDs of the requests with an outcome."""
+        return {
+            each.request_id for each in self.sent_requests if each.outcome == outcome
+        }
 
 
 @define
 class LoadCaller:
-    """Ask for addresses, keep the answer a while, and send requests."""
+    """Caller that fetches and caches a service's addresses and sends requests."""
 
     name: str
     service: str
-    ask: list[str]
+    instance_addresses: list[str]
     tally: Tally
     method: str = 'GET'
     lifetime: float = 1.0
-    #: Seconds after which the caller gives a request up and disconnects.
-    patience: float = math.inf
+    #: Caller timeout in seconds; the caller then disconnects.
+    caller_timeout: float = math.inf
     numbers: itertools.count = Factory(itertools.count)
     addresses: list[str] = Factory(list)
     prefix_by_address: dict[str, str] = Factory(dict)
-    asked_at: float = -1e9
+    fetched_at: float = -1e9
     address: str = ''
     stream: trio.SocketStream | None = None
     codec: h11.Connection | None = None
 
     async def run(self, seconds: float, pause: float = 0.0) -> None:
-        """Send requests one after another for some seconds."""
+        """Send requests one after another for a number of seconds."""
         end = trio.current_time() + seconds
         while trio.current_time() < end:
             await self.send_one()
@@ -72,20 +74,20 @@
         await self.disconnect()
 
     async def send_one(self) -> None:
-        """Send one request and count how it ended."""
+        """Send one request and record its outcome."""
         number = next(self.numbers)
         request_id = f'{self.name}-{number}'
-        sending = Sending(request_id, repeatable=self.method == 'GET')
-        await self.send(sending, number, request_id)
+        sent_request = SentRequest(request_id, repeatable=self.method == 'GET')
+        await self.send(sent_request, number, request_id)
 
-    async def send(self, sending: Sending, number: int, subject: str) -> None:
-        """Send a request that names its subject, and count how it ended."""
-        self.tally.sendings.append(sending)
+    async def send(self, sent_request: SentRequest, number: int, subject: str) -> None:
+        """Send a request with a subject in its path and record the outcome."""
+        self.tally.sent_requests.append(sent_request)
         began = trio.current_time()
         try:
-            with trio.fail_after(self.patience):
+            with trio.fail_after(self.caller_timeout):
                 await self.connect(number)
-                status, headers, body = await self.exchange(sending, subject)
+                status, headers, body = await self.exchange(sent_request, subject)
         except (
             OSError,
             trio.BrokenResourceError,
@@ -93,49 +95,53 @@
             h11.RemoteProtocolError,
         ):
             await self.disconnect()
-            self.tally.count(sending, 'cut')
+            self.tally.count(sent_request, 'cut')
             return
         micros = int((trio.current_time() - began) * 1e6)
         self.tally.histogram.record_value(max(1, micros))
-        outcome = judge(status, headers)
+        outcome = classify_answer(status, headers)
         if outcome == 'right':
-            outcome = self.read_answer(sending, subject, body)
-        self.tally.count(sending, outcome)
+            outcome = self.read_answer(sent_request, subject, body)
+        self.tally.count(sent_request, outcome)
 
-    def read_answer(self, sending: Sending, subject: str, body: bytes) -> str:
-        """Note whose answer came; return 'wrong' if it is not this caller's."""
+    def read_answer(self, sent_request: SentRequest, subject: str, body: bytes) -> str:
+        """Record the answer's request ID; return `wrong` if it is another request's."""
         answer = json.loads(body)
-        sending.answered_id = answer['request_id']
-        is_own = answer['path'] == self.path_of(subject)
-        is_own = is_own and self.is_own_id(sending)
-        return 'right' if is_own else 'wrong'
+        sent_request.answered_id = answer['request_id']
+        is_expected = answer['path'] == self.path_of(subject)
+        is_expected = is_expected and self.is_expected_id(sent_request)
+        return 'right' if is_expected else 'wrong'
 
-    def is_own_id(self, sending: Sending) -> bool:
-        """Tell whether the answer carries the ID of the request."""
-        return sending.answered_id == sending.request_id
+    def is_expected_id(self, sent_request: SentRequest) -> bool:
+        """Return whether the answer carries the ID of the request."""
+        return sent_request.answered_id == sent_request.request_id
 
     def path_of(self, subject: str) -> str:
-        """Return the path of a request."""
+        """Return the path of a request with a subject."""
         return f'/{self.service}/{subject}'
 
     async def connect(self, number: int) -> None:
-        """Connect to one of the service's addresses."""
+        """Connect to one of the service's addresses; refresh them when they expired."""
         now = trio.current_time()
-        if now - self.asked_at > self.lifetime:
-            self.addresses = await self.ask_addresses(number)
-            self.asked_at = now
+        if now - self.fetched_at > self.lifetime:
+            self.addresses = await self.fetch_addresses(number)
+            self.fetched_at = now
             await self.disconnect()
         if self.stream is not None:
             return
         index = (hash_of(self.name) + number) % len(self.addresses)
         await self.open(self.addresses[index])
 
-    async def ask_addresses(self, number: int) -> list[str]:
-        """Ask the instances in turn until one answers."""
-        for offset in range(len(self.ask)):
+    async def fetch_addresses(self, number: int) -> list[str]:
+        """Return the service's addresses from the first instance that answers."""
+        for offset in range(len(self.instance_addresses)):
             try:
                 await self.disconnect()
-                await self.open(self.ask[(number + offset) % len(self.ask)])
+                await self.open(
+                    self.instance_addresses[
+                        (number + offset) % len(self.instance_addresses)
+                    ]
+                )
                 path = f'/.well-known/catkinslip/addresses/{self.service}'
                 _, _, body = await self.request('GET', path, [], b'')
                 answer = json.loads(body)
@@ -143,10 +149,10 @@
                 return answer['addresses']
             except (OSError, trio.BrokenResourceError, h11.RemoteProtocolError):
                 continue
-        raise OSError('no instance answers')
+        raise OSError('no instance answered the address request')
 
     async def open(self, address: str) -> None:
-        """Open a connection."""
+        """Open a connection to an address."""
         self.address = address
         host, _, port = address.rpartition(':')
         self.stream = await trio.open_tcp_stream(host, int(port))
@@ -154,19 +160,19 @@
         self.codec = h11.Connection(h11.CLIENT)
 
     async def disconnect(self) -> None:
-        """Close the connection."""
+        """Close the connection if one is open."""
         if self.stream is not None:
             await trio.aclose_forcefully(self.stream)
         self.stream = None
 
-    async def exchange(self, sending: Sending, subject: str):
-        """Send one request with a body that names its subject."""
+    async def exchange(self, sent_request: SentRequest, subject: str):
+        """Send one request and return its answer; a body holds the subject."""
         headers = [
             ('catkinslip-service', self.service),
-            ('catkinslip-request-id', sending.request_id),
+            ('catkinslip-request-id', sent_request.request_id),
         ]
-        if sending.key:
-            headers.append(('idempotency-key', sending.key))
+        if sent_request.key:
+            headers.append(('idempotency-key', sent_request.key))
         body = b'' if self.method == 'GET' else subject.encode()
         return await self.request(self.method, self.path_of(subject), headers, body)
 
@@ -189,7 +195,7 @@
         return answer
 
     async def receive(self):
-        """Read one answer."""
+        """Return status, headers and body of the next answer."""
         response, body = None, b''
         while True:
             event = self.codec.next_event()
@@ -207,58 +213,59 @@
 
 @define
 class ResendingCaller(LoadCaller):
-    """Give each request a key and send it again elsewhere until its end is known."""
+    """Caller that resends a keyed request elsewhere until the outcome is known."""
 
     method: str = 'POST'
-    #: Keys of the caller's own are recorded in the platform, others at their home.
+    #: Whether the caller makes its own keys: the platform records those, the home
+    #: instance records others.
     has_own_keys: bool = False
-    most_sendings: int = 3
+    max_attempts: int = 3
     ids: list[str] = Factory(list)
 
     async def send_one(self) -> None:
-        """Send one request up to a number of times."""
+        """Send one request, up to `max_attempts` times."""
         self.ids = []
         key = subject = ''
-        for _ in range(self.most_sendings):
+        for _ in range(self.max_attempts):
             number = next(self.numbers)
             subject = subject or f'{self.name}-{number}'
             key = key or await self.new_key(number, subject)
             if not key:
                 return
             self.ids.append(f'{self.name}-{number}')
-            sending = Sending(self.ids[-1], key, repeatable=False)
-            await self.send(sending, number, subject)
-            if sending.outcome not in ('unknown', 'cut'):
+            sent_request = SentRequest(self.ids[-1], key, repeatable=False)
+            await self.send(sent_request, number, subject)
+            if sent_request.outcome not in ('unknown', 'cut'):
                 return
             await self.disconnect()
 
     async def new_key(self, number: int, subject: str) -> str:
-        """Return a key, or none while no instance can be reached to get one."""
+        """Return a new key, or an empty string if no instance is reachable."""
         if self.has_own_keys:
             return subject
         try:
-            with trio.fail_after(self.patience):
+            with trio.fail_after(self.caller_timeout):
                 await self.connect(number)
         except (OSError, trio.TooSlowError):
             await self.disconnect()
             return ''
         return f'{self.prefix_by_address[self.address]}.{subject}'
 
-    def is_own_id(self, sending: Sending) -> bool:
-        """Tell whether the answer carries the ID of one of the sendings."""
-        return sending.answered_id in self.ids
+    def is_expected_id(self, sent_request: SentRequest) -> bool:
+        """Return whether the answer carries the ID of one of the attempts."""
+        return sent_request.answered_id in self.ids
 
 
-def judge(status: int, headers: dict) -> str:
-    """Return the name of an answer's outcome."""
-    told = headers.get(b'catkinslip-outcome')
-    if told == b'not-run':
+def classify_answer(status: int, headers: dict) -> str:
+    """Return the outcome of an answer as a field name of `Tally`."""
+    outcome = headers.get(b'catkinslip-outcome')
+    if outcome == b'not-run':
         return 'not_run'
-    if told == b'unknown':
+    if outcome == b'unknown':
         return 'unknown'
     return 'right' if status == 200 else 'wrong'
 
 
 def hash_of(name: str) -> int:
-    """Return a number for a name, the same in every run."""
+    """Return a hash of a name that is the same in every run."""
     return sum(name.encode())
--- a/standins/raw.py
+++ b/standins/raw.py
@@ -1,4 +1,4 @@
-"""A stand-in backend server that answers with raw bytes, right or wrong."""
+"""Stand-in backend server that answers with raw bytes, valid or not."""
 
 import trio
 from attrs import Factory, define, frozen
@@ -9,7 +9,7 @@
 
 @frozen
 class RawAnswer:
-    """What happens after a request's head came."""
+    """Raw answer to a request and whether it is delayed or closes the connection."""
 
     data: bytes = b''
     waits: bool = False
@@ -17,7 +17,7 @@
 
 
 def ok(body: bytes = b'ok', headers: bytes = b'') -> RawAnswer:
-    """Return a sound answer."""
+    """Return a valid 200 answer."""
     length = b'%d' % len(body)
     head = b'HTTP/1.1 200 OK\r\nContent-Length: ' + length + b'\r\n' + headers
     return RawAnswer(head + b'\r\n' + body)
@@ -29,14 +29,14 @@
 
 @define
 class RawBackend:
-    """Answer requests in the given order, then with sound answers."""
+    """Server that sends the given answers in order, then valid answers."""
 
     answers: list[RawAnswer] = Factory(list)
     heads: list[bytes] = Factory(list)
     bodies: list[bytes] = Factory(list)
     connections: int = 0
-    asked: trio.Event = Factory(trio.Event)
-    left: trio.Event = Factory(trio.Event)
+    request_received: trio.Event = Factory(trio.Event)
+    disconnected: trio.Event = Factory(trio.Event)
     resumed: trio.Event = Factory(trio.Event)
 
     async def serve(self, stream: trio.SocketStream) -> None:
@@ -47,7 +47,7 @@
             while True:
                 data = await self._serve_request(stream, data)
         except (OSError, trio.BrokenResourceError, EOFError):
-            self.left.set()
+            self.disconnected.set()
         finally:
             await trio.aclose_forcefully(stream)
 
@@ -57,7 +57,7 @@
         head, _, data = data.partition(HEAD_END)
         self.heads.append(head)
         answer = self.answers.pop(0) if self.answers else ok()
-        self.asked.set()
+        self.request_received.set()
         if answer.waits:
             await self._wait(stream)
         if not answer.data.startswith(b'HTTP/1.1 413'):
@@ -78,8 +78,8 @@
                 data += await receive(stream)
             self.bodies.append(data)
             return b''
-        _, _, rest = head.partition(b'content-length:')
-        length = int(rest.partition(b'\r')[0] or b'0')
+        _, _, remainder = head.partition(b'content-length:')
+        length = int(remainder.partition(b'\r')[0] or b'0')
         while len(data) < length:
             data += await receive(stream)
         self.bodies.append(data[:length])
@@ -87,7 +87,7 @@
 
 
 async def receive(stream) -> bytes:
-    """Return the next bytes; raise EOFError at the end."""
+    """Return the next bytes of a stream; raise EOFError at its end."""
     data = await stream.receive_some()
     if not data:
         raise EOFError
--- a/tests/small_fleet.py
+++ b/tests/small_fleet.py
@@ -76,7 +76,7 @@
             caller = LoadCaller(
                 name=f'caller-{number}',
                 service='limits',
-                ask=[each.address for each in daemons],
+                instance_addresses=[each.address for each in daemons],
                 tally=tally,
                 lifetime=lifetime,
             )
--- a/tests/test_platform_restore.py
+++ b/tests/test_platform_restore.py
@@ -6,7 +6,9 @@
 
 from catkinslip.discovery.revisions import era_of
 from catkinslip.entry import metrics_page
-from standins.objects import StoreCopy
+from standins.objects import (
+    StoreBackup,
+)
 from tests.platform_builders import config_spec
 from tests.small_platform import SmallPlatform, on_platform, wait_at_most, wait_for
 
@@ -17,7 +19,7 @@
 LISTED_SECONDS = 7.0
 
 
-async def two_instances(platform: SmallPlatform) -> StoreCopy:
+async def two_instances(platform: SmallPlatform) -> StoreBackup:
     """Start two servers and two instances, and return an outdated backup of the store.
 
     The store has changed after the backup, and the instances have the changes.
@@ -28,7 +30,7 @@
     for _ in range(2):
         entry = await platform.add_entry()
         await wait_for(lambda e=entry: len(e.assembler.current_backends) == 2)
-    backup = platform.store.copy()
+    backup = platform.store.backup()
     for number in range(9):
         platform.register(f'other-{number}', 'two', 9000 + number)
     platform.store.put('config', 'main', config_spec(version='0000000b'))
@@ -70,7 +72,7 @@
     def test_changes_are_not_skipped_where_the_old_revisions_are_passed_again(self):
         async def check(platform):
             backup = await two_instances(platform)
-            platform.store.tells_gone = False
+            platform.store.answers_gone = False
             platform.store.restore(backup)
             platform.store.put('config', 'main', config_spec(version='0000000c'))
             for number in range(20):
@@ -127,7 +129,7 @@
         async def check(platform):
             platform.store.era = 1
             await platform.add_worker('i-1')
-            backup = platform.store.copy()
+            backup = platform.store.backup()
             await platform.add_entry()
             key = 'instances', 'edge-1'
             await wait_for(lambda: key in platform.store.item_by_key)
