--- a/catkinslip/cli/configuration_reads.py
+++ b/catkinslip/cli/configuration_reads.py
@@ -64,7 +64,7 @@
         if not isinstance(found, StoredConfig):
             return self.print_unreachable(found)
         config = found.config
-        return self._tell(
+        return self._print_document(
             {
                 'version': str(config.version),
                 'change_id': config.change_id,
@@ -81,9 +81,9 @@
             except httpx.HTTPError as error:
                 self.printer.error(f'{address} did not answer: {error!r}.')
                 return ExitStatus.UNREACHABLE
-        return self._tell(response.json())
+        return self._print_document(response.json())
 
-    def _tell(self, plain: dict) -> ExitStatus:
+    def _print_document(self, plain: dict) -> ExitStatus:
         self.printer.json(plain['document'] if self.option('document') else plain)
         return ExitStatus.SUCCESS
 
@@ -101,15 +101,15 @@
             return self.print_unreachable(found)
         change_id = self.option('change')
         if change_id is None:
-            self._tell(found.head.changes)
+            self._print_changes(found.head.changes)
             return ExitStatus.SUCCESS
         change = found.head.find(change_id)
         if change is not None:
-            self._tell((change,))
+            self._print_changes((change,))
             return ExitStatus.SUCCESS
         return self._print_absent(change_id, found.head)
 
-    def _tell(self, changes: tuple[Change, ...]) -> None:
+    def _print_changes(self, changes: tuple[Change, ...]) -> None:
         if self.is_json:
             self.printer.json(to_plain(changes))
             return
--- a/catkinslip/discovery/follower.py
+++ b/catkinslip/discovery/follower.py
@@ -33,7 +33,7 @@
 #: within the 2 s in which changes apply; the mean delay is half of the longest. Refused
 #: calls have a price too.
 FIRST_RETRY_SECONDS = 0.2
-LONGEST_RETRY_SECONDS = 1.6
+MAX_RETRY_SECONDS = 1.6
 #: Longest delay of an instance that reads only because all instances of the zone that
 #: read first lost the store. Where the store answers this one, changes still have to
 #: apply within 2.5 s.
@@ -71,9 +71,7 @@
     is_last_resort: Callable[[], bool] = never
     turn: trio.Lock = Factory(trio.Lock)
     ended: trio.Event = Factory(trio.Event)
-    backoff: Backoff = Factory(
-        lambda: Backoff(FIRST_RETRY_SECONDS, LONGEST_RETRY_SECONDS)
-    )
+    backoff: Backoff = Factory(lambda: Backoff(FIRST_RETRY_SECONDS, MAX_RETRY_SECONDS))
 
     async def wait(self, random: Random) -> None:
         """Wait for the turn to retry, or until another follower succeeds."""
--- a/catkinslip/health/reachability.py
+++ b/catkinslip/health/reachability.py
@@ -9,7 +9,7 @@
 #: Pause after the first refused connection; each further one in a row doubles it.
 FIRST_PAUSE_SECONDS = 0.5
 #: Upper bound of a pause.
-LONGEST_PAUSE_SECONDS = 10.0
+MAX_PAUSE_SECONDS = 10.0
 #: Largest share by which a pause is shortened at random.
 JITTER = 0.5
 
@@ -33,7 +33,7 @@
         """Record a refused connection; return the seconds until the next trial."""
         pause = self.pause_by_key.get(key)
         failures = pause.failures + 1 if pause else 1
-        longest = min(FIRST_PAUSE_SECONDS * 2 ** (failures - 1), LONGEST_PAUSE_SECONDS)
+        longest = min(FIRST_PAUSE_SECONDS * 2 ** (failures - 1), MAX_PAUSE_SECONDS)
         seconds = longest * (1 - JITTER * self.random.random())
         self.pause_by_key[key] = Pause(failures, now + seconds)
         return seconds
--- a/catkinslip/limits/latency.py
+++ b/catkinslip/limits/latency.py
@@ -3,7 +3,7 @@
 from attrs import Factory, define
 from hdrh.histogram import HdrHistogram
 
-HIGHEST_MICROSECONDS = 60_000_000
+MAX_MICROSECONDS = 60_000_000
 DIGITS = 1
 WINDOW_SECONDS = 5.0
 REFRESH_SECONDS = 0.25
@@ -12,7 +12,7 @@
 
 def new_histogram() -> HdrHistogram:
     """Return an empty histogram of microseconds."""
-    return HdrHistogram(1, HIGHEST_MICROSECONDS, DIGITS)
+    return HdrHistogram(1, MAX_MICROSECONDS, DIGITS)
 
 
 @define
@@ -28,7 +28,7 @@
 
     def record(self, seconds: float) -> None:
         """Record one latency."""
-        micros = min(HIGHEST_MICROSECONDS, max(1, int(seconds * 1e6)))
+        micros = min(MAX_MICROSECONDS, max(1, int(seconds * 1e6)))
         self.current.record_value(micros)
 
     def read(self, now: float) -> float | None:
--- a/catkinslip/routing/delay.py
+++ b/catkinslip/routing/delay.py
@@ -24,8 +24,8 @@
     ResultKind,
 )
 from catkinslip.routing.evidence import (
-    HIGHEST_UNDERREPORT_SHARE,
-    LEAST_SHED_SHARE,
+    MAX_UNDERREPORT_SHARE,
+    MIN_SHED_SHARE,
     ReportTrust,
     ServiceTime,
     ShedShares,
@@ -41,10 +41,10 @@
 ZONE_HOP_SECONDS = 0.001
 REPORT_MEMORY_SECONDS = 0.03
 #: With more servers than this in the local zone, the delay of a hop to another zone
-#: weighs more, up to MOST_HOP_FACTOR times.
+#: weighs more, up to MAX_HOP_FACTOR times.
 FEW_NEAR_SERVERS = 12
-MOST_HOP_FACTOR = 4.0
-MOST_INFERRED_SLOWNESS = 1.2
+MAX_HOP_FACTOR = 4.0
+MAX_INFERRED_SLOWNESS = 1.2
 IDLE_SHARE = 0.05
 PAUSED_DELAY = 20.0
 
@@ -166,7 +166,7 @@
         if not near:
             # A delay that all candidates share would only make every call look late.
             return 0.0
-        factor = min(max(near / FEW_NEAR_SERVERS, 1.0), MOST_HOP_FACTOR)
+        factor = min(max(near / FEW_NEAR_SERVERS, 1.0), MAX_HOP_FACTOR)
         return self.zone_hop * factor / self.service_time.mean
 
     def _delay_in_use(self, in_flight: float, slots: int) -> float:
@@ -179,7 +179,7 @@
         return delay
 
     def _discounted_in_flight(self, load: BackendLoad, in_flight: float) -> float:
-        trust = max(0.0, 1 - load.underreport_share / HIGHEST_UNDERREPORT_SHARE)
+        trust = max(0.0, 1 - load.underreport_share / MAX_UNDERREPORT_SHARE)
         local_estimate = load.in_flight * self.trust.scale(self.in_flight.value)
         return local_estimate + (in_flight - local_estimate) * trust
 
@@ -210,7 +210,7 @@
         if report.speed is not None:
             self.speed.record(load, report.speed, at)
         elif load.slowness == 1:
-            slowness = min(sqrt(load.inferred_slowness), MOST_INFERRED_SLOWNESS)
+            slowness = min(sqrt(load.inferred_slowness), MAX_INFERRED_SLOWNESS)
             load.speed = load.mean_speed = self.speed.value / slowness
 
 
@@ -224,5 +224,5 @@
     if load.is_silent or now < load.paused_until:
         return delay + PAUSED_DELAY
     share = shed_share(load, now)
-    load.is_irregular = load.slowness != 1 or share > LEAST_SHED_SHARE
+    load.is_irregular = load.slowness != 1 or share > MIN_SHED_SHARE
     return delay * sheds.factor(share)
--- a/catkinslip/routing/evidence.py
+++ b/catkinslip/routing/evidence.py
@@ -7,33 +7,33 @@
 from catkinslip.routing.base import AttemptResult, BackendLoad, LoadReport, ResultKind
 
 TRUST_WEIGHT = 0.1
-HIGHEST_UNDERREPORT_SHARE = 0.1
+MAX_UNDERREPORT_SHARE = 0.1
 LOCAL_WEIGHT = 0.02
-LEAST_LOCAL = 0.05
+MIN_LOCAL = 0.05
 SERVICE_WEIGHT = 0.01
 FIRST_SERVICE_SECONDS = 0.02
 SERVICE_MEMORY_SECONDS = 0.5
 PRIOR_ANSWERS = 4.0
-LEAST_SLOWNESS = 0.33
-MOST_SLOWNESS = 20.0
+MIN_SLOWNESS = 0.33
+MAX_SLOWNESS = 20.0
 CONTRADICTING_SLOWNESS = 3.0
 FAILURE_WEIGHT = 0.3
 EJECTING_FAILURE_SHARE = 0.5
 FAILURE_PAUSE_SECONDS = 1.0
-LONGEST_FAILURE_PAUSE_SECONDS = 30.0
+MAX_FAILURE_PAUSE_SECONDS = 30.0
 SHED_PAUSE_SECONDS = 0.05
-LONGEST_SHED_PAUSE_SECONDS = 1.0
+MAX_SHED_PAUSE_SECONDS = 1.0
 #: Weight of one request in the moving average of a server's shed share.
 SHED_WEIGHT = 0.3
 #: Time constant, in seconds, at which a server's shed share decays while it gets no
 #: requests.
 SHED_MEMORY_SECONDS = 4.0
 #: Shed share up to which a server is treated as shedding nothing.
-LEAST_SHED_SHARE = 0.05
+MIN_SHED_SHARE = 0.05
 #: Weight of one request in the moving average of the shed share of all servers.
 SHED_MEAN_WEIGHT = 0.02
 #: Share of requests that a server which sheds everything is still expected to accept.
-LEAST_ACCEPTED_SHARE = 0.1
+MIN_ACCEPTED_SHARE = 0.1
 
 
 @define
@@ -63,7 +63,7 @@
 
     def scale(self, mean_reported: float) -> float:
         """Return the ratio of all requests in flight to local ones, at least 1."""
-        return max(1.0, mean_reported / max(self.mean_local, LEAST_LOCAL))
+        return max(1.0, mean_reported / max(self.mean_local, MIN_LOCAL))
 
 
 @define
@@ -95,7 +95,7 @@
         seen = load.service_seconds + PRIOR_ANSWERS * self.mean
         expected_seconds = (load.answers + PRIOR_ANSWERS) * self.mean
         slowness = seen / expected_seconds if expected_seconds else 1.0
-        load.inferred_slowness = min(max(slowness, LEAST_SLOWNESS), MOST_SLOWNESS)
+        load.inferred_slowness = min(max(slowness, MIN_SLOWNESS), MAX_SLOWNESS)
         is_contradiction = load.inferred_slowness > CONTRADICTING_SLOWNESS
         load.slowness = load.inferred_slowness if is_contradiction else 1.0
         load.is_irregular = load.is_irregular or is_contradiction
@@ -124,11 +124,11 @@
         share = shed_share(load, now)
         load.shed_share = share + SHED_WEIGHT * (is_shed - share)
         load.shed_at = now
-        load.is_irregular = load.is_irregular or load.shed_share > LEAST_SHED_SHARE
+        load.is_irregular = load.is_irregular or load.shed_share > MIN_SHED_SHARE
 
     def factor(self, share: float) -> float:
         """Return the sends per accepted request, relative to the average server."""
-        return max(1.0, (1 - self.mean) / max(1 - share, LEAST_ACCEPTED_SHARE))
+        return max(1.0, (1 - self.mean) / max(1 - share, MIN_ACCEPTED_SHARE))
 
 
 def shed_share(load: BackendLoad, now: float) -> float:
@@ -145,9 +145,9 @@
     if kind is ResultKind.ANSWERED:
         load.pauses = 0
     elif kind is ResultKind.SHED:
-        pause(load, now, SHED_PAUSE_SECONDS, LONGEST_SHED_PAUSE_SECONDS)
+        pause(load, now, SHED_PAUSE_SECONDS, MAX_SHED_PAUSE_SECONDS)
     elif failed and load.failure_share > EJECTING_FAILURE_SHARE:
-        pause(load, now, FAILURE_PAUSE_SECONDS, LONGEST_FAILURE_PAUSE_SECONDS)
+        pause(load, now, FAILURE_PAUSE_SECONDS, MAX_FAILURE_PAUSE_SECONDS)
 
 
 def pause(load: BackendLoad, now: float, shortest: float, longest: float) -> None:
--- a/catkinslip/routing/report_means.py
+++ b/catkinslip/routing/report_means.py
@@ -8,15 +8,15 @@
 
 REPORT_WEIGHT = 0.02
 PERSISTENCE_WEIGHT = 0.005
-HIGHEST_REPORT_PER_SLOT = 4.0
-LONGEST_GAP_SECONDS = 0.2
+MAX_REPORT_PER_SLOT = 4.0
+MAX_GAP_SECONDS = 0.2
 SHORTEST_PERSISTENCE_SECONDS = 0.002
-LONGEST_PERSISTENCE_SECONDS = 1.0
-LOWEST_CORRELATION = 0.02
-HIGHEST_CORRELATION = 0.98
+MAX_PERSISTENCE_SECONDS = 1.0
+MIN_CORRELATION = 0.02
+MAX_CORRELATION = 0.98
 SPEED_MEMORY_SECONDS = 1.0
 SPEED_FORGET_SECONDS = 5.0
-LONGEST_STEP_SECONDS = 0.1
+MAX_STEP_SECONDS = 0.1
 
 
 @define
@@ -27,7 +27,7 @@
 
     def record(self, load: BackendLoad, report: LoadReport) -> None:
         """Record a load report, limited so that one server cannot distort the mean."""
-        highest = self.value + HIGHEST_REPORT_PER_SLOT * load.slots
+        highest = self.value + MAX_REPORT_PER_SLOT * load.slots
         value = min(report.in_flight, highest)
         self.value += REPORT_WEIGHT * (value - self.value)
 
@@ -55,9 +55,9 @@
         self.value += weight * (speed - self.value)
         if gap > SPEED_FORGET_SECONDS:
             load.mean_speed = self.value
-        if gap < LONGEST_GAP_SECONDS:
+        if gap < MAX_GAP_SECONDS:
             self._record_persistence(load, speed, gap)
-        step = min(gap, LONGEST_STEP_SECONDS) / SPEED_MEMORY_SECONDS
+        step = min(gap, MAX_STEP_SECONDS) / SPEED_MEMORY_SECONDS
         load.mean_speed += (speed - load.mean_speed) * (1 - exp(-step))
         load.speed = speed
 
@@ -70,8 +70,8 @@
         if self.variance == 0:
             return
         correlation = self.covariance / self.variance
-        correlation = min(max(correlation, LOWEST_CORRELATION), HIGHEST_CORRELATION)
+        correlation = min(max(correlation, MIN_CORRELATION), MAX_CORRELATION)
         seconds = -self.gap / log(correlation)
         self.persistence = min(
-            max(seconds, SHORTEST_PERSISTENCE_SECONDS), LONGEST_PERSISTENCE_SECONDS
+            max(seconds, SHORTEST_PERSISTENCE_SECONDS), MAX_PERSISTENCE_SECONDS
         )
--- a/catkinslip/routing/reports.py
+++ b/catkinslip/routing/reports.py
@@ -10,15 +10,15 @@
 PREFIX = b'TEXT '
 IN_FLIGHT = b'named_metrics.in_flight'
 SPEED = b'named_metrics.speed'
-LONGEST_BYTES = 1024
-MOST_IN_FLIGHT = 1e6
-LEAST_SPEED = 1e-3
-MOST_SPEED = 1e6
+MAX_BYTES = 1024
+MAX_IN_FLIGHT = 1e6
+MIN_SPEED = 1e-3
+MAX_SPEED = 1e6
 
 
 def parse_report(value: bytes) -> LoadReport | None:
     """Parse a load report; return None if it is malformed or out of range."""
-    if len(value) > LONGEST_BYTES or not value.startswith(PREFIX):
+    if len(value) > MAX_BYTES or not value.startswith(PREFIX):
         return None
     in_flight = speed = None
     try:
@@ -31,8 +31,8 @@
     except ValueError:
         return None
     # Comparisons with NaN are false, so NaN is rejected too.
-    if in_flight is None or not 0 <= in_flight <= MOST_IN_FLIGHT:
+    if in_flight is None or not 0 <= in_flight <= MAX_IN_FLIGHT:
         return None
-    if speed is not None and not LEAST_SPEED <= speed <= MOST_SPEED:
+    if speed is not None and not MIN_SPEED <= speed <= MAX_SPEED:
         return None
     return LoadReport(in_flight, speed)
--- a/catkinslip/routing/router.py
+++ b/catkinslip/routing/router.py
@@ -27,7 +27,7 @@
 from catkinslip.warmup.gate import ColdGate
 
 UNHEALTHY_PAUSE_SECONDS = 0.2
-LONGEST_UNHEALTHY_PAUSE_SECONDS = 2.0
+MAX_UNHEALTHY_PAUSE_SECONDS = 2.0
 #: Minimum age, in seconds, of a server's last load report for a peer's report of its
 #: silence to count.
 PEER_SILENCE_MIN_AGE_SECONDS = 0.2
@@ -370,7 +370,7 @@
         """Mark a server as unhealthy for a while after a failed probe."""
         load = self.load_by_id.get(backend_id)
         if load is not None:
-            pause(load, now, UNHEALTHY_PAUSE_SECONDS, LONGEST_UNHEALTHY_PAUSE_SECONDS)
+            pause(load, now, UNHEALTHY_PAUSE_SECONDS, MAX_UNHEALTHY_PAUSE_SECONDS)
 
     def is_silent(self, backend_id: str) -> bool:
         """Return whether a server has not answered since a probe of it timed out."""
--- a/standins/load.py
+++ b/standins/load.py
@@ -11,14 +11,14 @@
 
 from standins.ledgers import SentRequest
 
-LOWEST_MICROSECONDS = 1
-HIGHEST_MICROSECONDS = 60_000_000
+MIN_MICROSECONDS = 1
+MAX_MICROSECONDS = 60_000_000
 DIGITS = 3
 
 
 def new_histogram() -> HdrHistogram:
     """Return an empty latency histogram in microseconds."""
-    return HdrHistogram(LOWEST_MICROSECONDS, HIGHEST_MICROSECONDS, DIGITS)
+    return HdrHistogram(MIN_MICROSECONDS, MAX_MICROSECONDS, DIGITS)
 
 
 @define
--- a/tests/test_admission_rest.py
+++ b/tests/test_admission_rest.py
@@ -11,7 +11,7 @@
 REST_SECONDS = 3.0
 #: Seconds in which requests that were in transit as the server asked do not count.
 TRANSIT_SECONDS = 0.5
-MOST_IN_REST = 2
+MAX_IN_REST = 2
 #: Difference in the share of requests below which two runs count as equal.
 NOISE = 0.03
 SEEDS = (1, 2)
@@ -72,7 +72,7 @@
             self.assertEqual(most_in_rest(play(seed)), 0)
 
     def test_without_rest_periods_servers_get_more_than_allowed(self):
-        self.assertGreater(most_in_rest(play(SEEDS[0], rests=False)), MOST_IN_REST)
+        self.assertGreater(most_in_rest(play(SEEDS[0], rests=False)), MAX_IN_REST)
 
     def test_larger_fleets_send_nothing_to_resting_servers(self):
         for instances, seconds in SIZES:
--- a/tests/test_admission_waiting.py
+++ b/tests/test_admission_waiting.py
@@ -17,7 +17,7 @@
 WORK = 0.1
 SETTINGS = AdmissionSettings()
 #: Longest that callers wait before they return, as a share of their time.
-LONGEST_WAIT_SHARE = 1 / 3
+MAX_WAIT_SHARE = 1 / 3
 
 
 class WorkTimesTest(unittest.TestCase):
@@ -99,7 +99,7 @@
     def test_refusal_has_a_retry_delay(self):
         refusal = self.call.refuse(60.0, 10.1, Random(1))
         self.assertIs(refusal.reason, Reason.DEADLINE_UNMET)
-        self.assertLessEqual(refusal.retry_after, 1.9 * LONGEST_WAIT_SHARE)
+        self.assertLessEqual(refusal.retry_after, 1.9 * MAX_WAIT_SHARE)
 
 
 class LateCallTest(unittest.TestCase):
@@ -134,7 +134,7 @@
     def test_its_caller_can_still_use_the_time_to_come_back(self):
         for seed in range(20):
             refusal = self.call.refuse(0.15, 10.0, Random(seed))
-            self.assertLessEqual(refusal.retry_after, 1.4 * LONGEST_WAIT_SHARE)
+            self.assertLessEqual(refusal.retry_after, 1.4 * MAX_WAIT_SHARE)
 
     def test_callers_do_not_come_back_together(self):
         waits = {self.call.refuse(0.15, 10.0, Random(n)).retry_after for n in range(9)}
--- a/tests/test_discovery_follower.py
+++ b/tests/test_discovery_follower.py
@@ -10,7 +10,7 @@
 from catkinslip.discovery.follower import (
     CATCH_UP_SECONDS,
     LAST_RESORT_SECONDS,
-    LONGEST_RETRY_SECONDS,
+    MAX_RETRY_SECONDS,
     WAIT_SECONDS,
     Follower,
     Outage,
@@ -187,7 +187,7 @@
         calls, delay = self.play_outage(Outage(), 20.0)
         # Without turns each of them would make about 25 calls.
         self.assertLess(calls, 40)
-        self.assertLess(delay, LONGEST_RETRY_SECONDS + 0.1)
+        self.assertLess(delay, MAX_RETRY_SECONDS + 0.1)
 
     def test_last_resort_calls_rarely_and_is_in_time(self):
         calls, delay = self.play_outage(Outage(lambda: True), 20.0)
@@ -207,7 +207,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(failing.run)
                 nursery.start_soon(other.run)
-                await trio.sleep(2 * LONGEST_RETRY_SECONDS)
+                await trio.sleep(2 * MAX_RETRY_SECONDS)
                 self.assertTrue(other.is_known)
                 nursery.cancel_scope.cancel()
 
--- a/tests/test_health_tracker.py
+++ b/tests/test_health_tracker.py
@@ -12,7 +12,7 @@
 from catkinslip.health.budget import KEPT_SECONDS, ProbeLimits
 from catkinslip.health.drain import CLOSE_HOLD_SECONDS, RETURN_HOLD_SECONDS
 from catkinslip.health.prober import Prober
-from catkinslip.health.reachability import LONGEST_PAUSE_SECONDS, Reachability
+from catkinslip.health.reachability import MAX_PAUSE_SECONDS, Reachability
 from catkinslip.health.signals import CLOSES_IN_A_ROW
 from catkinslip.health.topics import health_topics
 from catkinslip.health.tracker import HealthTracker, make_tracker
@@ -82,7 +82,7 @@
         state, now = Reachability(Random(1)), 0.0
         for failures in range(1, 9):
             pause = state.record_refusal(KEY, now)
-            longest = min(0.5 * 2 ** (failures - 1), LONGEST_PAUSE_SECONDS)
+            longest = min(0.5 * 2 ** (failures - 1), MAX_PAUSE_SECONDS)
             self.assertTrue(longest / 2 <= pause <= longest)
             self.assertTrue(state.is_avoided(KEY, now + pause * 0.99))
             now += pause
@@ -156,7 +156,7 @@
         chosen = {self.first.choose(router, []).backend_id for _ in range(20)}
         self.assertEqual(chosen, {'limits-2'})
         self.assertEqual(self.first.choose(router, ['limits-2']).backend_id, 'limits-1')
-        self.clock.now += LONGEST_PAUSE_SECONDS
+        self.clock.now += MAX_PAUSE_SECONDS
         chosen = [self.first.choose(router, []).backend_id for _ in range(20)]
         self.assertEqual(chosen.count('limits-1'), 1)
 
--- a/tests/test_resting_incident.py
+++ b/tests/test_resting_incident.py
@@ -13,7 +13,7 @@
 REST_SECONDS = 3.0
 #: Seconds in which requests that were already on their way may still arrive.
 ON_THE_WAY_SECONDS = 0.5
-MOST_IN_REST = 2
+MAX_IN_REST = 2
 LOAD_SECONDS = 5.0
 
 
@@ -65,7 +65,7 @@
             statuses = await call_for(platform, LOAD_SECONDS)
             arrived_at = [at for at in worker.arrived_at if at >= began]
             self.assertGreaterEqual(len(arrived_at), 1)
-            self.assertLessEqual(most_in_rest(arrived_at), MOST_IN_REST)
+            self.assertLessEqual(most_in_rest(arrived_at), MAX_IN_REST)
             # The other servers answer the remaining requests.
             self.assertGreater(statuses[200], statuses.total() * 0.9)
 
--- a/tests/test_routing_sheds.py
+++ b/tests/test_routing_sheds.py
@@ -17,7 +17,7 @@
     ResultKind,
 )
 from catkinslip.routing.delay import ExpectedDelay
-from catkinslip.routing.evidence import LEAST_SHED_SHARE, shed_share
+from catkinslip.routing.evidence import MIN_SHED_SHARE, shed_share
 
 NOW = 100.0
 IDLE = LoadReport(0.0, 1.0)
@@ -62,10 +62,10 @@
         now = self.simulate(2.0)
         grey = self.loads[1]
         self.assertGreater(shed_share(grey, now), 0.25)
-        self.assertLess(shed_share(grey, now + 20), LEAST_SHED_SHARE)
+        self.assertLess(shed_share(grey, now + 20), MIN_SHED_SHARE)
         for step in range(10):
             end_request(self.policy, grey, ResultKind.ANSWERED, now + step / 100)
-        self.assertLess(shed_share(grey, now + 0.1), LEAST_SHED_SHARE)
+        self.assertLess(shed_share(grey, now + 0.1), MIN_SHED_SHARE)
 
     def test_where_all_shed_alike_no_call_looks_late(self):
         now = NOW
