--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -18,11 +18,7 @@
 import trio
 from attrs import asdict, frozen
 
-from benchmarks.configuration_in_force import (
-    TIMEOUT_SECONDS,
-    drained,
-    time_change,
-)
+from benchmarks.configuration_in_force import TIMEOUT_SECONDS, drained, time_change
 from catkinslip.config.changes import ChangeAccepted, apply_change
 from catkinslip.config.checks import read_document
 from catkinslip.config.documents import Document
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -21,11 +21,7 @@
     converter,
     digest_of,
 )
-from catkinslip.config.history import (
-    Head,
-    config_after_change,
-    extend_head,
-)
+from catkinslip.config.history import Head, config_after_change, extend_head
 from catkinslip.config.holder import ConfigHolder
 from catkinslip.config.topic import ConfigTopic
 from catkinslip.membership.detector import GOSSIP_FANOUT
--- a/benchmarks/overload_instances.py
+++ b/benchmarks/overload_instances.py
@@ -7,15 +7,9 @@
 
 from benchmarks.overload_callers import Request
 from benchmarks.overload_servers import Run, Server
-from catkinslip.admission.restricted import (
-    restricted_retry_after,
-)
+from catkinslip.admission.restricted import restricted_retry_after
 from catkinslip.admission.spent import SpentTimes
-from catkinslip.admission.waiting import (
-    GOOD_DELAY,
-    Decision,
-    WaitingCall,
-)
+from catkinslip.admission.waiting import GOOD_DELAY, Decision, WaitingCall
 from catkinslip.admission.work import WorkTimes
 from catkinslip.health.sampler import (
     ANSWER_SECONDS,
@@ -40,26 +34,13 @@
     ResultKind,
 )
 from catkinslip.routing.router import ServiceRouter
-from catkinslip.routing.signals import (
-    ServerSignals,
-)
+from catkinslip.routing.signals import ServerSignals
 from catkinslip.store.budget import TokenBucket
-from catkinslip.throttling.gossip import (
-    REFRESH_SECONDS,
-    report_of,
-)
-from catkinslip.throttling.messages import (
-    RateReport,
-)
-from catkinslip.throttling.registry import (
-    AdvertisedRate,
-)
-from catkinslip.throttling.signals import (
-    AnswerKind,
-)
-from catkinslip.warmup.senders import (
-    SenderPosition,
-)
+from catkinslip.throttling.gossip import REFRESH_SECONDS, report_of
+from catkinslip.throttling.messages import RateReport
+from catkinslip.throttling.registry import AdvertisedRate
+from catkinslip.throttling.signals import AnswerKind
+from catkinslip.warmup.senders import SenderPosition
 
 if TYPE_CHECKING:
     from benchmarks.overload_world import World
--- a/benchmarks/overload_servers.py
+++ b/benchmarks/overload_servers.py
@@ -9,9 +9,7 @@
 from catkinslip.resting.signals import RestSignal
 from catkinslip.routing.base import LoadReport, ResultKind
 from catkinslip.routing.signals import ServerSignals
-from catkinslip.throttling.signals import (
-    RateSignal,
-)
+from catkinslip.throttling.signals import RateSignal
 
 if TYPE_CHECKING:
     from benchmarks.overload_instances import Call, Instance
--- a/benchmarks/overload_world.py
+++ b/benchmarks/overload_world.py
@@ -27,9 +27,7 @@
 from catkinslip.routing.signals import ServerSignals
 from catkinslip.throttling.gate import ThrottleGate
 from catkinslip.throttling.shares import divide_rate
-from catkinslip.throttling.signals import (
-    NO_RATE,
-)
+from catkinslip.throttling.signals import NO_RATE
 from catkinslip.warmup.quotas import SENDERS_PER_ZONE, Sender
 from catkinslip.warmup.senders import SenderPosition
 from catkinslip.wiring.entry import (
--- a/benchmarks/throttling.py
+++ b/benchmarks/throttling.py
@@ -18,10 +18,7 @@
 from catkinslip.routing.sample import Sample
 from catkinslip.throttling.gate import ThrottleGate
 from catkinslip.throttling.shares import divide_rate
-from catkinslip.throttling.signals import (
-    AnswerKind,
-    RateSignal,
-)
+from catkinslip.throttling.signals import AnswerKind, RateSignal
 from catkinslip.warmup.quotas import Sender
 from catkinslip.warmup.senders import SenderPosition
 
--- a/catkinslip/admission/restricted.py
+++ b/catkinslip/admission/restricted.py
@@ -10,10 +10,7 @@
 from random import Random
 
 from catkinslip.admission.waiting import WaitingCall
-from catkinslip.routing.gates import (
-    Closure,
-    RestrictionReason,
-)
+from catkinslip.routing.gates import Closure, RestrictionReason
 
 #: Minimum and maximum seconds before an early retry; short beside the time within which
 #: an answer has the most value.
--- a/catkinslip/cli/base.py
+++ b/catkinslip/cli/base.py
@@ -85,8 +85,8 @@
             yield HttpStore(client, timeout)
 
     def open_control(self) -> httpx.AsyncClient:
-        """Return an HTTP client of control surfaces, to be entered as a context."""
-        # Control surfaces use plain HTTP; loading certificates would be slow.
+        """Return an HTTP client of control APIs, to be entered as a context."""
+        # Control APIs use plain HTTP; loading certificates would be slow.
         return httpx.AsyncClient(
             verify=False,
             headers={SECRET_HEADER: self.value(options.SHARED_SECRET)},
--- a/catkinslip/cli/configuration_reads.py
+++ b/catkinslip/cli/configuration_reads.py
@@ -12,12 +12,7 @@
 from catkinslip.config.documents import ConfigVersion, Document, to_plain
 from catkinslip.config.history import Change, Head
 from catkinslip.config.merge import merge_diff
-from catkinslip.config.reading import (
-    StoredConfig,
-    StoredHead,
-    read_config,
-    read_head,
-)
+from catkinslip.config.reading import StoredConfig, StoredHead, read_config, read_head
 from catkinslip.status import ExitStatus
 
 
--- a/catkinslip/cli/instances.py
+++ b/catkinslip/cli/instances.py
@@ -16,7 +16,7 @@
 
 
 class InstanceCommand(BaseCommand):
-    """Command that queries an instance over its control surface, then others."""
+    """Command that queries an instance over its control API, then others."""
 
     path: ClassVar[str] = STATUS_PATH
 
--- a/catkinslip/cli/metrics.py
+++ b/catkinslip/cli/metrics.py
@@ -10,9 +10,7 @@
 from catkinslip.cli.output import table
 from catkinslip.control.paths import METRICS_PATH
 from catkinslip.metrics.base import Family, SummarySample
-from catkinslip.metrics.requests import (
-    SHED_LABEL,
-)
+from catkinslip.metrics.requests import SHED_LABEL
 from catkinslip.status import ExitStatus
 
 MILLISECONDS = 1000
--- a/catkinslip/config/checks.py
+++ b/catkinslip/config/checks.py
@@ -9,12 +9,7 @@
 from attrs import frozen
 from returns.result import Failure, Result, Success
 
-from catkinslip.config.documents import (
-    Document,
-    canonical_json,
-    converter,
-    to_plain,
-)
+from catkinslip.config.documents import Document, canonical_json, converter, to_plain
 from catkinslip.config.shapes import DocumentMistake, check_shape
 
 #: Maximum size of a document as JSON, in bytes. The platform stores values of up to
--- a/catkinslip/config/watcher.py
+++ b/catkinslip/config/watcher.py
@@ -11,19 +11,9 @@
 from catkinslip.config.documents import AcceptedConfig
 from catkinslip.config.history import Head
 from catkinslip.config.holder import ConfigHolder, OfferResult
-from catkinslip.config.reading import (
-    CONFIG_KEY,
-    StoredHead,
-    parse_head,
-    read_document,
-)
+from catkinslip.config.reading import CONFIG_KEY, StoredHead, parse_head, read_document
 from catkinslip.store.backoff import Backoff
-from catkinslip.store.base import (
-    ObjectStore,
-    OverBudget,
-    PlatformError,
-    StoredObject,
-)
+from catkinslip.store.base import ObjectStore, OverBudget, PlatformError, StoredObject
 
 #: Maximum duration of one watch call, in seconds.
 WATCH_SECONDS = 20.0
--- a/catkinslip/control/app.py
+++ b/catkinslip/control/app.py
@@ -11,12 +11,7 @@
 
 from catkinslip.control.operators import OperatorPages
 from catkinslip.control.paths import SECRET_HEADER
-from catkinslip.membership.exchange import (
-    PATH,
-    PING_PATH,
-    PROBE_PATH,
-    PeerExchange,
-)
+from catkinslip.membership.exchange import PATH, PING_PATH, PROBE_PATH, PeerExchange
 from catkinslip.membership.messages import ExchangeMessage, ProbeRequest, converter
 
 #: Size limit of a message in bytes; a configuration of maximum size fits with its
--- a/catkinslip/core.py
+++ b/catkinslip/core.py
@@ -13,10 +13,7 @@
 from catkinslip.membership.members import Member
 from catkinslip.settings.daemon import DaemonSettings
 from catkinslip.wiring.daemon import Daemon, wire
-from catkinslip.wiring.shared import (
-    Dependencies,
-    open_clients,
-)
+from catkinslip.wiring.shared import Dependencies, open_clients
 
 
 async def serve(
--- a/catkinslip/crashes/hidden_crashes.py
+++ b/catkinslip/crashes/hidden_crashes.py
@@ -9,9 +9,7 @@
 
 from attrs import Factory, define, frozen
 
-from catkinslip.config.difference import (
-    changed_keys,
-)
+from catkinslip.config.difference import changed_keys
 from catkinslip.config.documents import Backend
 from catkinslip.crashes.identity import RequestKey
 
--- a/catkinslip/discovery/peers.py
+++ b/catkinslip/discovery/peers.py
@@ -15,12 +15,7 @@
 from returns.result import Failure, Success
 
 from catkinslip.discovery.assembly import Assembler
-from catkinslip.discovery.base import (
-    Changes,
-    InstanceEntry,
-    Listing,
-    Source,
-)
+from catkinslip.discovery.base import Changes, InstanceEntry, Listing, Source
 from catkinslip.discovery.instances import InstanceTable, PeerHealth
 from catkinslip.discovery.kinds import SharedKinds
 from catkinslip.discovery.messages import (
--- a/catkinslip/health/sampler.py
+++ b/catkinslip/health/sampler.py
@@ -23,9 +23,7 @@
 from catkinslip.routing.base import GOOD_DELAY, BackendLoad
 from catkinslip.routing.router import ServiceRouter
 from catkinslip.store.budget import TokenBucket
-from catkinslip.throttling.signals import (
-    AnswerKind,
-)
+from catkinslip.throttling.signals import AnswerKind
 
 #: Servers with a report younger than this are not probed.
 FRESH_SECONDS = 0.01
--- a/catkinslip/listeners.py
+++ b/catkinslip/listeners.py
@@ -8,9 +8,7 @@
 from hypercorn.config import Config as HypercornConfig
 from hypercorn.trio import serve as serve_asgi
 
-from catkinslip.control.app import (
-    ControlApi,
-)
+from catkinslip.control.app import ControlApi
 from catkinslip.models import Address
 from catkinslip.settings.daemon import DaemonSettings
 
@@ -66,7 +64,7 @@
 
 
 async def bind_control(settings: DaemonSettings) -> trio.socket.SocketType:
-    """Open the listening socket of the control surface."""
+    """Open the listening socket of the control API."""
     sock = trio.socket.socket()
     sock.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_REUSEADDR, 1)
     await sock.bind((settings.control_host, settings.control_port))
@@ -75,7 +73,7 @@
 
 
 async def serve_control(api: ControlApi, sock: trio.socket.SocketType) -> None:
-    """Serve the control surface on a listening socket until cancelled."""
+    """Serve the control API on a listening socket until cancelled."""
     config = HypercornConfig()
     config.bind = [f'fd://{sock.fileno()}']
     config.loglevel = 'WARNING'
--- a/catkinslip/metrics/crashes.py
+++ b/catkinslip/metrics/crashes.py
@@ -5,9 +5,7 @@
 from attrs import define
 
 from catkinslip.crashes.guard import CrashGuard
-from catkinslip.crashes.suspect import (
-    count_refused,
-)
+from catkinslip.crashes.suspect import count_refused
 from catkinslip.metrics.base import Family, MetricSource, counter, gauge
 
 
--- a/catkinslip/metrics/requests.py
+++ b/catkinslip/metrics/requests.py
@@ -9,9 +9,7 @@
 from catkinslip.metrics.base import Family, MetricSource, counter, gauge, summary
 from catkinslip.metrics.durations import COARSE, FINE, Durations
 from catkinslip.proxy.calls import Call
-from catkinslip.proxy.exchange import (
-    ConnectionBreak,
-)
+from catkinslip.proxy.exchange import ConnectionBreak
 from catkinslip.proxy.observer import RequestObserver
 from catkinslip.proxy.outcomes import Answered, NotRun, Outcome, Reason
 from catkinslip.routing.base import Choice
--- a/catkinslip/metrics/wiring.py
+++ b/catkinslip/metrics/wiring.py
@@ -9,11 +9,7 @@
 from catkinslip.logs.buffer import LogBuffer
 from catkinslip.membership.members import MemberTable
 from catkinslip.metrics.base import MetricSource
-from catkinslip.metrics.instance import (
-    ConfigMetrics,
-    LogMetrics,
-    LoopLag,
-)
+from catkinslip.metrics.instance import ConfigMetrics, LogMetrics, LoopLag
 from catkinslip.metrics.members import MemberMetrics
 from catkinslip.metrics.requests import RequestMetrics
 from catkinslip.metrics.traces import TraceRing
--- a/catkinslip/platform/client.py
+++ b/catkinslip/platform/client.py
@@ -26,16 +26,9 @@
     Source,
     Value,
 )
-from catkinslip.discovery.revisions import (
-    era_of,
-    number_of,
-    revision_of,
-)
+from catkinslip.discovery.revisions import era_of, number_of, revision_of
 from catkinslip.metrics.base import Family, MetricSource, counter, gauge
-from catkinslip.metrics.calls import (
-    call_outcome,
-    calls_family,
-)
+from catkinslip.metrics.calls import call_outcome, calls_family
 from catkinslip.models import Address
 from catkinslip.page_client import PageClient, Reply
 from catkinslip.platform.decoding import DECODE_ERRORS, decode_crash
--- a/catkinslip/platform/dialect.py
+++ b/catkinslip/platform/dialect.py
@@ -10,22 +10,14 @@
 from catkinslip.proxy import answers
 from catkinslip.proxy import headers as names
 from catkinslip.proxy.calls import Call
-from catkinslip.proxy.dialect import (
-    CallParameters,
-    Dialect,
-    ProbeAnswer,
-)
+from catkinslip.proxy.dialect import CallParameters, Dialect, ProbeAnswer
 from catkinslip.proxy.head_checks import malformed
 from catkinslip.proxy.headers import Header, RequestHead
 from catkinslip.proxy.outcomes import NotRun, Reason, Unknown
 from catkinslip.resting.signals import MALFORMED_REST, NO_REST, RestSignal
 from catkinslip.routing.base import LoadReport
 from catkinslip.routing.signals import ServerSignals
-from catkinslip.throttling.signals import (
-    MALFORMED_RATE,
-    NO_RATE,
-    RateSignal,
-)
+from catkinslip.throttling.signals import MALFORMED_RATE, NO_RATE, RateSignal
 
 MILLISECONDS_FORM = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?\Z')
 #: The form of a rate, which is a decimal number of requests per second.
--- a/catkinslip/proxy/callers.py
+++ b/catkinslip/proxy/callers.py
@@ -10,9 +10,7 @@
 from catkinslip.environment import Environment
 from catkinslip.proxy.base import CallForwarder, LocalPages
 from catkinslip.proxy.bodies import BodyReader, BodyRemainder
-from catkinslip.proxy.caller_watch import (
-    CallerWatch,
-)
+from catkinslip.proxy.caller_watch import CallerWatch
 from catkinslip.proxy.calls import Call, CallFactory
 from catkinslip.proxy.dialect import Dialect
 from catkinslip.proxy.draining import CallerDrain
--- a/catkinslip/proxy/dialect.py
+++ b/catkinslip/proxy/dialect.py
@@ -10,10 +10,7 @@
 from catkinslip.proxy.headers import Header, RequestHead
 from catkinslip.proxy.outcomes import NotRun, Reason, Unknown
 from catkinslip.routing.base import LoadReport
-from catkinslip.routing.signals import (
-    NO_SIGNALS,
-    ServerSignals,
-)
+from catkinslip.routing.signals import NO_SIGNALS, ServerSignals
 
 if TYPE_CHECKING:
     from catkinslip.proxy.calls import Call
--- a/catkinslip/proxy/exchange.py
+++ b/catkinslip/proxy/exchange.py
@@ -12,19 +12,13 @@
 from catkinslip.proxy import headers as names
 from catkinslip.proxy.calls import Call
 from catkinslip.proxy.dialect import Dialect
-from catkinslip.proxy.native_dialect import (
-    NativeDialect,
-)
+from catkinslip.proxy.native_dialect import NativeDialect
 from catkinslip.proxy.outcomes import Answered, NotRun, Outcome, Reason, Unknown
 from catkinslip.proxy.pool import MAX_IDLE_SECONDS, BackendPool
 from catkinslip.proxy.wire import ConnectionErrors, Wire
 from catkinslip.routing import reports
-from catkinslip.routing.signals import (
-    ServerSignals,
-)
-from catkinslip.throttling.signals import (
-    AnswerKind,
-)
+from catkinslip.routing.signals import ServerSignals
+from catkinslip.throttling.signals import AnswerKind
 
 __all__ = ['AnswerHead', 'Attempt', 'Call']
 
--- a/catkinslip/proxy/forwarder.py
+++ b/catkinslip/proxy/forwarder.py
@@ -10,9 +10,7 @@
 from catkinslip.crashes.guard import CrashGuard
 from catkinslip.health.base import NoSampler, Sampler
 from catkinslip.health.tracker import HealthTracker
-from catkinslip.limits.service import (
-    LimitRegistry,
-)
+from catkinslip.limits.service import LimitRegistry
 from catkinslip.proxy.base import CallForwarder
 from catkinslip.proxy.dialect import Dialect
 from catkinslip.proxy.exchange import OWN_DIALECT, Call
--- a/catkinslip/proxy/observer.py
+++ b/catkinslip/proxy/observer.py
@@ -5,9 +5,7 @@
 from attrs import frozen
 
 from catkinslip.proxy.calls import Call
-from catkinslip.proxy.exchange import (
-    ConnectionBreak,
-)
+from catkinslip.proxy.exchange import ConnectionBreak
 from catkinslip.proxy.outcomes import Outcome
 from catkinslip.routing.base import Choice
 
--- a/catkinslip/proxy/pool.py
+++ b/catkinslip/proxy/pool.py
@@ -7,9 +7,7 @@
 import trio
 from attrs import Factory, define, field
 
-from catkinslip.config.difference import (
-    compare_documents,
-)
+from catkinslip.config.difference import compare_documents
 from catkinslip.config.documents import AcceptedConfig, Backend, Document
 from catkinslip.models import Address
 from catkinslip.proxy.outcomes import NotRun, Reason
--- a/catkinslip/proxy/runner.py
+++ b/catkinslip/proxy/runner.py
@@ -11,9 +11,7 @@
 
 from catkinslip.clock import Clock
 from catkinslip.crashes.guard import CrashGuard
-from catkinslip.crashes.hidden_crashes import (
-    server_name,
-)
+from catkinslip.crashes.hidden_crashes import server_name
 from catkinslip.crashes.identity import key_of
 from catkinslip.health.base import Sampler
 from catkinslip.health.tracker import Headers, HealthTracker
@@ -38,16 +36,10 @@
 from catkinslip.proxy.server_wait import ServerWait
 from catkinslip.proxy.wire import Wire
 from catkinslip.routing.base import BackendLoad, Choice, LoadReport
-from catkinslip.routing.gates import (
-    release_permits,
-)
+from catkinslip.routing.gates import release_permits
 from catkinslip.routing.router import ServiceRouter
-from catkinslip.routing.signals import (
-    ServerSignals,
-)
-from catkinslip.throttling.signals import (
-    AnswerKind,
-)
+from catkinslip.routing.signals import ServerSignals
+from catkinslip.throttling.signals import AnswerKind
 
 #: Time to pass an answer on whose head came before the deadline.
 ANSWER_GRACE_SECONDS = 1.0
--- a/catkinslip/proxy/server_wait.py
+++ b/catkinslip/proxy/server_wait.py
@@ -8,13 +8,8 @@
 import trio
 from attrs import define, field
 
-from catkinslip.admission.restricted import (
-    restricted_retry_after,
-)
-from catkinslip.admission.waiting import (
-    Decision,
-    WaitingCall,
-)
+from catkinslip.admission.restricted import restricted_retry_after
+from catkinslip.admission.waiting import Decision, WaitingCall
 from catkinslip.clock import Clock
 from catkinslip.health.base import Sampler
 from catkinslip.health.tracker import HealthTracker
@@ -22,9 +17,7 @@
 from catkinslip.proxy.calls import Call
 from catkinslip.proxy.outcomes import NotRun, Reason
 from catkinslip.routing.base import Choice
-from catkinslip.routing.gates import (
-    RestrictionReason,
-)
+from catkinslip.routing.gates import RestrictionReason
 from catkinslip.routing.router import ServiceRouter
 
 log = logging.getLogger('limits')
--- a/catkinslip/resting/registry.py
+++ b/catkinslip/resting/registry.py
@@ -13,9 +13,7 @@
 
 from catkinslip.resting.signals import RestSignal
 from catkinslip.routing.base import NEVER, BackendLoad
-from catkinslip.throttling.signals import (
-    AnswerKind,
-)
+from catkinslip.throttling.signals import AnswerKind
 
 #: Seconds after its end at which a rest period is forgotten, whether or not a trial
 #: request was sent.
--- a/catkinslip/routing/directory.py
+++ b/catkinslip/routing/directory.py
@@ -16,10 +16,7 @@
 from catkinslip.routing.router import ServiceRouter, ignore_load_change
 from catkinslip.routing.sample import Sample
 from catkinslip.throttling.gate import ThrottleGate
-from catkinslip.throttling.registry import (
-    OnObservation,
-    ignore_observation,
-)
+from catkinslip.throttling.registry import OnObservation, ignore_observation
 from catkinslip.warmup.gate import ColdGate
 
 log = logging.getLogger('routing')
--- a/catkinslip/routing/router.py
+++ b/catkinslip/routing/router.py
@@ -21,9 +21,7 @@
 from catkinslip.routing.sample import Sample
 from catkinslip.routing.signals import ServerSignals
 from catkinslip.throttling.gate import ThrottleGate
-from catkinslip.throttling.signals import (
-    AnswerKind,
-)
+from catkinslip.throttling.signals import AnswerKind
 from catkinslip.warmup.gate import ColdGate
 
 UNHEALTHY_PAUSE_SECONDS = 0.2
--- a/catkinslip/routing/signals.py
+++ b/catkinslip/routing/signals.py
@@ -3,10 +3,7 @@
 from attrs import frozen
 
 from catkinslip.resting.signals import NO_REST, RestSignal
-from catkinslip.throttling.signals import (
-    NO_RATE,
-    RateSignal,
-)
+from catkinslip.throttling.signals import NO_RATE, RateSignal
 
 
 @frozen
--- a/catkinslip/throttling/gate.py
+++ b/catkinslip/throttling/gate.py
@@ -6,17 +6,11 @@
 from attrs import Factory, define
 
 from catkinslip.routing.base import NEVER, BackendLoad
-from catkinslip.routing.gates import (
-    Gate,
-    RestrictedServer,
-    RestrictionReason,
-)
+from catkinslip.routing.gates import Gate, RestrictedServer, RestrictionReason
 from catkinslip.throttling.registry import AdvertisedRate, RateRegistry
 from catkinslip.throttling.shares import local_rate
 from catkinslip.warmup.quotas import Sender
-from catkinslip.warmup.senders import (
-    SenderPosition,
-)
+from catkinslip.warmup.senders import SenderPosition
 
 #: Seconds since the last known answer with the rate after which the next request that
 #: the server could answer at once goes there, as the throttling may be over.
--- a/catkinslip/throttling/shares.py
+++ b/catkinslip/throttling/shares.py
@@ -20,9 +20,7 @@
 
 from catkinslip.addresses.rendezvous import weight
 from catkinslip.warmup.quotas import SENDERS_PER_ZONE, Sender
-from catkinslip.warmup.senders import (
-    SenderPosition,
-)
+from catkinslip.warmup.senders import SenderPosition
 
 #: Requests per second that are sent to a server that advertises less, or zero, in order
 #: to detect the end of its throttling.
--- a/catkinslip/wiring/callers.py
+++ b/catkinslip/wiring/callers.py
@@ -4,21 +4,15 @@
 from catkinslip.addresses.home import HomeSetLimits
 from catkinslip.environment import Environment
 from catkinslip.limits.base import LimitSettings
-from catkinslip.limits.service import (
-    LimitRegistry,
-)
+from catkinslip.limits.service import LimitRegistry
 from catkinslip.membership.members import Member
 from catkinslip.proxy.callers import CallerLimits, CallerServer
 from catkinslip.proxy.forwarder import Forwarder
 from catkinslip.proxy.hedges import HedgeTimer
 from catkinslip.settings.daemon import DaemonSettings
-from catkinslip.tickets.gate import (
-    AtMostOnceForwarder,
-)
+from catkinslip.tickets.gate import AtMostOnceForwarder
 from catkinslip.tickets.keys import AnchoredClock, KeyIssuer
-from catkinslip.tickets.passing import (
-    HomeForwarder,
-)
+from catkinslip.tickets.passing import HomeForwarder
 from catkinslip.tickets.records import PlatformRecords
 from catkinslip.tickets.table import TicketTable
 from catkinslip.wiring.shared import Shared
--- a/catkinslip/wiring/daemon.py
+++ b/catkinslip/wiring/daemon.py
@@ -9,9 +9,7 @@
 from catkinslip.config.watcher import ConfigWatcher
 from catkinslip.control.app import ControlApi
 from catkinslip.control.operators import OperatorPages
-from catkinslip.crashes.synchronizer import (
-    CrashSynchronizer,
-)
+from catkinslip.crashes.synchronizer import CrashSynchronizer
 from catkinslip.crashes.topic import CrashTopic
 from catkinslip.health.drain_gossip import DrainGossip
 from catkinslip.health.list_reader import InstanceListReader
@@ -52,7 +50,7 @@
     drain_gossip: DrainGossip
     instance_list_reader: InstanceListReader
     hedges: HedgeTimer
-    crash_record_writer: CrashSynchronizer
+    crash_synchronizer: CrashSynchronizer
     metrics: Metrics
 
     def tasks(self) -> tuple[Callable[[], Awaitable[None]], ...]:
@@ -66,7 +64,7 @@
             self.prober.run,
             self.drain_gossip.run,
             self.instance_list_reader.run,
-            self.crash_record_writer.run,
+            self.crash_synchronizer.run,
             self.metrics.lag.run,
         )
 
@@ -95,7 +93,7 @@
         drain_gossip=DrainGossip(health, peers, environment.random),
         instance_list_reader=InstanceListReader(store, health, shared.is_reader),
         hedges=hedges,
-        crash_record_writer=shared.guard.synchronizer,
+        crash_synchronizer=shared.guard.synchronizer,
         metrics=shared.metrics,
     )
 
--- a/catkinslip/wiring/entry.py
+++ b/catkinslip/wiring/entry.py
@@ -11,12 +11,8 @@
 from catkinslip.config.holder import ConfigHolder
 from catkinslip.crashes.base import CrashRecord, CrashStore
 from catkinslip.crashes.guard import CrashGuard, make_guard
-from catkinslip.crashes.publisher import (
-    CrashPublisher,
-)
-from catkinslip.crashes.registry import (
-    CrashRegistry,
-)
+from catkinslip.crashes.publisher import CrashPublisher
+from catkinslip.crashes.registry import CrashRegistry
 from catkinslip.discovery.answers import PeerAnswers
 from catkinslip.discovery.assembly import Assembler
 from catkinslip.discovery.base import (
@@ -29,15 +25,8 @@
 )
 from catkinslip.discovery.follower import Follower, Outage
 from catkinslip.discovery.instances import InstanceTable
-from catkinslip.discovery.kinds import (
-    SharedKind,
-    shared_kinds,
-)
-from catkinslip.discovery.messages import (
-    KIND_PATH,
-    SNAPSHOT_PATH,
-    STATE_PATH,
-)
+from catkinslip.discovery.kinds import SharedKind, shared_kinds
+from catkinslip.discovery.messages import KIND_PATH, SNAPSHOT_PATH, STATE_PATH
 from catkinslip.discovery.peers import PeerPoller
 from catkinslip.discovery.registration import Registration
 from catkinslip.environment import Environment
@@ -45,9 +34,7 @@
 from catkinslip.health.sharing import ReportSharer
 from catkinslip.health.tracker import make_tracker
 from catkinslip.limits.base import LimitSettings
-from catkinslip.limits.service import (
-    LimitRegistry,
-)
+from catkinslip.limits.service import LimitRegistry
 from catkinslip.logs.buffer import LogBuffer
 from catkinslip.metrics.base import MetricSource
 from catkinslip.metrics.crashes import CrashMetrics
@@ -58,10 +45,7 @@
 from catkinslip.metrics.traces import TraceRing
 from catkinslip.models import Address
 from catkinslip.page_client import PageClient
-from catkinslip.pages import (
-    PageHandler,
-    PageServer,
-)
+from catkinslip.pages import PageHandler, PageServer
 from catkinslip.proxy.callers import CallerLimits, CallerServer
 from catkinslip.proxy.dialect import Dialect
 from catkinslip.proxy.forwarder import Forwarder
@@ -73,9 +57,7 @@
 from catkinslip.routing.directory import Directory, no_bound
 from catkinslip.routing.sample import Sample
 from catkinslip.throttling.gate import ThrottleGate
-from catkinslip.throttling.gossip import (
-    RateGossip,
-)
+from catkinslip.throttling.gossip import RateGossip
 from catkinslip.throttling.shares import divide_rate
 from catkinslip.warmup.gate import ColdGate
 from catkinslip.warmup.quotas import Sender, divide
@@ -166,7 +148,7 @@
     crashes: Follower[CrashRecord]
     evacuations: Follower[ZoneEvacuation]
     guard: CrashGuard
-    crash_gossip: CrashPublisher
+    crash_publisher: CrashPublisher
     rate_gossip: RateGossip
     sources: tuple[MetricSource, ...]
 
@@ -196,7 +178,7 @@
             self.crashes.run,
             self.evacuations.run,
             self.guard.synchronizer.run,
-            self.crash_gossip.run,
+            self.crash_publisher.run,
             self.rate_gossip.run,
         )
 
@@ -253,14 +235,14 @@
             Address.parse(each.report_address) for each in instances.serving_peers()
         ]
 
-    crash_gossip = CrashPublisher(
+    crash_publisher = CrashPublisher(
         settings.own.instance_id,
         guard.registry,
         clock,
         serving_addresses,
         sharer.send_datagram,
     )
-    guard.listeners.append(crash_gossip)
+    guard.listeners.append(crash_publisher)
     rate_gossip = RateGossip(
         settings.own.instance_id,
         directory,
@@ -272,7 +254,7 @@
     )
     directory.on_rate_seen = rate_gossip.record_observation
     sharer.handler_by_topic = {
-        'ends': crash_gossip.apply_datagram,
+        'ends': crash_publisher.apply_datagram,
         'rates': rate_gossip.receive_rates,
         'doubts': rate_gossip.receive_queries,
     }
@@ -363,7 +345,7 @@
         crashes=crashes,
         evacuations=evacuations,
         guard=guard,
-        crash_gossip=crash_gossip,
+        crash_publisher=crash_publisher,
         rate_gossip=rate_gossip,
         sources=(
             requests,
--- a/catkinslip/wiring/shared.py
+++ b/catkinslip/wiring/shared.py
@@ -11,9 +11,7 @@
 from catkinslip.config.watcher_choice import is_watcher
 from catkinslip.control.paths import SECRET_HEADER
 from catkinslip.crashes.guard import CrashGuard, make_guard
-from catkinslip.crashes.objects import (
-    ObjectCrashStore,
-)
+from catkinslip.crashes.objects import ObjectCrashStore
 from catkinslip.environment import Environment
 from catkinslip.health.tracker import HealthTracker, make_tracker
 from catkinslip.logs.buffer import LogBuffer
--- a/soak/needs.py
+++ b/soak/needs.py
@@ -7,9 +7,7 @@
 from attrs import Factory, define, frozen
 
 from soak.world import World
-from standins.workers import (
-    max_within,
-)
+from standins.workers import max_within
 
 WINDOW_SECONDS = 4.0
 #: Seconds after the first advertised rate from which the bound holds.
--- a/soak/rests.py
+++ b/soak/rests.py
@@ -8,10 +8,7 @@
 
 from soak.callers import Callers
 from soak.world import World
-from standins.workers import (
-    Fault,
-    RefusedRequest,
-)
+from standins.workers import Fault, RefusedRequest
 
 RESTS = (b'1', b'2', b'3.5')
 SPAN_SECONDS = (2.0, 5.0)
--- a/tests/test_clock_suspension.py
+++ b/tests/test_clock_suspension.py
@@ -21,10 +21,7 @@
 from catkinslip.store.budget import TokenBucket
 from standins.raw import RawBackend, ok
 from tests.builders import plain_call
-from tests.test_crashes_registry import (
-    KEY,
-    registry_with,
-)
+from tests.test_crashes_registry import KEY, registry_with
 
 SUSPENDED_SECONDS = 10.0
 GENEROUS_SECONDS = 20.0
--- a/tests/test_crashes_incident.py
+++ b/tests/test_crashes_incident.py
@@ -14,10 +14,7 @@
 
 import trio
 
-from catkinslip.cli.explain import (
-    find_request_names,
-    select_lines,
-)
+from catkinslip.cli.explain import find_request_names, select_lines
 from catkinslip.crashes import suspect
 from catkinslip.entry import metrics_page
 from catkinslip.wiring.entry import Entry
@@ -185,7 +182,7 @@
         async def check(platform):
             await fleet_with_long_timeouts(platform)
             for entry in platform.entries:
-                entry.crash_gossip.targets = list
+                entry.crash_publisher.targets = list
             await crash(platform, 3)
             self.assertTrue(await all_have_verdict(platform, 2 * WINDOW_SECONDS))
             for entry in range(1, INSTANCES):
--- a/tests/test_discovery_following.py
+++ b/tests/test_discovery_following.py
@@ -14,11 +14,7 @@
 from catkinslip.discovery.base import InstanceEntry, Listing
 from catkinslip.discovery.follower import Follower
 from catkinslip.discovery.instances import InstanceTable, PeerHealth
-from catkinslip.discovery.peers import (
-    LIST_WAIT_SECONDS,
-    POLL_SECONDS,
-    PeerPoller,
-)
+from catkinslip.discovery.peers import LIST_WAIT_SECONDS, POLL_SECONDS, PeerPoller
 from catkinslip.discovery.ranking import rank
 from catkinslip.discovery.registration import Registration
 from catkinslip.models import Address
--- a/tests/test_discovery_peers.py
+++ b/tests/test_discovery_peers.py
@@ -14,10 +14,7 @@
 from catkinslip.discovery.follower import Follower
 from catkinslip.discovery.instances import InstanceTable
 from catkinslip.discovery.peers import PeerPoller
-from catkinslip.discovery.registration import (
-    ANNOUNCE_AGAIN_SECONDS,
-    Registration,
-)
+from catkinslip.discovery.registration import ANNOUNCE_AGAIN_SECONDS, Registration
 from catkinslip.page_client import PageClient
 from tests.discovery_builders import OUTAGE, ScriptedSource, instance_entry, no_kinds
 
--- a/tests/test_discovery_restored.py
+++ b/tests/test_discovery_restored.py
@@ -7,9 +7,7 @@
 import trio.testing
 from attrs import Factory, define, evolve
 
-from catkinslip.crashes.registry import (
-    CrashRegistry,
-)
+from catkinslip.crashes.registry import CrashRegistry
 from catkinslip.crashes.suspect import Verdict
 from catkinslip.discovery.assembly import EXPIRY_GRACE_SECONDS, Assembler
 from catkinslip.discovery.base import BackendEntry, Changes, Listing
@@ -24,12 +22,7 @@
     listing,
     rule_set,
 )
-from tests.test_crashes_registry import (
-    KEY,
-    NOW,
-    registry_with,
-    stored,
-)
+from tests.test_crashes_registry import KEY, NOW, registry_with, stored
 from tests.test_discovery_assembly import run, started
 from tests.test_discovery_follower import follow
 
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -8,17 +8,9 @@
 from catkinslip.config.checks import read_document
 from catkinslip.config.holder import ConfigHolder
 from catkinslip.discovery.assembly import Assembler
-from catkinslip.discovery.base import (
-    BackendEntry,
-    Changes,
-    Listing,
-    ZoneEvacuation,
-)
+from catkinslip.discovery.base import BackendEntry, Changes, Listing, ZoneEvacuation
 from catkinslip.discovery.follower import Follower
-from catkinslip.discovery.kinds import (
-    SharedKind,
-    shared_kinds,
-)
+from catkinslip.discovery.kinds import SharedKind, shared_kinds
 from catkinslip.routing.directory import Directory
 from catkinslip.routing.policies import LeastInFlight
 from tests.builders import backend_plain, document_of, document_plain
--- a/tests/test_failures_combined.py
+++ b/tests/test_failures_combined.py
@@ -11,10 +11,7 @@
 
 from benchmarks.drain import status
 from catkinslip.status import ExitStatus
-from standins.ledgers import (
-    find_contradictions,
-    read_ledger,
-)
+from standins.ledgers import find_contradictions, read_ledger
 from standins.load import LoadCaller, ResendingCaller, Tally
 from standins.processes import Process, ProcessGroup, wait_until
 from standins.tool import ToolResult, run_tool
--- a/tests/test_health_sharing.py
+++ b/tests/test_health_sharing.py
@@ -13,10 +13,7 @@
 from catkinslip.routing.base import LoadReport
 from catkinslip.routing.delay import PAUSED_DELAY, ExpectedDelay
 from catkinslip.routing.directory import Directory
-from catkinslip.routing.router import (
-    PEER_SILENCE_MIN_AGE_SECONDS,
-    ServiceRouter,
-)
+from catkinslip.routing.router import PEER_SILENCE_MIN_AGE_SECONDS, ServiceRouter
 from tests.builders import document_plain
 from tests.small_platform import free_ports, wait_for
 
--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -54,7 +54,7 @@
         self.assertGreater(tally.right, 0)
         self.assertNotIn(second.address, fetch_addresses(third))
 
-    def test_control_surface_refuses_invalid_messages(self):
+    def test_control_api_refuses_invalid_messages(self):
         daemon = self.daemons[0]
         url = f'http://{daemon.control_address}/v1/exchange'
         good = {'Catkinslip-Secret': SECRET}
--- a/tests/test_platform_client.py
+++ b/tests/test_platform_client.py
@@ -8,9 +8,7 @@
 
 from catkinslip.crashes.base import CrashRecord
 from catkinslip.crashes.identity import RequestKey
-from catkinslip.discovery.base import (
-    HistoryRemoved,
-)
+from catkinslip.discovery.base import HistoryRemoved
 from catkinslip.discovery.revisions import era_of
 from catkinslip.models import Address
 from catkinslip.platform import names
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -6,12 +6,7 @@
 import trio
 
 from standins.workers import Fault
-from tests.small_platform import (
-    PROBE_SECONDS,
-    SmallPlatform,
-    on_platform,
-    wait_for,
-)
+from tests.small_platform import PROBE_SECONDS, SmallPlatform, on_platform, wait_for
 
 
 async def two_workers(platform: SmallPlatform, **fields) -> list:
--- a/tests/test_platform_restore.py
+++ b/tests/test_platform_restore.py
@@ -6,9 +6,7 @@
 
 from catkinslip.discovery.revisions import era_of
 from catkinslip.entry import metrics_page
-from standins.objects import (
-    StoreBackup,
-)
+from standins.objects import StoreBackup
 from tests.platform_builders import config_spec
 from tests.small_platform import SmallPlatform, on_platform, wait_at_most, wait_for
 
--- a/tests/test_proxy_input.py
+++ b/tests/test_proxy_input.py
@@ -10,10 +10,7 @@
 from hypothesis import strategies as st
 
 from catkinslip.clock import SystemClock
-from catkinslip.proxy.chunk_checks import (
-    BodyPart,
-    ChunkCheck,
-)
+from catkinslip.proxy.chunk_checks import BodyPart, ChunkCheck
 from catkinslip.proxy.head_reader import extract_head
 from catkinslip.proxy.outcomes import NotRun, Reason
 from tests.builders import caller_server
--- a/tests/test_resting_path.py
+++ b/tests/test_resting_path.py
@@ -27,9 +27,7 @@
 from catkinslip.routing.policies import LeastInFlight
 from catkinslip.routing.router import ServiceRouter
 from catkinslip.routing.signals import ServerSignals
-from catkinslip.throttling.signals import (
-    AnswerKind,
-)
+from catkinslip.throttling.signals import AnswerKind
 from standins.workers import Fault
 from tests.small_platform import SmallPlatform, on_platform, wait_for
 
--- a/tests/test_resting_registry.py
+++ b/tests/test_resting_registry.py
@@ -6,9 +6,7 @@
 from catkinslip.resting.registry import RestRegistry
 from catkinslip.resting.signals import MALFORMED_REST, NO_REST, RestSignal
 from catkinslip.routing.base import BackendLoad
-from catkinslip.throttling.signals import (
-    AnswerKind,
-)
+from catkinslip.throttling.signals import AnswerKind
 
 NOW = 100.0
 
--- a/tests/test_routing_policies.py
+++ b/tests/test_routing_policies.py
@@ -6,13 +6,7 @@
 from types import SimpleNamespace
 
 from catkinslip.config.documents import Backend, Service
-from catkinslip.proxy.outcomes import (
-    Answered,
-    NotRun,
-    Reason,
-    Unknown,
-    attempt_result,
-)
+from catkinslip.proxy.outcomes import Answered, NotRun, Reason, Unknown, attempt_result
 from catkinslip.routing.base import AttemptResult, LoadReport, ResultKind
 from catkinslip.routing.choices import make_policy
 from catkinslip.routing.delay import ExpectedDelay
--- a/tests/test_routing_restart.py
+++ b/tests/test_routing_restart.py
@@ -15,9 +15,7 @@
     Service,
     to_plain,
 )
-from catkinslip.health.drain import (
-    DrainSignal,
-)
+from catkinslip.health.drain import DrainSignal
 from catkinslip.health.sharing import ReportSharer
 from catkinslip.health.tracker import make_tracker
 from catkinslip.models import Address
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -15,10 +15,7 @@
 from soak.world import World as SoakWorld
 from soak.zones import Evacuation, ZonePlayer
 from standins.processes import ROOT
-from standins.workers import (
-    RefusedRequest,
-    Worker,
-)
+from standins.workers import RefusedRequest, Worker
 
 #: With the second seed, instances once refused all requests for ever after late answers
 #: to probes.
--- a/tests/test_throttling_fleet.py
+++ b/tests/test_throttling_fleet.py
@@ -16,11 +16,7 @@
 
 from catkinslip.discovery.instances import InstanceTable
 from catkinslip.routing.base import BackendLoad
-from catkinslip.routing.gates import (
-    Gates,
-    Permits,
-    release_permits,
-)
+from catkinslip.routing.gates import Gates, Permits, release_permits
 from catkinslip.throttling.gate import ThrottleGate
 from catkinslip.throttling.shares import divide_rate
 from catkinslip.throttling.signals import AnswerKind, RateSignal
--- a/tests/test_throttling_path.py
+++ b/tests/test_throttling_path.py
@@ -30,9 +30,7 @@
 from catkinslip.throttling.signals import NO_RATE, AnswerKind, RateSignal
 from catkinslip.warmup.gate import ColdGate
 from catkinslip.warmup.quotas import Sender
-from catkinslip.warmup.senders import (
-    SenderPosition,
-)
+from catkinslip.warmup.senders import SenderPosition
 from catkinslip.wiring.entry import Entry
 from standins.workers import Fault
 from tests.small_platform import SmallPlatform, on_platform, wait_for
